--- a/run.py
+++ b/run.py
@@ -14,8 +14,10 @@
 if __name__ == "__main__":
     arguments = sys.argv[1:]
     options = dict(zip(arguments[::2], arguments[1::2], strict=False))
-    if "--config" in options and 2 * len(options) == len(arguments) and (
-        options.keys() <= {"--config", "--properties"}
+    if (
+        "--config" in options
+        and 2 * len(options) == len(arguments)
+        and (options.keys() <= {"--config", "--properties"})
     ):
         # The libraries bring their compiled files; ours are made by the build, so that
         # a start does not compile them: workers' leases run out meanwhile.
--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -122,8 +122,19 @@
 
 
 Event = (
-    Opened | ChannelOpened | ChannelClosed | Consuming | ConsumerCancelled | Delivery | Confirmed
-    | Returned | Blocked | Unblocked | Counted | Done | Closed
+    Opened
+    | ChannelOpened
+    | ChannelClosed
+    | Consuming
+    | ConsumerCancelled
+    | Delivery
+    | Confirmed
+    | Returned
+    | Blocked
+    | Unblocked
+    | Counted
+    | Done
+    | Closed
 )
 
 
@@ -155,8 +166,14 @@
 
 class Connection:
     def __init__(
-        self, user: str, password: str, vhost: str = "/", *, heartbeat_s: int = 10,
-        now: float = 0.0, properties: dict[str, Any] | None = None,
+        self,
+        user: str,
+        password: str,
+        vhost: str = "/",
+        *,
+        heartbeat_s: int = 10,
+        now: float = 0.0,
+        properties: dict[str, Any] | None = None,
     ) -> None:
         self._response = f"\0{user}\0{password}"
         self._vhost = vhost
@@ -164,8 +181,11 @@
         self._properties = {
             "product": "ryegauge",
             "capabilities": {
-                "publisher_confirms": True, "basic.nack": True, "connection.blocked": True,
-                "consumer_cancel_notify": True, "authentication_failure_close": True,
+                "publisher_confirms": True,
+                "basic.nack": True,
+                "connection.blocked": True,
+                "consumer_cancel_notify": True,
+                "authentication_failure_close": True,
             },
             **(properties or {}),
         }
@@ -242,9 +262,7 @@
     def open_channel(self) -> int:
         if self.state != "running":
             raise Misuse(f"the connection is not open: {self.state}")
-        number = next(
-            (n for n in range(1, self._channel_max + 1) if n not in self._channels), None
-        )
+        number = next((n for n in range(1, self._channel_max + 1) if n not in self._channels), None)
         if number is None:
             raise Misuse(f"all {self._channel_max} channels are in use")
         self._channels[number] = _Channel()
@@ -268,9 +286,7 @@
         """Makes a durable queue, or (`passive`) only asks for its counts: `Counted`. One that
         is not there closes the channel then."""
         self._open(number)
-        self._send(
-            number, amqp.Queue.Declare(0, queue, passive, True, False, False, False, {})
-        )
+        self._send(number, amqp.Queue.Declare(0, queue, passive, True, False, False, False, {}))
 
     def select_confirms(self, number: int) -> None:
         self._open(number)
@@ -286,8 +302,14 @@
         self._send(number, Basic.Reject(tag, requeue))
 
     def publish(
-        self, number: int, exchange: str, routing_key: str, body: bytes,
-        properties: Basic.Properties, *, mandatory: bool = True,
+        self,
+        number: int,
+        exchange: str,
+        routing_key: str,
+        body: bytes,
+        properties: Basic.Properties,
+        *,
+        mandatory: bool = True,
     ) -> int:
         """The number under which it will be confirmed; 0 without confirms."""
         channel = self._open(number)
@@ -372,8 +394,9 @@
                 if "PLAIN" not in str(value.mechanisms).split():
                     raise FrameError(530, f"no login that we know: {value.mechanisms}")
                 self.state = "tune"
-                self._send(0, amqp.Connection.StartOk(
-                    self._properties, "PLAIN", self._response, "en_US"))
+                self._send(
+                    0, amqp.Connection.StartOk(self._properties, "PLAIN", self._response, "en_US")
+                )
             case amqp.Connection.Tune() if self.state == "tune":
                 self._tune(value)
             case amqp.Connection.OpenOk() if self.state == "open":
@@ -404,20 +427,15 @@
         theirs = value.heartbeat or 0
         self._heartbeat_s = smaller(self._heartbeat_s, theirs) if theirs else 0
         self.state = "open"
-        self._send(0, amqp.Connection.TuneOk(
-            self._channel_max, self._frame_max, self._heartbeat_s))
+        self._send(0, amqp.Connection.TuneOk(self._channel_max, self._frame_max, self._heartbeat_s))
         self._send(0, amqp.Connection.Open(self._vhost))
 
-    def _on_channel(
-        self, number: int, channel: _Channel, value: Any, events: list[Event]
-    ) -> None:
+    def _on_channel(self, number: int, channel: _Channel, value: Any, events: list[Event]) -> None:
         match value:
             case amqp.Channel.Close():
                 self._send(number, amqp.Channel.CloseOk())
                 del self._channels[number]
-                events.append(
-                    ChannelClosed(number, value.reply_code or 320, str(value.reply_text))
-                )
+                events.append(ChannelClosed(number, value.reply_code or 320, str(value.reply_text)))
             case amqp.Channel.OpenOk() if channel.state == "opening":
                 channel.state = "open"
                 events.append(ChannelOpened(number))
@@ -440,16 +458,24 @@
                 channel.confirms = True
                 events.append(Done(number, "Confirm.Select"))
             case amqp.Queue.DeclareOk():
-                events.append(Counted(
-                    number, str(value.queue), value.message_count or 0, value.consumer_count or 0
-                ))
+                events.append(
+                    Counted(
+                        number,
+                        str(value.queue),
+                        value.message_count or 0,
+                        value.consumer_count or 0,
+                    )
+                )
             case Basic.QosOk() | Basic.CancelOk():
                 events.append(Done(number, value.name.removesuffix("Ok")))
             case _:
                 raise FrameError(503, f"{value.name} was not expected")
 
     def _confirmed(
-        self, number: int, channel: _Channel, value: Basic.Ack | Basic.Nack,
+        self,
+        number: int,
+        channel: _Channel,
+        value: Basic.Ack | Basic.Nack,
         events: list[Event],
     ) -> None:
         last = value.delivery_tag or 0
@@ -464,7 +490,10 @@
         events.append(Confirmed(number, tags, isinstance(value, Basic.Ack)))
 
     def _on_content(
-        self, number: int, channel: _Channel, value: ContentHeader | ContentBody,
+        self,
+        number: int,
+        channel: _Channel,
+        value: ContentHeader | ContentBody,
         events: list[Event],
     ) -> None:
         content = channel.content
@@ -490,22 +519,39 @@
             self._message(number, channel, content, content.header, events)
 
     def _message(
-        self, number: int, channel: _Channel, content: _Content, header: ContentHeader,
+        self,
+        number: int,
+        channel: _Channel,
+        content: _Content,
+        header: ContentHeader,
         events: list[Event],
     ) -> None:
         method, body = content.method, b"".join(content.parts)
         if isinstance(method, Basic.Return):
-            events.append(Returned(
-                number, method.reply_code or 0, str(method.reply_text),
-                str(method.routing_key), header.properties,
-            ))
+            events.append(
+                Returned(
+                    number,
+                    method.reply_code or 0,
+                    str(method.reply_text),
+                    str(method.routing_key),
+                    header.properties,
+                )
+            )
             return
         tag = method.delivery_tag or 0
         if tag <= channel.last_tag:
             raise FrameError(501, f"delivery {tag} after {channel.last_tag}")
         channel.last_tag = tag
         channel.unsettled[tag] = None
-        events.append(Delivery(
-            number, str(method.consumer_tag), tag, bool(method.redelivered),
-            str(method.exchange), str(method.routing_key), header.properties, body,
-        ))
+        events.append(
+            Delivery(
+                number,
+                str(method.consumer_tag),
+                tag,
+                bool(method.redelivered),
+                str(method.exchange),
+                str(method.routing_key),
+                header.properties,
+                body,
+            )
+        )
--- a/ryegauge/bookkeeping/ahead.py
+++ b/ryegauge/bookkeeping/ahead.py
@@ -40,10 +40,14 @@
         """All jobs that somebody here may have been told are cancelled, as far as a book that
         is complete up to `ledger` may not show it and a part may hold tasks of them: none does of
         those that left the book, nor of those that are cancelled with one that they need."""
-        return sorted(self._known | {
-            uid: 0.0 for uid, job in self._book.jobs.items()
-            if job.cancelled and job.version > ledger
-        })
+        return sorted(
+            self._known
+            | {
+                uid: 0.0
+                for uid, job in self._book.jobs.items()
+                if job.cancelled and job.version > ledger
+            }
+        )
 
     def _in_book(self, uid: str) -> bool:
         return (job := self._book.jobs.get(uid)) is not None and job.cancelled
--- a/ryegauge/bookkeeping/jobbook.py
+++ b/ryegauge/bookkeeping/jobbook.py
@@ -37,8 +37,12 @@
     __slots__ = ("allotted", "done", "ended_at", "origin", "version")
 
     def __init__(
-        self, allotted: dict[str, Ranges], done: Ranges, version: int,
-        ended_at: float | None = None, origin: tuple[int, int] | None = None,
+        self,
+        allotted: dict[str, Ranges],
+        done: Ranges,
+        version: int,
+        ended_at: float | None = None,
+        origin: tuple[int, int] | None = None,
     ) -> None:
         self.allotted = allotted
         self.done = done
@@ -55,7 +59,10 @@
         allotted = {zone: Ranges.from_flat(flat) for zone, flat in record["t"].items()}
         origin = record.get("o")
         return Share(
-            allotted, Ranges.from_flat(record["d"]), version, record.get("e"),
+            allotted,
+            Ranges.from_flat(record["d"]),
+            version,
+            record.get("e"),
             None if origin is None else (origin[0], origin[1]),
         )
 
@@ -88,12 +95,30 @@
 
 
 class Job:
-    __slots__ = ("_open", "allotted_count", "cancelled", "done_count", "held", "needs", "pieces",
-                 "ready_at", "sealed", "sealed_tasks", "shares", "spec", "submitted_at",
-                 "version", "waits_for")
+    __slots__ = (
+        "_open",
+        "allotted_count",
+        "cancelled",
+        "done_count",
+        "held",
+        "needs",
+        "pieces",
+        "ready_at",
+        "sealed",
+        "sealed_tasks",
+        "shares",
+        "spec",
+        "submitted_at",
+        "version",
+        "waits_for",
+    )
 
     def __init__(
-        self, spec: JobSpec, submitted_at: float, cancelled: bool, version: int,
+        self,
+        spec: JobSpec,
+        submitted_at: float,
+        cancelled: bool,
+        version: int,
         pieces: tuple[str, int] | None = None,
     ) -> None:
         self.spec = spec
@@ -573,7 +598,10 @@
                 else:
                     pieces = value.get("w")
                     job = self.jobs[uid] = Job(
-                        parse_job(value["s"]), value["at"], bool(value.get("x")), event.version,
+                        parse_job(value["s"]),
+                        value["at"],
+                        bool(value.get("x")),
+                        event.version,
                         None if pieces is None else (pieces[0], pieces[1]),
                     )
                     self.lost.discard(uid)
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -162,9 +162,9 @@
             raise Unknown(f"status {status}")
         return answer["data"], answer["stamp"]
 
-    async def page(self, prefix: str, after: str | None, *, timeout_s: float) -> tuple[
-        list[Event], bool, int
-    ]:
+    async def page(
+        self, prefix: str, after: str | None, *, timeout_s: float
+    ) -> tuple[list[Event], bool, int]:
         target = f"/kv?under={quote(prefix)}&page=500"
         if after is not None:
             target += f"&since={quote(after)}"
--- a/ryegauge/cli/emulate.py
+++ b/ryegauge/cli/emulate.py
@@ -14,19 +14,36 @@
 
 
 @click.command()
-@click.option("--config", type=click.Path(dir_okay=False, path_type=Path),
-              help="TOML file: controllers, teams, types, commands, speed, seed; "
-              "docs/operations/emulator.md. Default: one controller, two teams, a few machines.")
-@click.option("--listen", default="127.0.0.1:8080", show_default=True,
-              help="Loopback HOST:PORT of the first controller; the others follow.")
-@click.option("--controllers", type=click.IntRange(0, 9),
-              help="Controllers to start; 0: only what they deal with.")
-@click.option("--queues", "queues_file", type=click.Path(dir_okay=False, exists=True),
-              help="TOML file with bindings: serve them, with a stand-in broker on the port of "
-              "the first one's URL (deploy/queues.toml is an example).")
+@click.option(
+    "--config",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="TOML file: controllers, teams, types, commands, speed, seed; "
+    "docs/operations/emulator.md. Default: one controller, two teams, a few machines.",
+)
+@click.option(
+    "--listen",
+    default="127.0.0.1:8080",
+    show_default=True,
+    help="Loopback HOST:PORT of the first controller; the others follow.",
+)
+@click.option(
+    "--controllers",
+    type=click.IntRange(0, 9),
+    help="Controllers to start; 0: only what they deal with.",
+)
+@click.option(
+    "--queues",
+    "queues_file",
+    type=click.Path(dir_okay=False, exists=True),
+    help="TOML file with bindings: serve them, with a stand-in broker on the port of "
+    "the first one's URL (deploy/queues.toml is an example).",
+)
 @click.option("--verbose", is_flag=True, help="Log what controllers and workers do.")
 def emulate(
-    config: Path | None, listen: str, controllers: int | None, verbose: bool,
+    config: Path | None,
+    listen: str,
+    controllers: int | None,
+    verbose: bool,
     queues_file: str | None,
 ) -> None:
     """Start a state service, a cloud, workers and a controller until interrupted.
@@ -35,7 +52,8 @@
     configuration names for their class. Nothing is kept when it ends.
     """
     logging.basicConfig(
-        stream=sys.stderr, level=logging.INFO if verbose else logging.WARNING,
+        stream=sys.stderr,
+        level=logging.INFO if verbose else logging.WARNING,
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
     try:
--- a/ryegauge/cli/experiment.py
+++ b/ryegauge/cli/experiment.py
@@ -22,38 +22,97 @@
 
 @click.command()
 @click.argument("name", type=click.Choice(["ageing", "loss", "queues", "recovery", "rounds"]))
-@click.option("--day", "days", multiple=True, metavar="DAY",
-              help="A built-in day, or a TOML file; may be repeated. Built in: "
-              f"{', '.join(_built_in())}. Default: all of these.")
-@click.option("--policy", "policies", multiple=True,
-              type=click.Choice(POLICIES),
-              help="Order of jobs to be played; may be repeated. Default: all. "
-              "The first is the baseline: only what is not marked as backlog.")
-@click.option("--machines", default=600, show_default=True, type=click.IntRange(10),
-              help="recovery, loss: about how many the fleet has.")
-@click.option("--records", default=2000, show_default=True, type=click.IntRange(0),
-              help="loss: outcomes of jobs that left the book before the day.")
-@click.option("--cell", "cells", multiple=True, metavar="LOSS/LIVES/SNAPSHOTS/MEANWHILE",
-              help="loss: only this cell, as in 'back 20 s/one/none/nothing'; a part left empty "
-              "stands for all; may be repeated. Default: some of each.")
-@click.option("--trouble", "troubles", multiple=True,
-              help="recovery: only this trouble; may be repeated. Default: all.")
-@click.option("--against", type=click.Path(exists=True, file_okay=False),
-              help="recovery, loss: a checkout of another version, played beside this one.")
+@click.option(
+    "--day",
+    "days",
+    multiple=True,
+    metavar="DAY",
+    help="A built-in day, or a TOML file; may be repeated. Built in: "
+    f"{', '.join(_built_in())}. Default: all of these.",
+)
+@click.option(
+    "--policy",
+    "policies",
+    multiple=True,
+    type=click.Choice(POLICIES),
+    help="Order of jobs to be played; may be repeated. Default: all. "
+    "The first is the baseline: only what is not marked as backlog.",
+)
+@click.option(
+    "--machines",
+    default=600,
+    show_default=True,
+    type=click.IntRange(10),
+    help="recovery, loss: about how many the fleet has.",
+)
+@click.option(
+    "--records",
+    default=2000,
+    show_default=True,
+    type=click.IntRange(0),
+    help="loss: outcomes of jobs that left the book before the day.",
+)
+@click.option(
+    "--cell",
+    "cells",
+    multiple=True,
+    metavar="LOSS/LIVES/SNAPSHOTS/MEANWHILE",
+    help="loss: only this cell, as in 'back 20 s/one/none/nothing'; a part left empty "
+    "stands for all; may be repeated. Default: some of each.",
+)
+@click.option(
+    "--trouble",
+    "troubles",
+    multiple=True,
+    help="recovery: only this trouble; may be repeated. Default: all.",
+)
+@click.option(
+    "--against",
+    type=click.Path(exists=True, file_okay=False),
+    help="recovery, loss: a checkout of another version, played beside this one.",
+)
 @click.option("--seed", default=1, show_default=True, help="Luck of the first run.")
-@click.option("--seeds", default=1, show_default=True, type=click.IntRange(1),
-              help="How many runs, each with the next seed.")
-@click.option("--size", default=1.0, show_default=True, type=click.FloatRange(0, min_open=True),
-              help="Jobs of a day, times this.")
-@click.option("--processes", default=os.cpu_count() or 1, type=click.IntRange(1),
-              help="Days played at once.  [default: one for each core]")
+@click.option(
+    "--seeds",
+    default=1,
+    show_default=True,
+    type=click.IntRange(1),
+    help="How many runs, each with the next seed.",
+)
+@click.option(
+    "--size",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0, min_open=True),
+    help="Jobs of a day, times this.",
+)
+@click.option(
+    "--processes",
+    default=os.cpu_count() or 1,
+    type=click.IntRange(1),
+    help="Days played at once.  [default: one for each core]",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of tables.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path),
-              help="Directory for raw events (Parquet) and plots (PNG).")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Directory for raw events (Parquet) and plots (PNG).",
+)
 def experiment(
-    name: str, days: tuple[str, ...], policies: tuple[str, ...], seed: int, seeds: int,
-    size: float, processes: int, as_json: bool, out: Path | None, machines: int,
-    troubles: tuple[str, ...], against: str | None, records: int, cells: tuple[str, ...],
+    name: str,
+    days: tuple[str, ...],
+    policies: tuple[str, ...],
+    seed: int,
+    seeds: int,
+    size: float,
+    processes: int,
+    as_json: bool,
+    out: Path | None,
+    machines: int,
+    troubles: tuple[str, ...],
+    against: str | None,
+    records: int,
+    cells: tuple[str, ...],
 ) -> None:
     """Play experiment NAME in simulated time; the same seed gives the same result.
 
@@ -97,12 +156,27 @@
         fail(f"{EXTRA} ({error})", 2)
     console = Console(width=None if os.isatty(1) else 160)
     if name == "recovery":
-        _recovery(machines, troubles, against, list(range(seed, seed + seeds)), processes,
-                  as_json, console)
+        _recovery(
+            machines,
+            troubles,
+            against,
+            list(range(seed, seed + seeds)),
+            processes,
+            as_json,
+            console,
+        )
         return
     if name == "loss":
-        _loss(machines, records, cells, against, list(range(seed, seed + seeds)), processes,
-              as_json, console)
+        _loss(
+            machines,
+            records,
+            cells,
+            against,
+            list(range(seed, seed + seeds)),
+            processes,
+            as_json,
+            console,
+        )
         return
     if name == "queues":
         _queues(list(range(seed, seed + seeds)), processes, as_json, console)
@@ -132,8 +206,12 @@
             step = -(-len(runs) // 10)
 
             def told(
-                _: Outcome, bar: Any = bar, progress: Progress = progress, title: str = title,
-                total: int = len(runs), step: int = step,
+                _: Outcome,
+                bar: Any = bar,
+                progress: Progress = progress,
+                title: str = title,
+                total: int = len(runs),
+                step: int = step,
             ) -> None:
                 progress.advance(bar)
                 ended = int(progress.tasks[0].completed)
@@ -160,9 +238,7 @@
         fail(f"{broken} times a rule was broken", 1)
 
 
-def _play(
-    calls: Sequence[tuple[Callable[..., Any], tuple[Any, ...]]], processes: int
-) -> list[Any]:
+def _play(calls: Sequence[tuple[Callable[..., Any], tuple[Any, ...]]], processes: int) -> list[Any]:
     """What each call comes to, in their order, and how far it has come."""
     from concurrent.futures import ProcessPoolExecutor, as_completed
     from multiprocessing import get_context
@@ -176,8 +252,13 @@
 
 
 def _recovery(
-    machines: int, troubles: tuple[str, ...], against: str | None, seeds: list[int],
-    processes: int, as_json: bool, console: Any,
+    machines: int,
+    troubles: tuple[str, ...],
+    against: str | None,
+    seeds: list[int],
+    processes: int,
+    as_json: bool,
+    console: Any,
 ) -> None:
     from ryegauge.experiments import recovery
 
@@ -188,15 +269,22 @@
     calls = [
         (recovery.measure, (machines, trouble, seed, version, checkout))
         for trouble in troubles or recovery.TROUBLES
-        for version, checkout in versions for seed in seeds
+        for version, checkout in versions
+        for seed in seeds
     ]
     rows = recovery.table(_play(calls, processes))
     _tell(f"Recovery, about {machines} machines", rows, as_json, console)
 
 
 def _loss(
-    machines: int, records: int, cells: tuple[str, ...], against: str | None, seeds: list[int],
-    processes: int, as_json: bool, console: Any,
+    machines: int,
+    records: int,
+    cells: tuple[str, ...],
+    against: str | None,
+    seeds: list[int],
+    processes: int,
+    as_json: bool,
+    console: Any,
 ) -> None:
     from itertools import product
 
@@ -216,7 +304,9 @@
     versions = [("this", None), *([("against", against)] if against else [])]
     calls = [
         (loss.measure, (machines, records, cell, seed, version, checkout))
-        for cell in chosen for version, checkout in versions for seed in seeds
+        for cell in chosen
+        for version, checkout in versions
+        for seed in seeds
     ]
     rows = loss.table(_play(calls, processes))
     _tell(f"Lost state, about {machines} machines", rows, as_json, console)
@@ -259,18 +349,21 @@
     ]
     floods = [
         (queues.overload, (seed, 120.0, with_queues))
-        for seed in seeds[:4] for with_queues in (False, True)
+        for seed in seeds[:4]
+        for with_queues in (False, True)
     ]
     played = _play([*counts, *floods], processes)
     tables = [
-        queues.table(played[: len(counts)]), [one._asdict() for one in played[len(counts) :]],
+        queues.table(played[: len(counts)]),
+        [one._asdict() for one in played[len(counts) :]],
     ]
     if as_json:
         click.echo(json.dumps(tables, indent=2))
     else:
         print_tables("Queues", tables, console)
     wrong = sum(
-        row["broken"] + row["two_answers"]
+        row["broken"]
+        + row["two_answers"]
         + (row["lost"] + row["unanswered"] if row["delivery"] != "at_most_once" else 0)
         for row in tables[0]
     )
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -17,8 +17,12 @@
 
 ANSWER_S = 10.0
 file_option = click.option(
-    "--file", "file", default="deploy/queues.toml", show_default=True,
-    type=click.Path(dir_okay=False), help="TOML file with the bindings.",
+    "--file",
+    "file",
+    default="deploy/queues.toml",
+    show_default=True,
+    type=click.Path(dir_okay=False),
+    help="TOML file with the bindings.",
 )
 
 
@@ -47,8 +51,8 @@
 
 
 def _with_channel(
-    binding: "Binding", use: Callable[["Session", int, trio.MemoryReceiveChannel[Any]],
-                                      Awaitable[None]],
+    binding: "Binding",
+    use: Callable[["Session", int, trio.MemoryReceiveChannel[Any]], Awaitable[None]],
     patience_s: float = ANSWER_S,
 ) -> None:
     """One connection to the first broker that answers, with a channel that confirms."""
@@ -122,8 +126,12 @@
 
 @queues.command()
 @file_option
-@click.option("--id", "message_id", required=True, help="The message's id: the same id is the "
-              "same message, however often it is put.")
+@click.option(
+    "--id",
+    "message_id",
+    required=True,
+    help="The message's id: the same id is the same message, however often it is put.",
+)
 @click.option("--priority", type=click.IntRange(0, 255), default=0, show_default=True)
 @click.option("--reply-to", help="Queue for the answer; none is given without.")
 @click.option("--type", "content_type", default="application/json", show_default=True)
@@ -131,8 +139,14 @@
 @click.argument("binding")
 @click.argument("body", type=click.File("rb"))
 def put(
-    file: str, message_id: str, priority: int, reply_to: str | None, content_type: str,
-    declare: bool, binding: str, body: Any,
+    file: str,
+    message_id: str,
+    priority: int,
+    reply_to: str | None,
+    content_type: str,
+    declare: bool,
+    binding: str,
+    body: Any,
 ) -> None:
     """Put the message in the file BODY (- for standard input) onto the queue of BINDING.
 
@@ -148,7 +162,10 @@
 
     data = body.read()
     properties = Basic.Properties(
-        message_id=message_id, priority=priority, reply_to=reply_to, delivery_mode=PERSISTENT,
+        message_id=message_id,
+        priority=priority,
+        reply_to=reply_to,
+        delivery_mode=PERSISTENT,
         content_type=content_type,
     )
     if isinstance(found := read(bound, properties, data), Never):
@@ -175,17 +192,24 @@
 
 @queues.command()
 @file_option
-@click.option("--most", default=1, show_default=True, type=click.IntRange(1),
-              help="How many to wait for.")
-@click.option("--wait", default=600.0, show_default=True, type=click.FloatRange(0, min_open=True),
-              help="Seconds to wait for them.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path),
-              help="Directory for the bodies, a file for each; default: print them.")
+@click.option(
+    "--most", default=1, show_default=True, type=click.IntRange(1), help="How many to wait for."
+)
+@click.option(
+    "--wait",
+    default=600.0,
+    show_default=True,
+    type=click.FloatRange(0, min_open=True),
+    help="Seconds to wait for them.",
+)
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Directory for the bodies, a file for each; default: print them.",
+)
 @click.argument("binding")
 @click.argument("queue")
-def take(
-    file: str, most: int, wait: float, out: Path | None, binding: str, queue: str
-) -> None:
+def take(file: str, most: int, wait: float, out: Path | None, binding: str, queue: str) -> None:
     """Take answers from QUEUE, at the broker of BINDING; each is acknowledged once it is
     printed or written."""
     bound = _binding(file, binding)
--- a/ryegauge/cli/snapshot.py
+++ b/ryegauge/cli/snapshot.py
@@ -96,9 +96,12 @@
 
 @snapshot.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--into", required=True,
-              type=click.Path(exists=True, file_okay=False, path_type=Path),
-              help="The directory that a controller's snapshots.directory names.")
+@click.option(
+    "--into",
+    required=True,
+    type=click.Path(exists=True, file_okay=False, path_type=Path),
+    help="The directory that a controller's snapshots.directory names.",
+)
 @config_option
 def put(file: Path, into: Path, config: str) -> None:
     """Have a controller put FILE back: it looks at it within snapshots.every.s, or when it
--- a/ryegauge/coordination/allotting.py
+++ b/ryegauge/coordination/allotting.py
@@ -26,9 +26,7 @@
     """Jobs that fit into their team's guarantee together with those of the team's
     unfinished jobs that come earlier in the order: they need not wait for other
     teams. Jobs that wait for others hold no part of it."""
-    unfinished = sorted(
-        (job for job in book.live.values() if not job.over), key=order
-    )
+    unfinished = sorted((job for job in book.live.values() if not job.over), key=order)
     cpus: dict[str, float] = {}
     gpus: dict[str, float] = {}
     within: set[str] = set()
@@ -39,18 +37,22 @@
         left = spec.tasks - job.done_count
         cpus[team.name] = cpus.get(team.name, 0.0) + left * spec.cpus
         gpus[team.name] = gpus.get(team.name, 0.0) + left * spec.gpus
-        if (
-            cpus[team.name] <= team.cpus + EPSILON
-            and gpus[team.name] <= team.gpus + EPSILON
-        ):
+        if cpus[team.name] <= team.cpus + EPSILON and gpus[team.name] <= team.gpus + EPSILON:
             within.add(spec.uid)
     return within
 
 
 def open_needs(
-    book: JobBook, teams: dict[str, Team], urgencies: Urgencies, estimates: Estimates,
-    within_guarantee: set[str], policy: Policy, running: list[Room], wall: float,
-    held: HeldBack, now: float,
+    book: JobBook,
+    teams: dict[str, Team],
+    urgencies: Urgencies,
+    estimates: Estimates,
+    within_guarantee: set[str],
+    policy: Policy,
+    running: list[Room],
+    wall: float,
+    held: HeldBack,
+    now: float,
 ) -> tuple[list[Need], dict[str, Job]]:
     """Open tasks within their team's limits, in the policy's order of precedence. A job
     may come twice, with some of its tasks and with the rest. Of one that is held back a
@@ -64,7 +66,10 @@
         used_cpus[name] = used_cpus.get(name, 0.0) + n * job.spec.cpus
         used_gpus[name] = used_gpus.get(name, 0.0) + n * job.spec.gpus
         if (
-            not job.over and job.ready and job.open_tasks and name in teams
+            not job.over
+            and job.ready
+            and job.open_tasks
+            and name in teams
             and held.wait_s(uid, now) <= 0
         ):
             open_jobs[uid] = job
@@ -74,13 +79,25 @@
         finish, rank = urgencies.of(job)
         spec = job.spec
         open_count = len(job.open_tasks)
-        waiting.append(Waiting(
-            uid, spec.team, rank, finish, job.submitted_at, job.ready_at,
-            uid in within_guarantee, open_count, job.done_count + job.allotted_count,
-            0.0 if fleet is None else fleet.weight(spec), spec.cpus, spec.gpus,
-            spec.kind == "gang" and open_count == spec.tasks, spec.kind == "standing",
-            tracks_zones(spec),
-        ))
+        waiting.append(
+            Waiting(
+                uid,
+                spec.team,
+                rank,
+                finish,
+                job.submitted_at,
+                job.ready_at,
+                uid in within_guarantee,
+                open_count,
+                job.done_count + job.allotted_count,
+                0.0 if fleet is None else fleet.weight(spec),
+                spec.cpus,
+                spec.gpus,
+                spec.kind == "gang" and open_count == spec.tasks,
+                spec.kind == "standing",
+                tracks_zones(spec),
+            )
+        )
     spare = {
         name: Spare(team.most_cpus - used_cpus[name], team.most_gpus - used_gpus[name])
         for name, team in teams.items()
@@ -132,14 +149,19 @@
 
     def weight(self, spec: JobSpec) -> float:
         """The largest share of any resource that one task takes; 1 while there is none."""
-        return max(
-            part / whole if whole > 0 else 1.0
-            for part, whole in (
-                (spec.cpus, self._cpus), (spec.memory_gb, self._memory_gb),
-                (spec.gpus, self._gpus),
+        return (
+            max(
+                part / whole if whole > 0 else 1.0
+                for part, whole in (
+                    (spec.cpus, self._cpus),
+                    (spec.memory_gb, self._memory_gb),
+                    (spec.gpus, self._gpus),
+                )
+                if part > 0
             )
-            if part > 0
-        ) if spec.cpus or spec.memory_gb or spec.gpus else 0.0
+            if spec.cpus or spec.memory_gb or spec.gpus
+            else 0.0
+        )
 
 
 def holdings(book: JobBook, urgencies: Urgencies, fleet: FleetSize) -> list[Holding]:
@@ -147,7 +169,10 @@
     over. (Services hold their room for good and would close the share to all others.)"""
     return [
         Holding(
-            urgencies.rank(job), job.ready_at, job.done_count, job.allotted_count,
+            urgencies.rank(job),
+            job.ready_at,
+            job.done_count,
+            job.allotted_count,
             fleet.weight(job.spec),
         )
         for job in book.live.values()
@@ -155,9 +180,7 @@
     ]
 
 
-def allot(
-    decided: Plan, jobs: dict[str, Job], value_bytes: int
-) -> dict[tuple[str, int], Share]:
+def allot(decided: Plan, jobs: dict[str, Job], value_bytes: int) -> dict[tuple[str, int], Share]:
     """The shares as they should become, where the plan gives a part more of a job."""
     result: dict[tuple[str, int], Share] = {}
     taken: dict[str, Ranges] = {}
--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -39,7 +39,8 @@
     if excess <= 0:
         return []
     over = [
-        job for uid, job in book.jobs.items()
+        job
+        for uid, job in book.jobs.items()
         if job.over and not job.allotted_count and uid not in book.dependents
     ]
     over.sort(key=lambda job: job.submitted_at)
--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -38,7 +38,11 @@
         self._releasing: set[str] = set()  # machines whose return is under way
 
     def start(
-        self, nursery: trio.Nursery, leader: Leader, rentals: list[Rental], releases: list[str],
+        self,
+        nursery: trio.Nursery,
+        leader: Leader,
+        rentals: list[Rental],
+        releases: list[str],
         now: float,
     ) -> None:
         """Calls take a while, and time out when the cloud is away: rounds go on meanwhile,
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -23,9 +23,24 @@
 class Rented:
     """A machine as the cloud knows it."""
 
-    __slots__ = ("address", "asked_at", "failed", "heard_at", "idle_since", "listed", "name",
-                 "noticed", "part", "reported", "running_since", "seen_at", "since", "spot", "type",
-                 "zone")
+    __slots__ = (
+        "address",
+        "asked_at",
+        "failed",
+        "heard_at",
+        "idle_since",
+        "listed",
+        "name",
+        "noticed",
+        "part",
+        "reported",
+        "running_since",
+        "seen_at",
+        "since",
+        "spot",
+        "type",
+        "zone",
+    )
 
     def __init__(
         self, name: str, part: int, type_: str, zone: str, spot: bool, since: float
@@ -111,8 +126,10 @@
         for rented in list(self.machines.values()):
             # (Dropped at once by an older list, what had just been listed was rented again, and
             # each spot machine counted as taken.)
-            missing = rented.listed and rented.name not in seen and (
-                now - rented.seen_at > 2 * self._settings.settings.cloud.list_lag_s
+            missing = (
+                rented.listed
+                and rented.name not in seen
+                and (now - rented.seen_at > 2 * self._settings.settings.cloud.list_lag_s)
             )
             if missing and not heard(rented.part, rented.name, now):
                 self._lost(rented, now, taken=rented.spot)
@@ -213,9 +230,9 @@
         """Room that is on its way, with the time until it may be there."""
         rooms: list[Room] = []
         coming = [
-            (r, type_) for r in self.machines.values()
-            if (type_ := self.types.get(r.type)) is not None
-            and not r.failed and not r.reported
+            (r, type_)
+            for r in self.machines.values()
+            if (type_ := self.types.get(r.type)) is not None and not r.failed and not r.reported
         ]
         self._expecting = self.boots.look(
             (
@@ -248,11 +265,16 @@
         """What machines of each kind are expected to take, if they are asked for now."""
         return {
             (type_.name, zone, spot): self.boots.boot_s((type_.name, zone, spot), type_.boot_s, now)
-            for type_ in self.types.values() for zone in type_.zones for spot in (False, True)
+            for type_ in self.types.values()
+            for zone in type_.zones
+            for spot in (False, True)
         }
 
     def returns(
-        self, decided: Plan, now: float, views: dict[int, PartState],
+        self,
+        decided: Plan,
+        now: float,
+        views: dict[int, PartState],
         verdicts: Mapping[str, Verdict],
     ) -> list[str]:
         props = self._settings.properties
@@ -318,6 +340,4 @@
         silence, it is charged and of no use. (A machine that reached no controller and answered
         when it was asked was kept for as long as that lasted.)"""
         hope_s = HOPE_LEASES * self._settings.sure_lease_s
-        return (
-            verdict.isolated and rented.heard_at is not None and now - rented.heard_at > hope_s
-        )
+        return verdict.isolated and rented.heard_at is not None and now - rented.heard_at > hope_s
--- a/ryegauge/coordination/frontdoor.py
+++ b/ryegauge/coordination/frontdoor.py
@@ -314,10 +314,7 @@
                 ledger = await self._state.commit(guards, changes, timeout_s=2.0, reserve=SOON)
             except Conflict as conflict:
                 failed = set(conflict.failed)
-                known = [
-                    s for s in batch
-                    if job_key(s.uid) in failed or final_key(s.uid) in failed
-                ]
+                known = [s for s in batch if job_key(s.uid) in failed or final_key(s.uid) in failed]
                 if not known:
                     raise Unavailable("a conflict without a cause") from None
                 for s in known:
@@ -421,9 +418,12 @@
             try:
                 ledger = await self._state.commit(
                     self._unfinished(job),
-                    [Put(job_key(uid), cancelled_record(
-                        job.spec, job.submitted_at, self._limits.value_bytes
-                    ))],
+                    [
+                        Put(
+                            job_key(uid),
+                            cancelled_record(job.spec, job.submitted_at, self._limits.value_bytes),
+                        )
+                    ],
                     timeout_s=1.0,
                     reserve=SOON,
                 )
--- a/ryegauge/coordination/held.py
+++ b/ryegauge/coordination/held.py
@@ -14,8 +14,19 @@
 
 class Task:
     __slots__ = (
-        "attempt", "done", "errors", "failed", "key", "machine", "moving", "not_before", "phase",
-        "running_since", "sent", "withdrawn", "zone",
+        "attempt",
+        "done",
+        "errors",
+        "failed",
+        "key",
+        "machine",
+        "moving",
+        "not_before",
+        "phase",
+        "running_since",
+        "sent",
+        "withdrawn",
+        "zone",
     )
 
     def __init__(self, key: TaskKey, zone: str, phase: Phase) -> None:
@@ -36,9 +47,28 @@
 
 class Machine:
     __slots__ = (
-        "address", "alive", "checked_in", "deaf_until", "direct", "given_up", "heard_at",
-        "heard_from", "idle_since", "images", "name", "notice_at", "probes", "retiring", "since",
-        "spot", "stamp", "stuck_at", "tasks", "trusted", "type", "zone",
+        "address",
+        "alive",
+        "checked_in",
+        "deaf_until",
+        "direct",
+        "given_up",
+        "heard_at",
+        "heard_from",
+        "idle_since",
+        "images",
+        "name",
+        "notice_at",
+        "probes",
+        "retiring",
+        "since",
+        "spot",
+        "stamp",
+        "stuck_at",
+        "tasks",
+        "trusted",
+        "type",
+        "zone",
     )
 
     def __init__(self, report: Report, now: float) -> None:
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -49,8 +49,13 @@
 
 class Leader:
     def __init__(
-        self, token: int, book: JobBook, settings: Settings, now: float,
-        types: Mapping[str, MachineType] | None = None, former: "Leader | None" = None,
+        self,
+        token: int,
+        book: JobBook,
+        settings: Settings,
+        now: float,
+        types: Mapping[str, MachineType] | None = None,
+        former: "Leader | None" = None,
     ) -> None:
         """`types` as the book has them: a leader that begins while the cloud is away would
         decide nothing until it can read the catalogue. `former`: ourselves, under a token
@@ -92,8 +97,12 @@
         retire = [name for name in self.fleet.retire if name in state.machines]
         evict = self._preemption.orders(state.machines)
         return PartOrders(
-            self._book.ledger, retire, mine, evict,
-            unheard=self._silences.unheard(view.part), mistaken=self._held.latest(MOST_TOLD),
+            self._book.ledger,
+            retire,
+            mine,
+            evict,
+            unheard=self._silences.unheard(view.part),
+            mistaken=self._held.latest(MOST_TOLD),
         )
 
     def on_list(self, machines: list[ListedMachine], now: float) -> None:
@@ -118,8 +127,16 @@
             self._book, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
         )
         needs, jobs = open_needs(
-            self._book, self._teams, self._urgencies, self.estimates, within | first,
-            self._policy, running, wall, self._held, now,
+            self._book,
+            self._teams,
+            self._urgencies,
+            self.estimates,
+            within | first,
+            self._policy,
+            running,
+            wall,
+            self._held,
+            now,
         )
         market = Market(
             types=types,
@@ -133,10 +150,18 @@
         market.boots = self.fleet.boot_times(now)
         due = [(need.uid, need.count) for need in needs if need.due]
         decided = plan(
-            needs, running, starting, market, wall,
+            needs,
+            running,
+            starting,
+            market,
+            wall,
             critical_tasks(self.fleet, views, self._urgencies, self.estimates, now, wall),
             missed_tasks(
-                self.fleet, views, verdicts, self._urgencies, self.estimates,
+                self.fleet,
+                views,
+                verdicts,
+                self._urgencies,
+                self.estimates,
                 self._settings.properties.ahead_share,
             ),
         )
@@ -149,16 +174,16 @@
             if due:
                 log.info(
                     "due by age: %d tasks of %d jobs, first %s since %.0f s",
-                    sum(n for _, n in due), len(due), due[0][0],
+                    sum(n for _, n in due),
+                    len(due),
+                    due[0][0],
                     wall - jobs[due[0][0]].ready_at,
                 )
         result.allotments = allot(decided, jobs, self._settings.state_limits.value_bytes)
         if self.fleet.listed_once:
             result.rentals = decided.rentals
         result.releases = self.fleet.returns(decided, now, views, verdicts)
-        self._preemption.decide(
-            decided, jobs, within, self._urgencies, types, views, now, wall
-        )
+        self._preemption.decide(decided, jobs, within, self._urgencies, types, views, now, wall)
         return result
 
     def _hold_back(self, views: dict[int, PartState], now: float) -> None:
@@ -172,7 +197,11 @@
             log.warning(
                 "%s is held back: its tasks failed %d times on %d machines and none was done; "
                 "one is tried after %.0f s, then ever more seldom, until it succeeds or its user "
-                "cancels it", uid, tries, machines, self._held.wait_s(uid, now),
+                "cancels it",
+                uid,
+                tries,
+                machines,
+                self._held.wait_s(uid, now),
             )
 
     def allotted(self, uids: Iterable[str], now: float) -> None:
@@ -184,7 +213,9 @@
         """What is rented in a zone that nothing is heard of could not be used either."""
         return {
             (name, zone, spot)
-            for zone in self._silences.cut for name in types for spot in (True, False)
+            for zone in self._silences.cut
+            for name in types
+            for spot in (True, False)
         }
 
     def _log_silent(self, verdicts: dict[str, Verdict]) -> None:
@@ -211,12 +242,18 @@
             "%d for one that boots), %d placed now; %d machines, "
             "%d open, %.0f cpus free of %.0f in pieces of %s; "
             "renting %s, %d of them ahead; refused %s; take-back share %.2f",
-            dict(sorted(waiting.items())), sum(n for _, n in decided.unplaced),
-            decided.wait_busy, decided.wait_boots,
-            sum(p.count for p in decided.placements), len(self.fleet.machines), len(running),
-            sum(max(0.0, r.cpus) for r in running), sum(r.type.cpus for r in running),
+            dict(sorted(waiting.items())),
+            sum(n for _, n in decided.unplaced),
+            decided.wait_busy,
+            decided.wait_boots,
+            sum(p.count for p in decided.placements),
+            len(self.fleet.machines),
+            len(running),
+            sum(max(0.0, r.cpus) for r in running),
+            sum(r.type.cpus for r in running),
             dict(sorted(pieces.items())),
             [(r.type, r.zone, r.spot, r.count) for r in decided.rentals],
             decided.ahead,
-            sorted(market.refused), market.takeback_share,
+            sorted(market.refused),
+            market.takeback_share,
         )
--- a/ryegauge/coordination/leading.py
+++ b/ryegauge/coordination/leading.py
@@ -122,9 +122,8 @@
                         await self._clear(leader, guards, changes, self._spared(limit))
                 # Groups that fit into what may be taken of a full bucket.
                 count = max(1, min(ops, int((1 - IDLE) * writes.burst)))
-                while (
-                    (changes := archive.to_clear(self._desk.book, count))
-                    and writes.has(len(changes), self._spared(limit))
+                while (changes := archive.to_clear(self._desk.book, count)) and writes.has(
+                    len(changes), self._spared(limit)
                 ):
                     await self._clear(leader, {}, changes, self._spared(limit))
             except RETRY as error:
@@ -136,7 +135,10 @@
         return USUAL if len(self._desk.book.jobs) > 2 * limit else IDLE
 
     async def _clear(
-        self, leader: Leader, guards: dict[str, int], changes: list[Put | Delete],
+        self,
+        leader: Leader,
+        guards: dict[str, int],
+        changes: list[Put | Delete],
         reserve: float = USUAL,
     ) -> None:
         guards[LEADER_KEY] = leader.token
--- a/ryegauge/coordination/mesh.py
+++ b/ryegauge/coordination/mesh.py
@@ -161,7 +161,9 @@
     def _promise(self) -> Promise:
         cancelled, _ = self._names(self._desk.book.ledger)
         return Promise(
-            self._desk.settings.node_name, self._desk.term.incarnation, cancelled,
+            self._desk.settings.node_name,
+            self._desk.term.incarnation,
+            cancelled,
             self._desk.book.ledger,
         )
 
@@ -170,13 +172,13 @@
         book may not show. A process that has just started has read what its predecessor had
         confirmed, or gives no promise. A write of ours without an answer has told nobody anything;
         whoever finds it carried out names it, since its book shows it then."""
-        given = self._desk.term.give_promise(
-            message.node, message.incarnation, trio.current_time()
-        )
+        given = self._desk.term.give_promise(message.node, message.incarnation, trio.current_time())
         self._cancelled(message.cancelled)
         cancelled, whole = self._names(message.ledger)
         return PromiseAnswer(
-            given and whole, self._desk.term.incarnation, cancelled,
+            given and whole,
+            self._desk.term.incarnation,
+            cancelled,
             whole and self._desk.syncer.ready.is_set(),
         )
 
@@ -271,9 +273,7 @@
                 return Reply(200, to_wire(self._give_promise(message)))
             case Hello(node=node, incarnation=incarnation):
                 self._desk.term.welcome(node, incarnation)
-                return Reply(
-                    200, to_wire(HelloAnswer(self._desk.settings.node_name, self.lived()))
-                )
+                return Reply(200, to_wire(HelloAnswer(self._desk.settings.node_name, self.lived())))
             case Audit() if self.on_audit is not None:
                 if (good := await self.on_audit()) is None:
                     return Reply(503, ["cannot"])
--- a/ryegauge/coordination/needs.py
+++ b/ryegauge/coordination/needs.py
@@ -14,7 +14,11 @@
 
 
 def make_need(
-    job: Job, count: int, zones: dict[str, int] | None, estimates: Estimates, latest: float,
+    job: Job,
+    count: int,
+    zones: dict[str, int] | None,
+    estimates: Estimates,
+    latest: float,
     sizes: tuple[float, ...] = (),
 ) -> Need:
     spec = job.spec
@@ -109,9 +113,7 @@
     return spec.zone is not None or spec.one_zone or spec.spread
 
 
-def never_runs(
-    spec: JobSpec, types: dict[str, MachineType], teams: dict[str, Team]
-) -> str | None:
+def never_runs(spec: JobSpec, types: dict[str, MachineType], teams: dict[str, Team]) -> str | None:
     """Why a job can never run (422), or None."""
     team = teams.get(spec.team)
     if team is None:
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -38,7 +38,11 @@
 
 class Node:
     def __init__(
-        self, settings: Settings, network: Network, wall: Callable[[], float], rng: random.Random,
+        self,
+        settings: Settings,
+        network: Network,
+        wall: Callable[[], float],
+        rng: random.Random,
         front: Callable[[Desk, FrontDoor], Awaitable[None]] | None = None,
         disk: "Disk | None" = None,
     ) -> None:
@@ -48,8 +52,15 @@
         self._parting = Parting(settings)
         self._types: dict[str, MachineType] = {}
         self._front = FrontDoor(
-            settings, desk.state, desk.book, desk.syncer, lambda: self._types, desk.wrote,
-            desk.tell_leader, wall, rng.random,
+            settings,
+            desk.state,
+            desk.book,
+            desk.syncer,
+            lambda: self._types,
+            desk.wrote,
+            desk.tell_leader,
+            wall,
+            rng.random,
         )
         self._other_front = front
         self._mesh = Mesh(desk, self._front)
@@ -160,7 +171,12 @@
             if owner is None and token is not None:
                 log.info("owning part %d under token %d", part, token)
                 self._desk.owned[part] = PartOwner(
-                    part, token, self._desk.book, self._desk.settings, lambda: self._types, now,
+                    part,
+                    token,
+                    self._desk.book,
+                    self._desk.settings,
+                    lambda: self._types,
+                    now,
                     max(self._desk.term.settled_at, self._desk.term.promises_end_at),
                     self._rebuild is not None,
                 )
@@ -173,7 +189,11 @@
         if self._desk.leader is None and token is not None:
             log.info("leading under token %d", token)
             self._desk.leader = Leader(
-                token, self._desk.book, self._desk.settings, now, self._types,
+                token,
+                self._desk.book,
+                self._desk.settings,
+                now,
+                self._types,
                 former or self._desk.former,
             )
             self._desk.former = None
@@ -206,7 +226,9 @@
                 # What we overheard goes along once, with whichever part comes first.
                 overheard = self._desk.overheard.since(self._told_overheard, now, MOST_OVERHEARD)
                 view = owner.view(
-                    self._desk.settings.node_name, leader.token, now,
+                    self._desk.settings.node_name,
+                    leader.token,
+                    now,
                     [(name, ago_s) for name, _, ago_s in overheard],
                 )
                 orders: object = None
@@ -257,7 +279,8 @@
             for entry in self._desk.overheard.since(told, now, MOST_OVERHEARD):
                 owner_of = self._desk.book.parts.get(entry[1])
                 if (
-                    owner_of is not None and owner_of.node in self._mesh.peers
+                    owner_of is not None
+                    and owner_of.node in self._mesh.peers
                     and not self._mesh.reach.silent(owner_of.node, now)
                 ):
                     by_node.setdefault(owner_of.node, []).append(entry)
--- a/ryegauge/coordination/part.py
+++ b/ryegauge/coordination/part.py
@@ -333,13 +333,17 @@
         ends what has been cancelled. (A machine that hung after each such answer, one from each
         new owner, kept a cancelled task for a lease more each time, beyond `cancel_s`.)"""
         return [
-            Kill(key, entry.attempt, 0.0) for entry in report.tasks
+            Kill(key, entry.attempt, 0.0)
+            for entry in report.tasks
             if entry.state != "ended" and self._book.is_cancelled((key := task_key(entry.task))[0])
         ]
 
     def _missing(
-        self, machine: Machine, reported: dict[tuple[TaskKey, int], TaskReport],
-        new_session: bool, checkin: bool,
+        self,
+        machine: Machine,
+        reported: dict[tuple[TaskKey, int], TaskReport],
+        new_session: bool,
+        checkin: bool,
     ) -> None:
         """Tasks of ours that the report does not list. One that was listed before, or
         belonged to an earlier session, is gone. One never listed was not started: the
@@ -363,7 +367,12 @@
             machine.stuck_at = min(machine.stuck_at, machine.heard_at) if stuck else math.inf
 
     def _reported(
-        self, machine: Machine, key: TaskKey, attempt: int, entry: TaskReport, now: float,
+        self,
+        machine: Machine,
+        key: TaskKey,
+        attempt: int,
+        entry: TaskReport,
+        now: float,
         commands: list[Command],
     ) -> None:
         task = self.tasks.get(key)
@@ -436,9 +445,7 @@
         if task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
 
-    def _is_stray(
-        self, machine: Machine, key: TaskKey, entry: TaskReport, now: float
-    ) -> bool:
+    def _is_stray(self, machine: Machine, key: TaskKey, entry: TaskReport, now: float) -> bool:
         """Whether a task that no share gives us may yet turn out to be ours, since its record
         was lost. If nothing was lost there is none: a share holds a task until it is surely
         nowhere."""
@@ -547,7 +554,8 @@
         known = self._unheard
         self._unheard = {
             name: (address, known[name][1] if name in known else [])
-            for name, address in machines if address and name not in self.machines
+            for name, address in machines
+            if address and name not in self.machines
         }
 
     def to_probe(self, now: float) -> list[tuple[str, str]]:
@@ -555,13 +563,15 @@
         learnt anything for a report, the longest silent first."""
         gap_s = self._settings.report_gap_s
         silent = [
-            (m.heard_at, m.name, m.address, m.probes) for m in self.machines.values()
+            (m.heard_at, m.name, m.address, m.probes)
+            for m in self.machines.values()
             if m.address and self._hearing.silent_s(m.name, now) > SUSPECT_GAPS * gap_s
         ]
         silent += [(now, name, *entry) for name, entry in self._unheard.items()]
         silent.sort(key=lambda entry: entry[:2])
         return [
-            (name, address) for _, name, address, probes in silent
+            (name, address)
+            for _, name, address, probes in silent
             if all(now - p.at > gap_s for p in probes)
         ]
 
@@ -671,10 +681,15 @@
     def _is_empty(self, m: Machine) -> bool:
         """Whether its return loses nothing: what it holds at most waits for the outcome of a
         command that must not be carried out any more, and for which its return is the end."""
-        return not m.alive and (m.trusted or m.given_up) and all(
-            (task := self.tasks[key]).phase == "placed" and m.retiring
-            and (task.withdrawn or (key, task.attempt) in m.direct)
-            for key in m.tasks
+        return (
+            not m.alive
+            and (m.trusted or m.given_up)
+            and all(
+                (task := self.tasks[key]).phase == "placed"
+                and m.retiring
+                and (task.withdrawn or (key, task.attempt) in m.direct)
+                for key in m.tasks
+            )
         )
 
     def _rooms(self, now: float) -> list[Room]:
@@ -761,8 +776,10 @@
     ) -> PartView:
         """What the leader (by its token) has not been shown yet."""
         machines, gone = self._showing.next(
-            leader, self.machines,
-            lambda m: self._signature(m, now), lambda m: self._describe(m, now),
+            leader,
+            self.machines,
+            lambda m: self._signature(m, now),
+            lambda m: self._describe(m, now),
         )
         leaving: dict[str, int] = {}
         for key in self.leaving:
@@ -772,9 +789,18 @@
         for sample in samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
         return PartView(
-            node, self.part, self.token, self._book.ledger, machines, samples,
-            self._showing.seq, self._showing.acknowledged, gone, list(leaving.items()),
-            list(overheard), self._silences(machines, now),
+            node,
+            self.part,
+            self.token,
+            self._book.ledger,
+            machines,
+            samples,
+            self._showing.seq,
+            self._showing.acknowledged,
+            gone,
+            list(leaving.items()),
+            list(overheard),
+            self._silences(machines, now),
             list(self._blame.failing()),
         )
 
@@ -783,7 +809,8 @@
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
         stood_still_s = self._hearing.attention.stood_still_s
         silent = [
-            self.machines[view.name] for view in shown
+            self.machines[view.name]
+            for view in shown
             if view.silent_s > SUSPECT_GAPS * self._settings.report_gap_s
         ]
         result = [(m.name, stood_still_s(m.heard_at), m.probes) for m in silent]
@@ -824,10 +851,14 @@
         silent = now - m.heard_at
         running = sum(self.tasks[key].running_since is not None for key in m.tasks)
         return (
-            m.trusted, self._takes_tasks(m, now), m.notice_at is not None,
+            m.trusted,
+            self._takes_tasks(m, now),
+            m.notice_at is not None,
             m.retiring or m.name in self._faulty,
             silent if silent > 2 * self._settings.report_gap_s else 0.0,
-            running, frozenset(self._occupants(m)), tuple(m.images),
+            running,
+            frozenset(self._occupants(m)),
+            tuple(m.images),
         )
 
     def _left_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -78,8 +78,15 @@
         return told
 
     def decide(
-        self, decided: Plan, jobs: dict[str, Job], within: set[str], urgencies: Urgencies,
-        types: dict[str, MachineType], views: dict[int, PartState], now: float, wall: float,
+        self,
+        decided: Plan,
+        jobs: dict[str, Job],
+        within: set[str],
+        urgencies: Urgencies,
+        types: dict[str, MachineType],
+        views: dict[int, PartState],
+        now: float,
+        wall: float,
     ) -> None:
         """Makes room for what goes first, as far as the policy allows: work within its
         team's guarantee that has waited for longer than boots explain may stop work that
@@ -135,8 +142,13 @@
                 self._stop_several(job, claim, count, victims, types, now)
 
     def _stop_several(
-        self, job: Job, claim: Claim, count: int, victims: list[Victim],
-        types: dict[str, MachineType], now: float,
+        self,
+        job: Job,
+        claim: Claim,
+        count: int,
+        victims: list[Victim],
+        types: dict[str, MachineType],
+        now: float,
     ) -> None:
         """For tasks that are larger than each of those that may be stopped: several on one
         machine, together with its free room. Of all machines the one that loses least comes
@@ -164,8 +176,13 @@
             for victim, stop in way:
                 self._evict.append((name, victim.job.spec.uid, stop))
                 victim.count -= stop
-                log.info("stopping %d of %s on %s for %s, beside others", stop,
-                         victim.job.spec.uid, name, job.spec.uid)
+                log.info(
+                    "stopping %d of %s on %s for %s, beside others",
+                    stop,
+                    victim.job.spec.uid,
+                    name,
+                    job.spec.uid,
+                )
             self._evicted_at = now
 
     def _beyond_guarantee(self) -> set[str]:
@@ -176,8 +193,13 @@
         return {name for name, team in self._teams.items() if used.get(name, 0.0) > team.cpus}
 
     def _victims(
-        self, now: float, wall: float, views: dict[int, PartState], urgencies: Urgencies,
-        boot_s: float, within: set[str],
+        self,
+        now: float,
+        wall: float,
+        views: dict[int, PartState],
+        urgencies: Urgencies,
+        boot_s: float,
+        within: set[str],
     ) -> list[Victim]:
         """What may be stopped, in the policy's order."""
         policy = self._policy
@@ -200,16 +222,18 @@
                         continue
                     uid, rank = job.spec.uid, urgencies.rank(job)
                     if policy.ages and uid not in aged:
-                        held = Holding(
-                            rank, job.ready_at, job.done_count, job.allotted_count, 0.0
-                        )
+                        held = Holding(rank, job.ready_at, job.done_count, job.allotted_count, 0.0)
                         aged[uid] = policy.aged(held, wall)
                     running = Running(
-                        job.spec.team, rank, uid in within, job.spec.team in beyond, recent,
-                        elapsed, left_s, aged.get(uid, False),
+                        job.spec.team,
+                        rank,
+                        uid in within,
+                        job.spec.team in beyond,
+                        recent,
+                        elapsed,
+                        left_s,
+                        aged.get(uid, False),
                     )
                     result.append(Victim(running, shown, job, count))
-        result.sort(
-            key=lambda v: (*policy.stop_key(v.running), v.machine.name, v.job.spec.uid)
-        )
+        result.sort(key=lambda v: (*policy.stop_key(v.running), v.machine.name, v.job.spec.uid))
         return result
--- a/ryegauge/coordination/probing.py
+++ b/ryegauge/coordination/probing.py
@@ -53,9 +53,7 @@
         """Workers to be asked, after the part was given up, whether we hear them again."""
         self._former[part] = [m.address for m in owner.machines.values() if m.address]
 
-    async def _probe(
-        self, owner: PartOwner, silent: Sequence[tuple[str, str]], now: float
-    ) -> None:
+    async def _probe(self, owner: PartOwner, silent: Sequence[tuple[str, str]], now: float) -> None:
         addresses = [address for _, address in silent]
         me = self._desk.settings.node_name
         answers: list[tuple[str, Sequence[str]]] = []
@@ -64,9 +62,7 @@
             answers.append((me, await self.ask_all(addresses)))
 
         async def ask_by(name: str) -> None:
-            answer = await self._mesh.ask(
-                name, ProbeMessage(addresses), self._desk.report_s
-            )
+            answer = await self._mesh.ask(name, ProbeMessage(addresses), self._desk.report_s)
             if isinstance(answer, ProbeAnswer):
                 answers.append((name, answer.outcomes))
 
--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -200,7 +200,8 @@
             lived = [name for name, answer in self._mesh.welcomes.items() if answer.lived]
             for name in lived:
                 answer = await self._mesh.ask(
-                    name, Audit(self._desk.settings.node_name),
+                    name,
+                    Audit(self._desk.settings.node_name),
                     self._desk.settings.term_s / 3,
                 )
                 if isinstance(answer, AuditAnswer) and answer.good:
@@ -227,7 +228,9 @@
         found = await self._desk.state.get(ERA_KEY, timeout_s=1.0)
         known = max(self._desk.book.era, era_in(self._highest))
         record = first_record(
-            None if found is None else found[0], known, verdict.kind,
+            None if found is None else found[0],
+            known,
+            verdict.kind,
             self._desk.settings.node_name,
         )
         if record is not None:
@@ -242,7 +245,10 @@
 
     async def _write_era(self, record: dict[str, object], version: int) -> int:
         return await self._desk.state.commit(
-            {ERA_KEY: version}, [Put(ERA_KEY, record)], timeout_s=1.0, reserve=URGENT,
+            {ERA_KEY: version},
+            [Put(ERA_KEY, record)],
+            timeout_s=1.0,
+            reserve=URGENT,
             across_eras=True,
         )
 
@@ -255,10 +261,16 @@
         marked = term.put_back is not None and term.put_back[0] == book.era
         if book.era_stage == PUTTING_BACK and not marked:
             settings = self._desk.settings
-            if my_turn(
-                book, settings.node_names, settings.node_name, now - term.era_since,
-                settings.term_s,
-            ) and await self._put_back():
+            if (
+                my_turn(
+                    book,
+                    settings.node_names,
+                    settings.node_name,
+                    now - term.era_since,
+                    settings.term_s,
+                )
+                and await self._put_back()
+            ):
                 kept = self.noticing.kept
                 term.mark_back(kept is not None and kept.lived)
                 log.info(
@@ -275,13 +287,19 @@
             lease_s = self._desk.settings.sure_lease_s
             settings = self._desk.settings
             record = next_record(
-                book, settings.node_names, now - term.era_since, now - self._stage_since,
-                settings.term_s + lease_s, settings.term_s,
+                book,
+                settings.node_names,
+                now - term.era_since,
+                now - self._stage_since,
+                settings.term_s + lease_s,
+                settings.term_s,
             )
             if record is not None:
                 await self._desk.state.commit(
                     {ERA_KEY: book.era_version, LEADER_KEY: leader.token},
-                    [Put(ERA_KEY, record)], timeout_s=1.0, reserve=URGENT,
+                    [Put(ERA_KEY, record)],
+                    timeout_s=1.0,
+                    reserve=URGENT,
                 )
                 log.warning("%s", self._told(record["s"] == REBUILT))
                 await self._desk.syncer.fresh()
@@ -297,8 +315,11 @@
             f"era {book.era}: {what}; put back by {who}"
             + (f", not by {missing}" if missing else "")
             + ("; everything stands again" if over else "; what nobody knew has time to show")
-            + ("; nothing that was confirmed is missing" if complete(book, names)
-               else "; not all that was confirmed can be known")
+            + (
+                "; nothing that was confirmed is missing"
+                if complete(book, names)
+                else "; not all that was confirmed can be known"
+            )
         )
 
     async def _put_back(self) -> bool:
@@ -358,4 +379,3 @@
         """Nothing new is to be decided."""
         stage = self._desk.book.era_stage
         return bool(self.noticing.suspicion or self.noticing.verdict) or stage != REBUILT
-
--- a/ryegauge/coordination/rooms.py
+++ b/ryegauge/coordination/rooms.py
@@ -31,8 +31,14 @@
                 if not shown.known:
                     continue  # something unknown runs here: leave it alone
             room = Room(
-                name, type_, m.zone, m.spot, part, type_.cpus - shown.cpus,
-                type_.memory_gb - shown.memory_gb, type_.gpus - shown.gpus,
+                name,
+                type_,
+                m.zone,
+                m.spot,
+                part,
+                type_.cpus - shown.cpus,
+                type_.memory_gb - shown.memory_gb,
+                type_.gpus - shown.gpus,
             )
             room.images = set(m.images)
             room.used = bool(m.tasks)
@@ -45,9 +51,7 @@
     return rooms + _out_of_sight(book, fleet, views)
 
 
-def _out_of_sight(
-    book: JobBook, fleet: Fleet, views: dict[int, PartState]
-) -> list[Room]:
+def _out_of_sight(book: JobBook, fleet: Fleet, views: dict[int, PartState]) -> list[Room]:
     """Machines of parts whose owner lives but cannot be heard (controllers refuse
     each other's connections): whole, as far as the list says; what their parts
     hold by the book is counted as on its way. An owner without room hands back."""
@@ -97,8 +101,12 @@
 
 
 def critical_tasks(
-    fleet: Fleet, views: dict[int, PartState], urgencies: Urgencies, estimates: Estimates,
-    now: float, wall: float,
+    fleet: Fleet,
+    views: dict[int, PartState],
+    urgencies: Urgencies,
+    estimates: Estimates,
+    now: float,
+    wall: float,
 ) -> dict[str, list[Need]]:
     """The tasks that get a standby, of the spot machine that holds the most of them
     (what that one needs is held, see `hold_standbys`)."""
@@ -123,17 +131,19 @@
         return {}
     return {
         fullest[1]: [
-            make_need(
-                job, count, None, estimates, urgencies.latest_finish(job)
-            )
+            make_need(job, count, None, estimates, urgencies.latest_finish(job))
             for job, count in fullest[2]
         ]
     }
 
 
 def missed_tasks(
-    fleet: Fleet, views: dict[int, PartState], verdicts: Mapping[str, Verdict],
-    urgencies: Urgencies, estimates: Estimates, share: float,
+    fleet: Fleet,
+    views: dict[int, PartState],
+    verdicts: Mapping[str, Verdict],
+    urgencies: Urgencies,
+    estimates: Estimates,
+    share: float,
 ) -> list[Need]:
     """The tasks on machines that are most likely lost, the most urgent first, as far as their
     CPUs stay within a share of the fleet's: replacements for them are rented ahead."""
--- a/ryegauge/coordination/shares.py
+++ b/ryegauge/coordination/shares.py
@@ -28,7 +28,11 @@
 
 
 def pending(
-    book: JobBook, settings: Settings, part: int, over: Iterable[Task], bulky: Collection[str],
+    book: JobBook,
+    settings: Settings,
+    part: int,
+    over: Iterable[Task],
+    bulky: Collection[str],
     wall: float | None = None,
 ) -> list[Pending]:
     """The shares as they should be, where they differ from the book: first those
@@ -54,17 +58,20 @@
         after = Share(allotted, all_done, share.version)
         if wall is not None and done and not after.count:
             after.ended_at = round(wall, 3)
-        waited_for = (
-            not after.count or len(done) < len(out) or job.spec.team in full
-        )
+        waited_for = not after.count or len(done) < len(out) or job.spec.team in full
         opens = uid in book.dependents and not after.count
         low = job.spec.priority == PRIORITIES[-1] and uid not in book.dependents
         result.append(Pending(waited_for, low, opens, len(out), uid, after, pages))
     # Of the lowest priority what lets go of most tasks: an array of thousands got its next
     # hundred only after the single tasks of hundreds of jobs had been written.
-    result.sort(key=lambda entry: (
-        not entry.waited_for, entry.low, not entry.opens, -entry.tasks if entry.low else 0,
-    ))
+    result.sort(
+        key=lambda entry: (
+            not entry.waited_for,
+            entry.low,
+            not entry.opens,
+            -entry.tasks if entry.low else 0,
+        )
+    )
     return result
 
 
@@ -75,7 +82,8 @@
         cpus = job.allotted_count * job.spec.cpus
         used[job.spec.team] = used.get(job.spec.team, 0.0) + cpus
     return {
-        team.name for team in settings.settings.teams
+        team.name
+        for team in settings.settings.teams
         if used.get(team.name, 0.0) > FULL_SHARE * team.most_cpus
     }
 
@@ -92,7 +100,4 @@
     if not tasks:
         return []
     each = settings.state_limits.value_bytes // (2 * span_bytes(MAX_TASKS))
-    return [
-        Ranges(tasks.spans[first : first + each])
-        for first in range(0, len(tasks.spans), each)
-    ]
+    return [Ranges(tasks.spans[first : first + each]) for first in range(0, len(tasks.spans), each)]
--- a/ryegauge/coordination/showing.py
+++ b/ryegauge/coordination/showing.py
@@ -26,8 +26,11 @@
         self._showing: tuple[int, dict[str, Signature], list[str]] | None = None
 
     def next(
-        self, leader: int, machines: Mapping[str, Machine],
-        signature_of: Callable[[Machine], Signature], describe: Callable[[Machine], MachineView],
+        self,
+        leader: int,
+        machines: Mapping[str, Machine],
+        signature_of: Callable[[Machine], Signature],
+        describe: Callable[[Machine], MachineView],
     ) -> tuple[list[MachineView], list[str]]:
         """The machines that have changed, at most as many as a message holds (the rest
         follows with the next view), and the names of those that are no longer there."""
--- a/ryegauge/coordination/silences.py
+++ b/ryegauge/coordination/silences.py
@@ -36,9 +36,7 @@
         for name, ago_s in view.overheard:
             self._overheard[name] = max(self._overheard.get(name, -math.inf), now - ago_s)
 
-    def verdicts(
-        self, fleet: Fleet, views: dict[int, PartState], now: float
-    ) -> dict[str, Verdict]:
+    def verdicts(self, fleet: Fleet, views: dict[int, PartState], now: float) -> dict[str, Verdict]:
         """Of the machines that are not well, in the parts that can be seen: those that their
         owners show as silent, and those that are listed as running and not shown at all,
         because their lease ran out or a new owner has not heard of them yet."""
@@ -74,7 +72,8 @@
                     result[rented.name] = verdict
         self._unheard = {
             part: [
-                (r.name, r.address) for r, silent_s in some
+                (r.name, r.address)
+                for r, silent_s in some
                 if silent_s > gap_s and r.name not in views[part].machines
             ][:MOST_UNHEARD]
             for part, some in silent.items()
@@ -91,7 +90,8 @@
     ) -> Verdict:
         stood_s, told = state.silences.get(rented.name, (0.0, []))
         probes = [
-            probe for by, outcome, ago_s in told
+            probe
+            for by, outcome, ago_s in told
             if (probe := Probe.of(by, outcome, state.at - ago_s)) is not None
         ]
         if not probes:
@@ -104,7 +104,13 @@
         elsewhere_s = now - self._overheard.get(rented.name, -math.inf)
         return judge(
             Evidence(
-                silent_s - stood_s, silent_s, elsewhere_s, probes, rented.noticed, stood_s, share,
+                silent_s - stood_s,
+                silent_s,
+                elsewhere_s,
+                probes,
+                rented.noticed,
+                stood_s,
+                share,
                 rented.zone in self.cut,
             ),
             self._limits,
--- a/ryegauge/coordination/snapshotting.py
+++ b/ryegauge/coordination/snapshotting.py
@@ -112,8 +112,11 @@
                 continue
             if why := await self._proof(snapshot):
                 log.warning(
-                    "snapshot %s of %s: %d records, %d outcomes", name, snapshot.about.node,
-                    len(snapshot.kept.records), len(snapshot.kept.finals),
+                    "snapshot %s of %s: %d records, %d outcomes",
+                    name,
+                    snapshot.about.node,
+                    len(snapshot.kept.records),
+                    len(snapshot.kept.finals),
                 )
                 self._noticing.learn(snapshot.kept)
                 self._noticing.accuse(why)
@@ -149,6 +152,10 @@
         for old in outdated(mine, KEPT):
             await self._disk.delete(old)
         log.info(
-            "snapshot %s: %d records, %d outcomes, %d bytes, %.1f s", name, len(kept.records),
-            len(kept.finals), sum(map(len, pieces)), trio.current_time() - began,
+            "snapshot %s: %d records, %d outcomes, %d bytes, %.1f s",
+            name,
+            len(kept.records),
+            len(kept.finals),
+            sum(map(len, pieces)),
+            trio.current_time() - began,
         )
--- a/ryegauge/coordination/terms.py
+++ b/ryegauge/coordination/terms.py
@@ -35,7 +35,11 @@
     stop commanding as well."""
 
     def __init__(
-        self, settings: Settings, state: StateClient, book: JobBook, syncer: Syncer,
+        self,
+        settings: Settings,
+        state: StateClient,
+        book: JobBook,
+        syncer: Syncer,
         new_incarnation: Callable[[], str],
     ) -> None:
         self._settings = settings
@@ -250,9 +254,10 @@
         when this process had enrolled takes the place of ours, and goes with its lease: the
         others then took us for gone, and we gave all our parts away, for good."""
         if self._enrolled and self._book.ledger >= self._enrolled_at:
-            self._enrolled = (
-                self._book.nodes.get(self._name) == self.incarnation
-                and self._book.deaf.get(self._name, frozenset()) == frozenset(self._deaf)
+            self._enrolled = self._book.nodes.get(
+                self._name
+            ) == self.incarnation and self._book.deaf.get(self._name, frozenset()) == frozenset(
+                self._deaf
             )
         return self._enrolled
 
@@ -282,7 +287,8 @@
             stale, version = self._book.stale.get(part_key(part), ("", 0))
             if owner is None:
                 if stale == self._name or (
-                    may_claim and self._wanted(part, live) == self._name
+                    may_claim
+                    and self._wanted(part, live) == self._name
                     and (not stale or now >= self.settled_at)
                 ):
                     claims[part_key(part)] = version
@@ -294,7 +300,8 @@
         stale, version = self._book.stale.get(LEADER_KEY, ("", 0))
         if leader is None:
             if stale == self._name or (
-                may_claim and wanted_leader(self._names, live) == self._name
+                may_claim
+                and wanted_leader(self._names, live) == self._name
                 and (not stale or now >= self.settled_at)
             ):
                 claims[LEADER_KEY] = version
@@ -339,8 +346,10 @@
             raise Gone
         record = {"o": self._name, "i": self.incarnation}
         await self._state.commit(
-            {LEADER_KEY: token}, [Put(LEADER_KEY, record, self._lease)],
-            timeout_s=self._ttl_s / 6, reserve=URGENT,
+            {LEADER_KEY: token},
+            [Put(LEADER_KEY, record, self._lease)],
+            timeout_s=self._ttl_s / 6,
+            reserve=URGENT,
         )
 
     def surplus(self) -> list[tuple[int, int]]:
--- a/ryegauge/coordination/urgency.py
+++ b/ryegauge/coordination/urgency.py
@@ -15,7 +15,10 @@
     """Of one round: what has been worked out is kept."""
 
     def __init__(
-        self, book: JobBook, settings: Settings, estimates: Estimates,
+        self,
+        book: JobBook,
+        settings: Settings,
+        estimates: Estimates,
         types: Iterable[MachineType],
     ) -> None:
         self._book = book
--- a/ryegauge/coordination/views.py
+++ b/ryegauge/coordination/views.py
@@ -33,10 +33,17 @@
             n = len(Ranges.from_flat(flat))
             spec = job.spec
             self.tasks.append((job, n, at + left_s))
-            self.busy.append((
-                spec.job_class, spec.estimate_s, at + left_s, n, spec.cpus, spec.memory_gb,
-                spec.gpus,
-            ))
+            self.busy.append(
+                (
+                    spec.job_class,
+                    spec.estimate_s,
+                    at + left_s,
+                    n,
+                    spec.cpus,
+                    spec.memory_gb,
+                    spec.gpus,
+                )
+            )
             self.cpus += n * spec.cpus
             self.memory_gb += n * spec.memory_gb
             self.gpus += n * spec.gpus
@@ -45,8 +52,17 @@
 class PartState:
     """What the leader knows of a part: whole views, and changes to them since."""
 
-    __slots__ = ("at", "failing", "leaving", "machines", "node", "seq", "silences", "since",
-                 "token")
+    __slots__ = (
+        "at",
+        "failing",
+        "leaving",
+        "machines",
+        "node",
+        "seq",
+        "silences",
+        "since",
+        "token",
+    )
 
     def __init__(self, node: str, token: int, since: float) -> None:
         self.since = since  # when this owner first showed the part; it has listened since
--- a/ryegauge/detection/blame.py
+++ b/ryegauge/detection/blame.py
@@ -82,7 +82,8 @@
         self._jobs = {uid: job for uid, job in self._jobs.items() if uid in uids}
         self._since = {
             name: {uid: tries for uid, tries in jobs.items() if uid in uids}
-            for name, jobs in self._since.items() if name in machines
+            for name, jobs in self._since.items()
+            if name in machines
         }
 
     def _looks_faulty(self, machine: str) -> bool:
@@ -96,8 +97,10 @@
     def _alone(self, machine: str) -> int:
         """Jobs that failed there and, so far, nowhere else."""
         return sum(
-            uid not in self._elsewhere and not self._done(uid)
-            and (job := self._jobs.get(uid)) is not None and job.failed_on == {machine}
+            uid not in self._elsewhere
+            and not self._done(uid)
+            and (job := self._jobs.get(uid)) is not None
+            and job.failed_on == {machine}
             for uid in self._since.get(machine, {})
         )
 
@@ -122,7 +125,8 @@
     def failing(self) -> list[Failing]:
         return [
             Failing(uid, len(job.failed_on), job.tries)
-            for uid, job in self._jobs.items() if self.mistaken(uid)
+            for uid, job in self._jobs.items()
+            if self.mistaken(uid)
         ]
 
 
--- a/ryegauge/detection/hearing.py
+++ b/ryegauge/detection/hearing.py
@@ -86,18 +86,19 @@
 DEAF_LEAST = 3
 
 
-def is_deaf(heard_at: Mapping[str, float], elsewhere: Mapping[str, float], gap_s: float,
-            now: float) -> bool:
+def is_deaf(
+    heard_at: Mapping[str, float], elsewhere: Mapping[str, float], gap_s: float, now: float
+) -> bool:
     """Whether an owner does not hear workers that others hear, by when it heard each of its
     machines and when others did. Machines that it never heard count as well: it may have
     taken the part over without being able to hear it."""
     others = {
-        name for name, at in elsewhere.items()
+        name
+        for name, at in elsewhere.items()
         if now - at <= 2 * gap_s and at > heard_at.get(name, -math.inf)
     }
     everybody = len(others | heard_at.keys())
     heard = sum(now - at <= gap_s for at in heard_at.values())
     return (
-        len(others) >= max(DEAF_LEAST, DEAF_SHARE * everybody)
-        and heard <= HEARS_LEAST * everybody
+        len(others) >= max(DEAF_LEAST, DEAF_SHARE * everybody) and heard <= HEARS_LEAST * everybody
     )
--- a/ryegauge/detection/verdicts.py
+++ b/ryegauge/detection/verdicts.py
@@ -165,6 +165,7 @@
     other zone that is heard well, the listeners may as well be cut off themselves."""
     well = {z for z, (heard, of) in zones.items() if of and heard / of >= HEARING_SHARE}
     return {
-        z for z, (heard, of) in zones.items()
+        z
+        for z, (heard, of) in zones.items()
         if well and of >= CUT_LEAST and heard <= CUT_SHARE * of
     }
--- a/ryegauge/emulator/broker.py
+++ b/ryegauge/emulator/broker.py
@@ -95,9 +95,7 @@
                 self.deliveries += 1
                 if len(self.consumers) > 1:
                     break
-        if any(
-            self.queues.get(c.queue) and c.link.wants(c.channel) for c in self.consumers
-        ):
+        if any(self.queues.get(c.queue) and c.link.wants(c.channel) for c in self.consumers):
             self.deal()
 
 
@@ -135,8 +133,10 @@
         channel = self.channels[consumer.channel]
         channel.tags += 1
         channel.unsettled[channel.tags] = (consumer.queue, message)
-        self._send(consumer.channel, Basic.Deliver(
-            consumer.tag, channel.tags, message.redelivered, "", message.key))
+        self._send(
+            consumer.channel,
+            Basic.Deliver(consumer.tag, channel.tags, message.redelivered, "", message.key),
+        )
         self._send(consumer.channel, ContentHeader(0, len(message.body), message.properties))
         for start in range(0, len(message.body), FRAME_MAX - 8):
             self._send(consumer.channel, ContentBody(message.body[start : start + FRAME_MAX - 8]))
@@ -239,7 +239,8 @@
             case Basic.Consume():
                 self._send(number, Basic.ConsumeOk(value.consumer_tag))
                 self._broker.consumers.append(
-                    Consumer(self, number, str(value.consumer_tag), str(value.queue)))
+                    Consumer(self, number, str(value.consumer_tag), str(value.queue))
+                )
                 self._broker.deal()
             case amqp.Queue.Declare():
                 queue = str(value.queue)
@@ -252,7 +253,8 @@
                 self._send(number, amqp.Queue.DeclareOk(queue, len(waiting), consumers))
             case Basic.Cancel():
                 self._broker.consumers = [
-                    c for c in self._broker.consumers
+                    c
+                    for c in self._broker.consumers
                     if (c.link, c.channel, c.tag) != (self, number, str(value.consumer_tag))
                 ]
                 self._send(number, Basic.CancelOk(value.consumer_tag))
--- a/ryegauge/emulator/cloud.py
+++ b/ryegauge/emulator/cloud.py
@@ -18,8 +18,13 @@
 
 class Cloud:
     def __init__(
-        self, fleet: Iterable[FleetType], workers: dict[str, Worker], rng: random.Random,
-        rent: Callable[[FleetType, str, bool], str], *, list_lag_s: float = 4.0,
+        self,
+        fleet: Iterable[FleetType],
+        workers: dict[str, Worker],
+        rng: random.Random,
+        rent: Callable[[FleetType, str, bool], str],
+        *,
+        list_lag_s: float = 4.0,
         returned: Callable[[Worker], None] = lambda _: None,
     ) -> None:
         self._fleet = {type_.name: type_ for type_ in fleet}
@@ -40,9 +45,17 @@
     def _snapshot(self) -> None:
         now = trio.current_time()
         listed = [
-            {"uid": w.name, "address": w.address, "build": w.type.name, "district": w.zone,
-             "loaners": w.spot, "status": self._status(w, now), "heldS": now - w.since}
-            for w in self._workers.values() if w.alive or w.lost_at is not None
+            {
+                "uid": w.name,
+                "address": w.address,
+                "build": w.type.name,
+                "district": w.zone,
+                "loaners": w.spot,
+                "status": self._status(w, now),
+                "heldS": now - w.since,
+            }
+            for w in self._workers.values()
+            if w.alive or w.lost_at is not None
         ]
         kept = [h for h in self._history if h[0] > now - 4 * self._lag_s - SNAPSHOT_S]
         self._history = [*kept, (now, listed)]
--- a/ryegauge/emulator/fleet.py
+++ b/ryegauge/emulator/fleet.py
@@ -31,10 +31,20 @@
         return self.spot if spot else self.steady
 
     def to_wire(self) -> dict[str, Any]:
-        raw: dict[str, Any] = msgspec.to_builtins(MachineType(
-            self.name, self.cpus, self.memory_gb, self.price, self.boot_s, self.zones,
-            self.gpus, self.cache_gb, self.fetch_gb_per_s, self.spot_price,
-        ))
+        raw: dict[str, Any] = msgspec.to_builtins(
+            MachineType(
+                self.name,
+                self.cpus,
+                self.memory_gb,
+                self.price,
+                self.boot_s,
+                self.zones,
+                self.gpus,
+                self.cache_gb,
+                self.fetch_gb_per_s,
+                self.spot_price,
+            )
+        )
         return raw
 
 
--- a/ryegauge/emulator/live.py
+++ b/ryegauge/emulator/live.py
@@ -40,7 +40,8 @@
 
     controllers: Annotated[int, msgspec.Meta(ge=0, le=9)] = 1
     teams: tuple[EmulatedTeam, ...] = (
-        EmulatedTeam("feed-ops"), EmulatedTeam("archive-keepers"),
+        EmulatedTeam("feed-ops"),
+        EmulatedTeam("archive-keepers"),
     )
     types: tuple[FleetType, ...] = (
         FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 2.0, 20.0, 1.0, steady=2, spot=4),
@@ -81,9 +82,7 @@
     """Addresses follow the first port: users' ports of the controllers, then (from +10)
     those of their peers, state service (+20) and cloud (+21), workers (from +30)."""
 
-    def __init__(
-        self, emulation: Emulation, listen: str, queues_file: str | None = None
-    ) -> None:
+    def __init__(self, emulation: Emulation, listen: str, queues_file: str | None = None) -> None:
         """`queues_file` names bindings to be served; raises ConfigError."""
         self._emulation = emulation
         self._host, self._port = loopback(listen)
@@ -116,24 +115,33 @@
         """What the platform would hand to controller number `n`."""
         e = self._emulation
         names = list(self.controllers)
-        return msgspec.convert({
-            "node_name": names[n], "area": "a", "listen": self._at(n),
-            "mesh_addr": self._at(10 + n),
-            "known": [
-                {"node_name": name, "area": "a", "peer_addr": self._at(10 + i)}
-                for i, name in enumerate(names) if i != n
-            ],
-            "outside": {"state": self._at(20), "cloud": self._at(21)},
-            "settings": {
-                "nodes": len(names), "zones": ["a"],
-                "teams": [msgspec.to_builtins(team) for team in e.teams],
-                "workers": {
-                    "report_s": e.report_s, "lease_s": e.lease_s, "cancel_s": e.cancel_s,
+        return msgspec.convert(
+            {
+                "node_name": names[n],
+                "area": "a",
+                "listen": self._at(n),
+                "mesh_addr": self._at(10 + n),
+                "known": [
+                    {"node_name": name, "area": "a", "peer_addr": self._at(10 + i)}
+                    for i, name in enumerate(names)
+                    if i != n
+                ],
+                "outside": {"state": self._at(20), "cloud": self._at(21)},
+                "settings": {
+                    "nodes": len(names),
+                    "zones": ["a"],
+                    "teams": [msgspec.to_builtins(team) for team in e.teams],
+                    "workers": {
+                        "report_s": e.report_s,
+                        "lease_s": e.lease_s,
+                        "cancel_s": e.cancel_s,
+                    },
+                    "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": 16.0, "txn_ops": 12},
+                    "cloud": {"rps": 10.0, "list_lag_s": e.report_s},
                 },
-                "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": 16.0, "txn_ops": 12},
-                "cloud": {"rps": 10.0, "list_lag_s": e.report_s},
             },
-        }, Settings)
+            Settings,
+        )
 
     # -- surroundings of the workers -----------------------------------------------------
 
@@ -171,7 +179,9 @@
         # Killed with its scope, when the task is stopped or the emulator ends.
         try:
             done = await trio.run_process(
-                command, check=False, stdin=subprocess.DEVNULL,
+                command,
+                check=False,
+                stdin=subprocess.DEVNULL,
                 env={**os.environ, "RYEGAUGE_TASK": task},
             )
         except OSError as error:
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -106,8 +106,11 @@
             await trio.sleep(self._rng.uniform(0.001, 0.008))
             return 503, {"error": "trouble"}, None
         if (
-            self.late_writes and target == "/multi" and body["apply"]
-            and self.late_kind(body) and self._drawn(self.late_writes)
+            self.late_writes
+            and target == "/multi"
+            and body["apply"]
+            and self.late_kind(body)
+            and self._drawn(self.late_writes)
         ):
             self.nursery.start_soon(
                 self._again, address, method, target, payload, *self.late_writes_s
@@ -158,7 +161,6 @@
         data = None if reply.body is None else decode(encode(reply.body))
         return reply.status, data, reply.retry_after_s
 
-
     def _drawn(self, share: float) -> bool:
         return self._rng.random() < share
 
@@ -189,8 +191,14 @@
         return HostClient(self._network, self._host, address)
 
     async def serve(
-        self, address: str, handler: Handler, *, max_connections: int, idle_s: float,
-        request_s: float, listening: Callable[[], None] = lambda: None,
+        self,
+        address: str,
+        handler: Handler,
+        *,
+        max_connections: int,
+        idle_s: float,
+        request_s: float,
+        listening: Callable[[], None] = lambda: None,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
         self._network.handlers[address] = handler
@@ -209,9 +217,7 @@
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
     ) -> tuple[int, Any, float | None]:
-        return await self._network.call(
-            self._host, self._address, method, target, body, timeout_s
-        )
+        return await self._network.call(self._host, self._address, method, target, body, timeout_s)
 
     def close(self) -> None:
         pass
--- a/ryegauge/emulator/state.py
+++ b/ryegauge/emulator/state.py
@@ -24,8 +24,13 @@
     PAGE_BYTES = 512 * 1024
 
     def __init__(
-        self, *, value_kb: float = 16.0, txn_ops: int = 12, rps: float | None = None,
-        write_rps: float | None = None, page: int = 1000,
+        self,
+        *,
+        value_kb: float = 16.0,
+        txn_ops: int = 12,
+        rps: float | None = None,
+        write_rps: float | None = None,
+        page: int = 1000,
     ) -> None:
         self._requests = None if rps is None else Budget(rps, rps)
         self._changes = None if write_rps is None else Budget(write_rps, write_rps)
@@ -166,8 +171,7 @@
         while True:
             first = bisect_right(self.log, since, key=lambda change: change[0])
             events = [
-                e for _, e in self.log[first:]
-                if (e.get("write") or e["delete"]).startswith(under)
+                e for _, e in self.log[first:] if (e.get("write") or e["delete"]).startswith(under)
             ]
             if events or trio.current_time() >= until:
                 return Reply(200, {"ledger": self.revision, "events": events})
@@ -199,9 +203,7 @@
             self.too_fast += 1
             return Reply(429, {"error": "too many changes"})
         versions = {c["path"]: c["stamp"] for c in raw["if"]}
-        failed = [
-            k for k, v in versions.items() if (self.data[k][1] if k in self.data else 0) != v
-        ]
+        failed = [k for k, v in versions.items() if (self.data[k][1] if k in self.data else 0) != v]
         if failed:
             return Reply(409, {"failed": failed, "ledger": self.revision})
         if raw["apply"]:
--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -21,7 +21,10 @@
 ODD_S = (0.05, 0.4)  # from one odd request to the next
 # What makes a job that no machine fits, or that no team may have.
 UNFIT: tuple[dict[str, Any], ...] = (
-    {"cpus": 1e6}, {"memoryGb": 1e7}, {"cards": 1e4}, {"builds": ["none-such"]},
+    {"cpus": 1e6},
+    {"memoryGb": 1e7},
+    {"cards": 1e4},
+    {"builds": ["none-such"]},
     {"crew": "none-such"},
 )
 REQUIRED = ("duty", "crew", "shape", "urgency", "pieces", "cpus", "memoryGb", "kit", "loaners")
@@ -53,7 +56,8 @@
         if not over and uid in checker.final:
             world.note("final", uid, detail=checker.final[uid])
         if not (accepted and over) and (accepted, over) != (
-            uid in checker.accepted, uid in checker.final
+            uid in checker.accepted,
+            uid in checker.final,
         ):
             self._look(uid, new=not accepted)
         return status
--- a/ryegauge/emulator/versions.py
+++ b/ryegauge/emulator/versions.py
@@ -12,8 +12,11 @@
     """What runs as a controller there; without a checkout, this version's."""
     if checkout is None:
         return Node
-    mine = {name: sys.modules.pop(name) for name in list(sys.modules)
-            if name.split(".")[0] == "ryegauge"}
+    mine = {
+        name: sys.modules.pop(name)
+        for name in list(sys.modules)
+        if name.split(".")[0] == "ryegauge"
+    }
     sys.path.insert(0, str(checkout))
     try:
         module = importlib.import_module("ryegauge.coordination.node")
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -39,9 +39,7 @@
             if not self._waits(uid):
                 continue
             before = self._since.get(uid, {})
-            seen[uid] = {
-                w.name: before.get(w.name, now) for w in machines if self._fits(w, uid)
-            }
+            seen[uid] = {w.name: before.get(w.name, now) for w in machines if self._fits(w, uid)}
             for name, since in seen[uid].items():
                 # A look may just miss the moment, so one more than the limit is due.
                 if now - since > LEFT_S:
@@ -77,8 +75,10 @@
         world, checker = self._world, self._world.checker
         spec = checker.specs[uid]
         needs = checker.needs_of(uid)
-        if spec.get("broken") or spec.get("shape") == "gang" or {uid, *needs} & (
-            checker.asked_to_cancel | set(checker.cancelled_at)
+        if (
+            spec.get("broken")
+            or spec.get("shape") == "gang"
+            or {uid, *needs} & (checker.asked_to_cancel | set(checker.cancelled_at))
         ):
             return False
         team = next(t for t in world.settings[0].settings.teams if t.name == spec["crew"])
@@ -86,7 +86,8 @@
             return False
         done = all(
             f"{name}/{i}" in world.results
-            for name in needs for i in range(checker.specs[name]["pieces"])
+            for name in needs
+            for i in range(checker.specs[name]["pieces"])
         )
         return done and any(
             task not in self._placed and task not in world.results
--- a/ryegauge/emulator/workers.py
+++ b/ryegauge/emulator/workers.py
@@ -57,7 +57,12 @@
 
 class Worker:
     def __init__(
-        self, around: Surroundings, name: str, type_: FleetType, zone: str, spot: bool,
+        self,
+        around: Surroundings,
+        name: str,
+        type_: FleetType,
+        zone: str,
+        spot: bool,
         address: str,
     ) -> None:
         self._around, self.name, self.type = around, name, type_
@@ -102,7 +107,10 @@
 
     async def _serve(self) -> None:
         await self._network.serve(
-            self.address, self.handle, max_connections=32, idle_s=4 * self._around.lease_s,
+            self.address,
+            self.handle,
+            max_connections=32,
+            idle_s=4 * self._around.lease_s,
             request_s=self._around.lease_s,
         )
 
@@ -127,12 +135,23 @@
         self.seq += 1
         left = None if self.notice_at is None else max(0.0, self.notice_at - trio.current_time())
         return {
-            "host": self.name, "address": self.address, "build": self.type.name,
-            "district": self.zone, "loaners": self.spot, "shift": self.session,
-            "tally": self.seq, "baton": self.token, "warningS": left,
+            "host": self.name,
+            "address": self.address,
+            "build": self.type.name,
+            "district": self.zone,
+            "loaners": self.spot,
+            "shift": self.session,
+            "tally": self.seq,
+            "baton": self.token,
+            "warningS": left,
             "pieces": [
-                {"piece": t, "try": a.number, "status": a.state, "cause": a.cause,
-                 **({"saved": True} if a.saved else {})}
+                {
+                    "piece": t,
+                    "try": a.number,
+                    "status": a.state,
+                    "cause": a.cause,
+                    **({"saved": True} if a.saved else {}),
+                }
                 for t, a in self.tasks.items()
             ],
         }
@@ -142,9 +161,7 @@
         names = list(around.controllers)
         node = rng.choice(names)
         callers = {
-            name: self._network.client(
-                address, max_connections=1, idle_s=4 * around.lease_s
-            )
+            name: self._network.client(address, max_connections=1, idle_s=4 * around.lease_s)
             for name, address in around.controllers.items()
         }
         while True:
@@ -305,9 +322,7 @@
                 self._around.results.add(task)
             self._end(task, attempt, "done" if good else "error")
 
-    async def _work(
-        self, task: str, attempt: Attempt, spec: dict[str, Any], current: Any
-    ) -> bool:
+    async def _work(self, task: str, attempt: Attempt, spec: dict[str, Any], current: Any) -> bool:
         """From the last checkpoint on; each one is kept outside of the machine."""
         around = self._around
         whole = around.run_s(task, spec)
--- a/ryegauge/emulator/world.py
+++ b/ryegauge/emulator/world.py
@@ -44,9 +44,14 @@
 
 class World:
     def __init__(
-        self, settings: list[Settings], seed: int, *,
-        fleet: tuple[FleetType, ...] = SMALL_FLEET, state: StateService | None = None,
-        poll_s: tuple[float, float] = (1.0, 3.0), resubmits: float = 0.1,
+        self,
+        settings: list[Settings],
+        seed: int,
+        *,
+        fleet: tuple[FleetType, ...] = SMALL_FLEET,
+        state: StateService | None = None,
+        poll_s: tuple[float, float] = (1.0, 3.0),
+        resubmits: float = 0.1,
         restart_s: float = RESTART_S,
     ) -> None:
         self.settings = settings
@@ -60,7 +65,11 @@
         self.state = state or StateService(page=3)
         self.workers: dict[str, Worker] = {}
         self.cloud = Cloud(
-            fleet, self.workers, self.rng, self._rent, list_lag_s=shared.cloud.list_lag_s,
+            fleet,
+            self.workers,
+            self.rng,
+            self._rent,
+            list_lag_s=shared.cloud.list_lag_s,
             returned=self._returned,
         )
         self._fleet = {type_.name: type_ for type_ in fleet}
@@ -118,8 +127,9 @@
 
     # -- machines and controllers --------------------------------------------------------
 
-    def note(self, what: str, uid: str = "", task: str = "", machine: str = "",
-             detail: str = "") -> None:
+    def note(
+        self, what: str, uid: str = "", task: str = "", machine: str = "", detail: str = ""
+    ) -> None:
         uid = uid or task.rpartition("/")[0]
         self.happened.append(Happened(trio.current_time(), what, uid, task, machine, detail))
 
@@ -160,8 +170,11 @@
             with trio.CancelScope() as self.scopes[n]:
                 with_disk = {"disk": self.disks[n]} if n in self.disks else {}
                 node = self.programs[n](
-                    self.settings[n], self.network.at(host),
-                    lambda: WALL + trio.current_time() + self.wall_errors[n], rng, **with_disk,
+                    self.settings[n],
+                    self.network.at(host),
+                    lambda: WALL + trio.current_time() + self.wall_errors[n],
+                    rng,
+                    **with_disk,
                 )
                 self.nodes[n] = node
                 await node.run()
@@ -314,16 +327,20 @@
         else:
             address = self.settings[controller].listen
         try:
-            status, answer, _ = await self.network.call(
-                "users", address, method, path, body, 5.0
-            )
+            status, answer, _ = await self.network.call("users", address, method, path, body, 5.0)
         except Unreachable:
             return 0, None
         return status, answer
 
     async def user(
-        self, body: dict[str, Any], *, delay: float = 0.0, really: float = 8.0,
-        broken: bool = False, late: bool = False, cancel_after: float | None = None,
+        self,
+        body: dict[str, Any],
+        *,
+        delay: float = 0.0,
+        really: float = 8.0,
+        broken: bool = False,
+        late: bool = False,
+        cancel_after: float | None = None,
     ) -> None:
         """Submits until accepted, polls until over, cancels if told to. Waits before until
         those that the job needs are accepted, or, if it is to come late, are over."""
@@ -362,8 +379,10 @@
             await trio.sleep(0.5)
 
     async def play(
-        self, jobs: Sequence[Callable[[], Awaitable[None]]],
-        script: Callable[["World"], Awaitable[None]], seconds: float,
+        self,
+        jobs: Sequence[Callable[[], Awaitable[None]]],
+        script: Callable[["World"], Awaitable[None]],
+        seconds: float,
     ) -> None:
         outside = self.settings[0].outside
         async with trio.open_nursery() as nursery:
--- a/ryegauge/experiments/day.py
+++ b/ryegauge/experiments/day.py
@@ -71,11 +71,35 @@
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     at_s: Amount
     kind: Literal[
-        "crash_leader", "crash_all", "state_outage", "clock", "machines_lost", "machines_hang",
-        "machines_restart", "spot_taken", "owner_deaf", "zone_cut", "crash_but_one", "away", "roll",
-        "state_back", "state_empty", "state_records", "boots", "polls", "silent",
-        "late_writes", "late_reports", "machines_deaf", "leader_refused", "leader_cut",
-        "machines_mute", "cancel_now", "cancel_at_end", "odd_requests", "close_looks",
+        "crash_leader",
+        "crash_all",
+        "state_outage",
+        "clock",
+        "machines_lost",
+        "machines_hang",
+        "machines_restart",
+        "spot_taken",
+        "owner_deaf",
+        "zone_cut",
+        "crash_but_one",
+        "away",
+        "roll",
+        "state_back",
+        "state_empty",
+        "state_records",
+        "boots",
+        "polls",
+        "silent",
+        "late_writes",
+        "late_reports",
+        "machines_deaf",
+        "leader_refused",
+        "leader_cut",
+        "machines_mute",
+        "cancel_now",
+        "cancel_at_end",
+        "odd_requests",
+        "close_looks",
     ]
     lasts_s: Amount = 0.0
     # For `state_back`: how far; with `part` 1 without leases.
@@ -99,7 +123,8 @@
 # Keys of one kind only, and what a kind cannot do without.
 ONLY_FOR = {"at_once": "late_writes", "for_next": "late_reports", "hang_s": "cancel_now"}
 NEEDED = {
-    "machines_mute": ("count", "part", "zone"), "cancel_now": ("count",),
+    "machines_mute": ("count", "part", "zone"),
+    "cancel_now": ("count",),
     "cancel_at_end": ("part",),
 }
 
@@ -163,20 +188,27 @@
     inst = day.installation
     nodes = [
         {
-            "node_name": f"node-{n}", "area": inst.areas[n % len(inst.areas)],
-            "listen": f"10.0.0.{n + 1}:8080", "mesh_addr": f"10.0.0.{n + 1}:8081",
+            "node_name": f"node-{n}",
+            "area": inst.areas[n % len(inst.areas)],
+            "listen": f"10.0.0.{n + 1}:8080",
+            "mesh_addr": f"10.0.0.{n + 1}:8081",
         }
         for n in range(inst.controllers)
     ]
     shared = {
-        "nodes": inst.controllers, "zones": sorted(set(inst.areas)),
+        "nodes": inst.controllers,
+        "zones": sorted(set(inst.areas)),
         "clock_error_ms": inst.clock_error_ms,
         "teams": [msgspec.to_builtins(team) for team in inst.teams],
         "workers": {
-            "report_s": inst.report_s, "lease_s": inst.lease_s, "cancel_s": inst.cancel_s,
+            "report_s": inst.report_s,
+            "lease_s": inst.lease_s,
+            "cancel_s": inst.cancel_s,
         },
         "state": {
-            "rps": inst.rps, "write_rps": inst.write_rps, "value_kb": inst.value_kb,
+            "rps": inst.rps,
+            "write_rps": inst.write_rps,
+            "value_kb": inst.value_kb,
             "txn_ops": inst.txn_ops,
         },
         "cloud": {"rps": 6.0, "list_lag_s": inst.list_lag_s},
@@ -186,11 +218,14 @@
     for node in nodes:
         known = [
             {"node_name": o["node_name"], "area": o["area"], "peer_addr": o["mesh_addr"]}
-            for o in nodes if o is not node
+            for o in nodes
+            if o is not node
         ]
         settings = msgspec.convert(
             {
-                **node, "settings": shared, "known": known,
+                **node,
+                "settings": shared,
+                "known": known,
                 "outside": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
             },
             Settings,
@@ -229,12 +264,31 @@
             tasks = a.tasks if isinstance(a.tasks, int) else rng.randint(*a.tasks)
             run_s = _draw(rng, a.run_s)
             mistaken = a.mistaken > 0 and rng.random() < a.mistaken
-            yield Submission(at_s, run_s, {
-                "uid": f"wk-{(n + 1) * 1_000_000 + number:08d}", "duty": a.job_class,
-                "crew": a.team, "shape": a.kind, "urgency": a.priority, "pieces": tasks,
-                "cpus": a.cpus, "cards": 0.0, "memoryGb": a.memory_gb,
-                "kit": f"img-{a.job_class}", "imageGb": a.image_gb, "builds": None,
-                "district": None, "together": a.one_zone, "spread": a.spread,
-                "loaners": a.spot, "expectS": run_s if a.kind == "sweep" else 0.0,
-                "waypointS": 0.0, "stowS": 0.0, "dueS": a.deadline_s,
-            }, mistaken, a.cancelled_after_s if mistaken else None)
+            yield Submission(
+                at_s,
+                run_s,
+                {
+                    "uid": f"wk-{(n + 1) * 1_000_000 + number:08d}",
+                    "duty": a.job_class,
+                    "crew": a.team,
+                    "shape": a.kind,
+                    "urgency": a.priority,
+                    "pieces": tasks,
+                    "cpus": a.cpus,
+                    "cards": 0.0,
+                    "memoryGb": a.memory_gb,
+                    "kit": f"img-{a.job_class}",
+                    "imageGb": a.image_gb,
+                    "builds": None,
+                    "district": None,
+                    "together": a.one_zone,
+                    "spread": a.spread,
+                    "loaners": a.spot,
+                    "expectS": run_s if a.kind == "sweep" else 0.0,
+                    "waypointS": 0.0,
+                    "stowS": 0.0,
+                    "dueS": a.deadline_s,
+                },
+                mistaken,
+                a.cancelled_after_s if mistaken else None,
+            )
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -120,16 +120,26 @@
             histogram.record_value(max(1, round(1000 * delay)))
         unserved = sum(waits[u].first == float("inf") for u in uids if u in waits)
         ranks[PRIORITIES[rank]] = RankFigures(
-            PRIORITIES[rank], len(delays), unserved,
+            PRIORITIES[rank],
+            len(delays),
+            unserved,
             histogram.get_value_at_percentile(50) / 1000,
             histogram.get_value_at_percentile(99) / 1000,
-            max(delays, default=0.0), inversions[rank],
+            max(delays, default=0.0),
+            inversions[rank],
         )
     cheapest = min(t.spot_price / t.cpus for t in day.types)
     useful = spent_cpu_s / 3600 * cheapest / played.cost if played.cost else 0.0
     return DayFigures(
-        played.seed, played.ordering, ranks, sum(inversions.values()), aged_starts, lost, useful,
-        played.changes, played.broken,
+        played.seed,
+        played.ordering,
+        ranks,
+        sum(inversions.values()),
+        aged_starts,
+        lost,
+        useful,
+        played.changes,
+        played.broken,
         *least_served(played.happened, played.bodies, 0.75 * played.seconds),
     )
 
--- a/ryegauge/experiments/loss.py
+++ b/ryegauge/experiments/loss.py
@@ -26,17 +26,14 @@
     "back 20 s, no leases": [Trouble(AT_S, "state_back", 20.0, part=1.0)],
     "all": [Trouble(AT_S, "state_empty")],
     "half the records": [Trouble(AT_S, "state_records")],
-    "back 3 s, twice": [
-        Trouble(AT_S, "state_back", 3.0), Trouble(AT_S + 1.5, "state_back", 3.0)],
-    "all, in an outage": [
-        Trouble(AT_S - 10, "state_outage", 15.0), Trouble(AT_S, "state_empty")],
+    "back 3 s, twice": [Trouble(AT_S, "state_back", 3.0), Trouble(AT_S + 1.5, "state_back", 3.0)],
+    "all, in an outage": [Trouble(AT_S - 10, "state_outage", 15.0), Trouble(AT_S, "state_empty")],
 }
 LIVES: dict[str, list[Trouble]] = {
     "all": [],
     "one": [Trouble(AT_S, "crash_but_one")],
     "none": [Trouble(AT_S, "crash_all")],
-    "one that was away": [
-        Trouble(AT_S - 10, "away", 20.0), Trouble(AT_S, "crash_but_one")],
+    "one that was away": [Trouble(AT_S - 10, "away", 20.0), Trouble(AT_S, "crash_but_one")],
 }
 # Seconds between two, the first of which is taken that long after the start.
 SNAPSHOTS = {"none": 0.0, "fresh": 5.0, "a minute old": 60.0, "broken": 5.0}
@@ -62,11 +59,13 @@
     cells = [Cell(loss, lives, "none", "nothing") for loss in LOSSES for lives in LIVES]
     cells += [
         Cell(loss, "none", snapshots, "nothing")
-        for loss in ("back 20 s", "all", "half the records") for snapshots in list(SNAPSHOTS)[1:]
+        for loss in ("back 20 s", "all", "half the records")
+        for snapshots in list(SNAPSHOTS)[1:]
     ]
     cells += [
         Cell(loss, lives, "fresh", meanwhile)
-        for loss in ("back 20 s", "all") for lives in ("all", "one", "none")
+        for loss in ("back 20 s", "all")
+        for lives in ("all", "one", "none")
         for meanwhile in list(MEANWHILE)[1:]
     ]
     return cells
@@ -107,10 +106,21 @@
         properties["snapshots_every_s"] = SNAPSHOTS[cell.snapshots]
     arrivals = day.arrivals
     if cell.meanwhile == "burst":
-        arrivals = [*arrivals, Arrivals(
-            "pick", "picks", "high", max(1, machines // 40), [20, 40], cpus=2, memory_gb=4,
-            from_s=AT_S - 2, count=40, deadline_s=90.0,
-        )]
+        arrivals = [
+            *arrivals,
+            Arrivals(
+                "pick",
+                "picks",
+                "high",
+                max(1, machines // 40),
+                [20, 40],
+                cpus=2,
+                memory_gb=4,
+                from_s=AT_S - 2,
+                count=40,
+                deadline_s=90.0,
+            ),
+        ]
     return msgspec.structs.replace(day, properties=properties, arrivals=arrivals)
 
 
@@ -145,9 +155,7 @@
         world.state.on_write.append(written)
         answered: Callable[..., None] = world.checker.answered
 
-        def heard(
-            uid: str, status: int, body: Any, asked: str, sent: float | None = None
-        ) -> None:
+        def heard(uid: str, status: int, body: Any, asked: str, sent: float | None = None) -> None:
             now = trio.current_time()
             answers[uid] = now, status
             if now >= AT_S and status in (200, 201):
@@ -174,28 +182,43 @@
     noticed = stages.get(PUTTING_BACK, float("inf"))
     since = noticed if noticed < float("inf") else AT_S
     starts = [e for e in played.happened if e.what == "started" and e.at > since]
-    ends = {(e.machine, e.task): e.detail for e in played.happened
-            if e.what == "ended" and e.at > AT_S}
+    ends = {
+        (e.machine, e.task): e.detail for e in played.happened if e.what == "ended" and e.at > AT_S
+    }
     lost_machines = {e.machine for e in played.happened if e.what in ("lost", "returned")}
     mine = {key for key in running if key[0] not in lost_machines}
     killed = {key for key in mine if ends.get(key) in ("lease", "stopped")}
     checker = world.checker
     forgotten = [
-        uid for uid in checker.accepted
+        uid
+        for uid in checker.accepted
         if uid not in checker.final and answers.get(uid, (0.0, 0))[1] not in (200, 201)
     ]
     served, least = least_served(played.happened, played.bodies, DAY_S - LATE_S)
     again = {e.task for e in starts} & {task for _, task in mine}
     return Loss(
-        cell.loss, cell.lives, cell.snapshots, cell.meanwhile, version, seed,
+        cell.loss,
+        cell.lives,
+        cell.snapshots,
+        cell.meanwhile,
+        version,
+        seed,
         round(noticed - AT_S, 2),
         round(first.get("poll", float("inf")) - AT_S, 2),
         round(min((e.at for e in starts), default=float("inf")) - AT_S, 2),
         round(first.get("submit", float("inf")) - AT_S, 2),
         round(stages.get(REBUILT, float("inf")) - AT_S, 2),
-        len(mine), len(mine) - len(killed), len(killed), len(again), len(forgotten),
+        len(mine),
+        len(mine) - len(killed),
+        len(killed),
+        len(again),
+        len(forgotten),
         len({line.split()[2] for line in played.broken if "went_back" in line}),
-        len(played.broken), world.state.requests, world.state.writes, served, least,
+        len(played.broken),
+        world.state.requests,
+        world.state.writes,
+        served,
+        least,
     )
 
 
--- a/ryegauge/experiments/play.py
+++ b/ryegauge/experiments/play.py
@@ -84,8 +84,7 @@
             until = trio.current_time() + trouble.lasts_s
             while trio.current_time() < until:
                 world.wall_errors = [
-                    world.rng.uniform(-trouble.error_s, trouble.error_s)
-                    for _ in world.settings
+                    world.rng.uniform(-trouble.error_s, trouble.error_s) for _ in world.settings
                 ]
                 await trio.sleep(1.0)
             world.wall_errors = [0.0 for _ in world.settings]
@@ -94,8 +93,14 @@
             inside = {w.name for w in world.workers.values() if w.zone == area}
             inside |= {s.listen.partition(":")[0] for s in world.settings if s.area == area}
             outside = {s.listen.partition(":")[0] for s in world.settings if s.area != area}
-            regional = {s.partition(":")[0] for s in (
-                world.settings[0].outside.state, world.settings[0].outside.cloud, "users:")}
+            regional = {
+                s.partition(":")[0]
+                for s in (
+                    world.settings[0].outside.state,
+                    world.settings[0].outside.cloud,
+                    "users:",
+                )
+            }
             with world.cut(inside, outside | regional, hold=True):
                 await trio.sleep(trouble.lasts_s)
         case "late_writes":
@@ -159,8 +164,13 @@
 
 
 def play(
-    day: Day, ordering: str, seed: int, size: float = 1.0, backlog: bool = True,
-    program: Program = Node, watch: Callable[[World], None] | None = None,
+    day: Day,
+    ordering: str,
+    seed: int,
+    size: float = 1.0,
+    backlog: bool = True,
+    program: Program = Node,
+    watch: Callable[[World], None] | None = None,
     prepare: Callable[[World], None] | None = None,
 ) -> Played:
     """`program` is what runs as a controller; `watch` looks at the world twice a second,
@@ -181,12 +191,18 @@
 
     async def main() -> None:
         state = StateService(
-            value_kb=inst.value_kb, txn_ops=inst.txn_ops, rps=inst.rps,
+            value_kb=inst.value_kb,
+            txn_ops=inst.txn_ops,
+            rps=inst.rps,
             write_rps=inst.write_rps,
         )
         world = World(
-            settings_of(day, ordering), seed, fleet=tuple(day.types), state=state,
-            poll_s=(4.0, 6.0), resubmits=0.0,
+            settings_of(day, ordering),
+            seed,
+            fleet=tuple(day.types),
+            state=state,
+            poll_s=(4.0, 6.0),
+            resubmits=0.0,
         )
         world.programs = [program for _ in world.programs]
         worlds.append(world)
@@ -194,7 +210,11 @@
             prepare(world)
         users = [
             partial(
-                world.user, s.body, delay=s.at_s, really=s.run_s, broken=s.mistaken,
+                world.user,
+                s.body,
+                delay=s.at_s,
+                really=s.run_s,
+                broken=s.mistaken,
                 cancel_after=s.cancel_after_s,
             )
             for s in submissions(day, seed, size, backlog)
@@ -204,6 +224,12 @@
     run_simulated(main, seed)
     (world,) = worlds
     return Played(
-        seed, ordering, day.seconds, world.happened, world.checker.specs,
-        world.checker.broken, world.cloud.cost(day.seconds), world.state.writes,
+        seed,
+        ordering,
+        day.seconds,
+        world.happened,
+        world.checker.specs,
+        world.checker.broken,
+        world.cloud.cost(day.seconds),
+        world.state.writes,
     )
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -24,7 +24,12 @@
 from ryegauge.queues.meter import Meter
 
 MESSAGE: dict[str, Any] = {
-    "pieces": 2, "cpus": 1.0, "memoryGb": 1.0, "kit": "img-1", "imageGb": 0.2, "expectS": 4.0,
+    "pieces": 2,
+    "cpus": 1.0,
+    "memoryGb": 1.0,
+    "kit": "img-1",
+    "imageGb": 0.2,
+    "expectS": 4.0,
 }
 RUN_S = 4.0
 TYPE = FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 10.0, steady=4, spot=8)
@@ -73,21 +78,33 @@
 Script = Callable[[Played], Awaitable[None]]
 
 
-def put(broker: Broker, queue: str, name: str, body: dict[str, Any] = MESSAGE,
-        **properties: Any) -> None:
-    properties = {"message_id": name, "reply_to": "answers",
-                  "content_type": "application/json", **properties}
+def put(
+    broker: Broker, queue: str, name: str, body: dict[str, Any] = MESSAGE, **properties: Any
+) -> None:
+    properties = {
+        "message_id": name,
+        "reply_to": "answers",
+        "content_type": "application/json",
+        **properties,
+    }
     broker.put(queue, Basic.Properties(**properties), json.dumps(body).encode())
 
 
 def play(
-    seed: int, bindings: Iterable[Binding], script: Script, seconds: float, *,
-    controllers: int = 3, write_rps: float = 100.0, known: Iterable[str] = (),
+    seed: int,
+    bindings: Iterable[Binding],
+    script: Script,
+    seconds: float,
+    *,
+    controllers: int = 3,
+    write_rps: float = 100.0,
+    known: Iterable[str] = (),
 ) -> Played:
     """`known` are the jobs whose description workers can fetch: users upload them."""
     queues = Queues(list(bindings))
     inst = Installation(
-        [TeamSize("red", 16.0, 32.0), TeamSize("blue", 8.0, 48.0)], controllers,
+        [TeamSize("red", 16.0, 32.0), TeamSize("blue", 8.0, 48.0)],
+        controllers,
         write_rps=write_rps,
     )
     day = Day("queues", seconds, inst, [TYPE], [])
@@ -129,10 +146,24 @@
 def described(uid: str, team: str = "red", tasks: int = 2) -> dict[str, Any]:
     """A message's job, or a user's, as the world knows it."""
     return {
-        **MESSAGE, "uid": uid, "duty": "pick", "crew": team, "pieces": tasks, "shape": "sweep",
-        "urgency": "normal", "cards": 0.0, "builds": None, "district": None, "together": False,
-        "spread": False, "loaners": True, "waypointS": 0.0, "stowS": 0.0, "dueS": None,
-        "really": RUN_S, "broken": False,
+        **MESSAGE,
+        "uid": uid,
+        "duty": "pick",
+        "crew": team,
+        "pieces": tasks,
+        "shape": "sweep",
+        "urgency": "normal",
+        "cards": 0.0,
+        "builds": None,
+        "district": None,
+        "together": False,
+        "spread": False,
+        "loaners": True,
+        "waypointS": 0.0,
+        "stowS": 0.0,
+        "dueS": None,
+        "really": RUN_S,
+        "broken": False,
     }
 
 
@@ -210,11 +241,16 @@
     waiting |= {str(m.properties.message_id) for m in played.broker.queues.get("dead.work", ())}
     without = [name for uid, name in uids.items() if uid not in played.records]
     over = [
-        uid for uid in played.records
+        uid
+        for uid in played.records
         if all(f"{uid}/{n}" in played.world.results for n in range(MESSAGE["pieces"]))
     ]
     return Counts(
-        delivery, "ends" if trouble == "ends" else "drops", 1, messages, len(played.records),
+        delivery,
+        "ends" if trouble == "ends" else "drops",
+        1,
+        messages,
+        len(played.records),
         sum(name in waiting for name in without),
         sum(name not in waiting for name in without),
         played.again.total(),
@@ -228,9 +264,14 @@
 def table(counted: Iterable[Counts]) -> list[dict[str, Any]]:
     rows: dict[tuple[str, str], dict[str, Any]] = {}
     for one in counted:
-        row = rows.setdefault((one.delivery, one.trouble), {
-            "delivery": one.delivery, "trouble": one.trouble, **dict.fromkeys(Counts._fields[2:], 0)
-        })
+        row = rows.setdefault(
+            (one.delivery, one.trouble),
+            {
+                "delivery": one.delivery,
+                "trouble": one.trouble,
+                **dict.fromkeys(Counts._fields[2:], 0),
+            },
+        )
         for name in Counts._fields[2:]:
             row[name] += getattr(one, name)
     return list(rows.values())
@@ -262,8 +303,10 @@
     most = 0
     flood = 4000
     limit = 4000
-    bindings = [bind(name, name, weight=weight, prefetch=40, open_jobs=limit)
-                for name, weight in (("one", 1.0), ("three", 3.0))]
+    bindings = [
+        bind(name, name, weight=weight, prefetch=40, open_jobs=limit)
+        for name, weight in (("one", 1.0), ("three", 3.0))
+    ]
     direct = [f"wk-{n:06d}" for n in range(1, int(seconds * 2))]
 
     async def user(world: World, uid: str, at_s: float) -> None:
@@ -292,13 +335,13 @@
                 nursery.start_soon(user, world, uid, rng.uniform(15.0, seconds - 5.0))
             while True:
                 await trio.sleep(0.25)
-                in_hand = sum(len(c.unsettled) for link in broker.links
-                              for c in link.channels.values())
+                in_hand = sum(
+                    len(c.unsettled) for link in broker.links for c in link.channels.values()
+                )
                 most = max(most, in_hand)
 
     known = [uid_of(b, f"id:m-{n}") for b in ("one", "three") for n in range(flood)]
-    played = play(seed, bindings, script, seconds, write_rps=40.0,
-                  known=known if queues else [])
+    played = play(seed, bindings, script, seconds, write_rps=40.0, known=known if queues else [])
     recorded = {
         name: sum(meters[name].fates["recorded"] for meters in played.meters if name in meters)
         for name in ("one", "three")
@@ -306,9 +349,15 @@
     whole = sum(recorded.values())
     left = sum(len(played.broker.queues.get(name, ())) for name in ("one", "three"))
     return Overload(
-        queues, histogram.get_value_at_percentile(50), histogram.get_value_at_percentile(99),
-        recorded["one"], recorded["three"], round(recorded["three"] / max(1, whole), 3), most,
-        left, round(whole / seconds, 1),
+        queues,
+        histogram.get_value_at_percentile(50),
+        histogram.get_value_at_percentile(99),
+        recorded["one"],
+        recorded["three"],
+        round(recorded["three"] / max(1, whole), 3),
+        most,
+        left,
+        round(whole / seconds, 1),
         round(1000 * played.processor_s / max(1, len(played.records)), 2),
         len(played.world.checker.broken),
     )
--- a/ryegauge/experiments/recovery.py
+++ b/ryegauge/experiments/recovery.py
@@ -25,9 +25,13 @@
     "lost 40%": [Trouble(AT_S, "machines_lost", part=0.4)],
     "lost 80%": [Trouble(AT_S, "machines_lost", part=0.8)],
     "lost 40%, all controllers": [
-        Trouble(AT_S, "machines_lost", part=0.4), Trouble(AT_S + 2, "crash_all")],
+        Trouble(AT_S, "machines_lost", part=0.4),
+        Trouble(AT_S + 2, "crash_all"),
+    ],
     "lost 40%, state outage": [
-        Trouble(AT_S, "machines_lost", part=0.4), Trouble(AT_S - 5, "state_outage", 15.0)],
+        Trouble(AT_S, "machines_lost", part=0.4),
+        Trouble(AT_S - 5, "state_outage", 15.0),
+    ],
     "all controllers": [Trouble(AT_S, "crash_all")],
     "hang under a lease": [Trouble(AT_S, "machines_hang", 0.7 * LEASE_S, part=0.4)],
     "hang over a lease": [Trouble(AT_S, "machines_hang", 1.6 * LEASE_S, part=0.4)],
@@ -36,9 +40,13 @@
     "owner deaf": [Trouble(AT_S, "owner_deaf", 25.0)],
     "zone cut": [Trouble(AT_S, "zone_cut", 1.5 * LEASE_S)],
     "lost 40%, slow boots": [
-        Trouble(AT_S - 1, "boots", 90.0, times=4.0), Trouble(AT_S, "machines_lost", part=0.4)],
+        Trouble(AT_S - 1, "boots", 90.0, times=4.0),
+        Trouble(AT_S, "machines_lost", part=0.4),
+    ],
     "lost 40%, lost boots": [
-        Trouble(AT_S - 1, "boots", 90.0, part=0.33), Trouble(AT_S, "machines_lost", part=0.4)],
+        Trouble(AT_S - 1, "boots", 90.0, part=0.33),
+        Trouble(AT_S, "machines_lost", part=0.4),
+    ],
     "silent for 70 s": [Trouble(AT_S, "away", 70.0)],
 }
 
@@ -51,20 +59,57 @@
     """Five controllers in two zones and a fleet of one type that is about full. Jobs grow
     with the fleet, not in number, as the state service's rate does not grow either."""
     cpus = CPUS * machines
-    type_ = FleetType("mid", CPUS, 32.0, ["a", "b"], 0.54, 0.21, 25.0, 60.0, 0.5,
-                      steady=machines // 4, spot=machines)
+    type_ = FleetType(
+        "mid",
+        CPUS,
+        32.0,
+        ["a", "b"],
+        0.54,
+        0.21,
+        25.0,
+        60.0,
+        0.5,
+        steady=machines // 4,
+        spot=machines,
+    )
     each = max(1, machines // 30)
     teams = [TeamSize(name, 0.4 * cpus, 0.8 * cpus) for name in ("picks", "archive")]
     arrivals = [
-        Arrivals("archive", "archive", "normal", [each, 3 * each], [60, 120], cpus=4,
-                 memory_gb=8, every_s=3.2),
-        Arrivals("archive", "archive", "normal", 2 * each, [60, 120], cpus=4, memory_gb=8,
-                 count=30),
-        Arrivals("pick", "picks", "high", [each // 2 + 1, 2 * each], [20, 40], cpus=2,
-                 memory_gb=4, every_s=3.0, deadline_s=90.0),
+        Arrivals(
+            "archive",
+            "archive",
+            "normal",
+            [each, 3 * each],
+            [60, 120],
+            cpus=4,
+            memory_gb=8,
+            every_s=3.2,
+        ),
+        Arrivals(
+            "archive", "archive", "normal", 2 * each, [60, 120], cpus=4, memory_gb=8, count=30
+        ),
+        Arrivals(
+            "pick",
+            "picks",
+            "high",
+            [each // 2 + 1, 2 * each],
+            [20, 40],
+            cpus=2,
+            memory_gb=4,
+            every_s=3.0,
+            deadline_s=90.0,
+        ),
     ]
     inst = Installation(
-        teams, 5, ("a", "b"), REPORT_S, LEASE_S, 39.0, rps=90.0, write_rps=25.0, value_kb=4.0,
+        teams,
+        5,
+        ("a", "b"),
+        REPORT_S,
+        LEASE_S,
+        39.0,
+        rps=90.0,
+        write_rps=25.0,
+        value_kb=4.0,
         list_lag_s=6.0,
     )
     return Day(title, seconds, inst, [type_], arrivals, troubles)
@@ -96,9 +141,7 @@
     least: str  # which one
 
 
-def measure(
-    machines: int, trouble: str, seed: int, version: str, checkout: str | None
-) -> Recovery:
+def measure(machines: int, trouble: str, seed: int, version: str, checkout: str | None) -> Recovery:
     cpus_at: list[tuple[float, float]] = []
     served: list[float] = []  # when some controller could have answered workers
     began: set[str] = set()
@@ -114,7 +157,8 @@
             trio.lowlevel.add_instrument(processors)
         now = trio.current_time()
         reporting = [
-            w for w in world.workers.values()
+            w
+            for w in world.workers.values()
             if w.alive and w.up and now - w.lease_from < 3 * REPORT_S
         ]
         cpus_at.append((now, sum(w.type.cpus for w in reporting)))
@@ -125,9 +169,7 @@
         if up and not world.state.outage:
             served.append(now)
 
-    played = play(
-        day(machines, trouble), "settled", seed, program=node_of(checkout), watch=watch
-    )
+    played = play(day(machines, trouble), "settled", seed, program=node_of(checkout), watch=watch)
     events = [e for e in played.happened if e.at >= AT_S]
     rented = [e for e in events if e.what == "rented"]
     lost = sum(e.what == "lost" for e in events if e.at < AT_S + 5)
@@ -139,17 +181,22 @@
     killed = [e for e in events if e.what == "ended" and e.detail == "lease"]
     troubled = {e.machine for e in events if e.what in ("hung", "lost")}
     avoidable = sum(
-        e.machine not in troubled and "zone_cut" not in troubles
+        e.machine not in troubled
+        and "zone_cut" not in troubles
         and sum(e.at - LEASE_S < at < e.at for at in served) > LEASE_S / 2 + 2 * REPORT_S
         for e in killed
     )
+
     def after(what: str) -> float:
-        return next((e.at - ended for e in played.happened if e.what == what and e.at > ended + 1),
-                    float("inf"))
+        return next(
+            (e.at - ended for e in played.happened if e.what == what and e.at > ended + 1),
+            float("inf"),
+        )
 
     def answered(least: float) -> float:
-        return next((at - ended for at, n, of in renewed if n > 0 and n >= least * of),
-                    float("inf"))
+        return next(
+            (at - ended for at, n, of in renewed if n > 0 and n >= least * of), float("inf")
+        )
 
     recovered = [
         round(s, 1) if all_ended else 0.0
@@ -167,15 +214,23 @@
         if AT_S <= at < AT_S + 60:
             histogram.record_value(max(1, round(1000 * (first.get(uid, DAY_S) - at))))
     return Recovery(
-        trouble, version, seed,
+        trouble,
+        version,
+        seed,
         round(rented[half - 1].at - AT_S, 1) if lost and len(rented) >= half else float("inf"),
         0.0 if fell is None else round(back[0] - AT_S, 1) if back else float("inf"),
         sum(state == "alive" and tasks != "0" for state, tasks in returned),
         sum(e.machine not in began for e in rented),
-        histogram.get_value_at_percentile(50) / 1000, histogram.get_max_value() / 1000,
-        recovered[0], recovered[1], recovered[2], recovered[3],
+        histogram.get_value_at_percentile(50) / 1000,
+        histogram.get_max_value() / 1000,
+        recovered[0],
+        recovered[1],
+        recovered[2],
+        recovered[3],
         round(max(processors.seconds.get(f"10.0.0.{n}", 0.0) for n in range(1, 6)) / DAY_S, 3),
-        len(killed), avoidable, len(played.broken),
+        len(killed),
+        avoidable,
+        len(played.broken),
         *least_served(played.happened, played.bodies, DAY_S - LATE_S),
     )
 
--- a/ryegauge/experiments/report.py
+++ b/ryegauge/experiments/report.py
@@ -23,14 +23,18 @@
             if not ranks:
                 continue
             medians = sorted(r.median_s for r in ranks)
-            rows.append({
-                "policy": name, "priority": priority, "jobs": sum(r.jobs for r in ranks),
-                "median_s": round(medians[len(medians) // 2], 2),
-                "p99_s": round(max(r.p99_s for r in ranks), 2),
-                "worst_s": round(max(r.worst_s for r in ranks), 2),
-                "unserved": sum(r.unserved for r in ranks),
-                "inversions": sum(r.inversions for r in ranks),
-            })
+            rows.append(
+                {
+                    "policy": name,
+                    "priority": priority,
+                    "jobs": sum(r.jobs for r in ranks),
+                    "median_s": round(medians[len(medians) // 2], 2),
+                    "p99_s": round(max(r.p99_s for r in ranks), 2),
+                    "worst_s": round(max(r.worst_s for r in ranks), 2),
+                    "unserved": sum(r.unserved for r in ranks),
+                    "inversions": sum(r.inversions for r in ranks),
+                }
+            )
     return rows
 
 
@@ -39,17 +43,21 @@
     rows: list[dict[str, Any]] = []
     for name in names:
         some = [o.figures for o in outcomes if o.run.name == name]
-        rows.append({
-            "policy": name, "days": len(some), "inversions": sum(f.inversions for f in some),
-            "aged_starts": sum(f.aged_starts for f in some),
-            "lost": sum(f.lost for f in some),
-            "useful": round(sum(f.useful for f in some) / len(some), 3),
-            "changes": round(sum(f.changes for f in some) / len(some)),
-            "broken": sum(len(f.broken) for f in some),
-            "served": min(f.served for f in some),
-            "least": min((f.served, f.least) for f in some)[1],
-            "failed": sum(f.served < LEAST for f in some),
-        })
+        rows.append(
+            {
+                "policy": name,
+                "days": len(some),
+                "inversions": sum(f.inversions for f in some),
+                "aged_starts": sum(f.aged_starts for f in some),
+                "lost": sum(f.lost for f in some),
+                "useful": round(sum(f.useful for f in some) / len(some), 3),
+                "changes": round(sum(f.changes for f in some) / len(some)),
+                "broken": sum(len(f.broken) for f in some),
+                "served": min(f.served for f in some),
+                "least": min((f.served, f.least) for f in some)[1],
+                "failed": sum(f.served < LEAST for f in some),
+            }
+        )
     return rows
 
 
@@ -91,14 +99,13 @@
     import matplotlib.pyplot as plt
 
     names = list(dict.fromkeys(o.run.name for o in outcomes))
-    priorities = [
-        p for p in PRIORITIES if any(p in o.figures.ranks for o in outcomes)
-    ]
+    priorities = [p for p in PRIORITIES if any(p in o.figures.ranks for o in outcomes)]
     figure, axes = plt.subplots(1, len(priorities), figsize=(4.5 * len(priorities), 4.5))
     for axis, priority in zip(axes if len(priorities) > 1 else [axes], priorities, strict=True):
         for x, name in enumerate(names):
             worst = [
-                o.figures.ranks[priority].worst_s for o in outcomes
+                o.figures.ranks[priority].worst_s
+                for o in outcomes
                 if o.run.name == name and priority in o.figures.ranks
             ]
             axis.scatter([x] * len(worst), worst, alpha=0.6)
--- a/ryegauge/experiments/rounds.py
+++ b/ryegauge/experiments/rounds.py
@@ -22,11 +22,24 @@
     teams = settings.settings.teams
     for n in range(jobs):
         body: dict[str, Any] = {
-            "uid": f"wk-{n:08d}", "duty": "some", "crew": teams[n % len(teams)].name,
-            "shape": "sweep", "urgency": PRIORITIES[n * 7 % 4], "pieces": 1 + n % 9,
-            "cpus": 1.0 + n % 2, "cards": 0.0, "memoryGb": 2.0, "kit": f"img-{n % 5}",
-            "imageGb": 1.0, "together": False, "spread": False, "loaners": True,
-            "expectS": 20.0, "waypointS": 0.0, "stowS": 0.0, "dueS": 60.0 + n % 400,
+            "uid": f"wk-{n:08d}",
+            "duty": "some",
+            "crew": teams[n % len(teams)].name,
+            "shape": "sweep",
+            "urgency": PRIORITIES[n * 7 % 4],
+            "pieces": 1 + n % 9,
+            "cpus": 1.0 + n % 2,
+            "cards": 0.0,
+            "memoryGb": 2.0,
+            "kit": f"img-{n % 5}",
+            "imageGb": 1.0,
+            "together": False,
+            "spread": False,
+            "loaners": True,
+            "expectS": 20.0,
+            "waypointS": 0.0,
+            "stowS": 0.0,
+            "dueS": 60.0 + n % 400,
         }
         at = now - (n * 37 % 3600)
         events.append(Event(job_key(body["uid"]), job_record(parse_job(body), at, False), n + 2))
@@ -61,12 +74,13 @@
             leader.round(now, now)
             peak = tracemalloc.get_traced_memory()[1]
             tracemalloc.stop()
-            rows.append({
-                "policy": ordering, "jobs": jobs,
-                "round_ms": round(1000 * sorted(times)[len(times) // 2], 1),
-                "us_per_job": round(1e6 * sorted(times)[len(times) // 2] / jobs, 1),
-                "memory_mb": round(peak / 1e6, 1),
-            })
+            rows.append(
+                {
+                    "policy": ordering,
+                    "jobs": jobs,
+                    "round_ms": round(1000 * sorted(times)[len(times) // 2], 1),
+                    "us_per_job": round(1e6 * sorted(times)[len(times) // 2] / jobs, 1),
+                    "memory_mb": round(peak / 1e6, 1),
+                }
+            )
     return rows
-
-
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -52,8 +52,11 @@
         self._stop_after_s = stop_after_s
 
     def order(
-        self, waiting: Sequence[Waiting], holding: Sequence[Holding],
-        spare: dict[str, Spare], now: float,
+        self,
+        waiting: Sequence[Waiting],
+        holding: Sequence[Holding],
+        spare: dict[str, Spare],
+        now: float,
     ) -> list[Entry]:
         return [Entry(job.uid) for job in sorted(waiting, key=by_rank)]
 
@@ -94,7 +97,13 @@
     ages = True
 
     def __init__(
-        self, *, patience_s: float, factor: float, floor: float, ceiling: float, hold_s: float,
+        self,
+        *,
+        patience_s: float,
+        factor: float,
+        floor: float,
+        ceiling: float,
+        hold_s: float,
         stop_after_s: float,
     ) -> None:
         super().__init__(stop_after_s)
@@ -119,8 +128,11 @@
         return 0 < holding.done + holding.held <= due
 
     def order(
-        self, waiting: Sequence[Waiting], holding: Sequence[Holding],
-        spare: dict[str, Spare], now: float,
+        self,
+        waiting: Sequence[Waiting],
+        holding: Sequence[Holding],
+        spare: dict[str, Spare],
+        now: float,
     ) -> list[Entry]:
         # Urgent work in a flood comes to be due as well. Counted, it would use the share up
         # before older work, although it has all of the fleet besides.
@@ -141,8 +153,13 @@
         return turns
 
     def _aged_first(
-        self, waiting: Sequence[Waiting], holding: Sequence[Holding],
-        spare: dict[str, Spare], now: float, top: int, burst: bool = False,
+        self,
+        waiting: Sequence[Waiting],
+        holding: Sequence[Holding],
+        spare: dict[str, Spare],
+        now: float,
+        top: int,
+        burst: bool = False,
     ) -> dict[str, tuple[Waiting, int]]:
         """Tasks that go before everything else, by job, in the order of their tags."""
         heap = [
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -74,9 +74,7 @@
     gpus: float
 
     def fits(self, job: Waiting, count: int) -> bool:
-        return (
-            job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
-        )
+        return job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
 
     def less(self, job: Waiting, count: int) -> "Spare":
         return Spare(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
@@ -91,8 +89,11 @@
     ages: bool
 
     def order(
-        self, waiting: Sequence[Waiting], holding: Sequence[Holding],
-        spare: dict[str, Spare], now: float,
+        self,
+        waiting: Sequence[Waiting],
+        holding: Sequence[Holding],
+        spare: dict[str, Spare],
+        now: float,
     ) -> list[Entry]:
         """Turns, the first goes first. `spare` is by team and is left as it is."""
         ...
--- a/ryegauge/ordering/settled.py
+++ b/ryegauge/ordering/settled.py
@@ -18,8 +18,11 @@
     ages = False
 
     def order(
-        self, waiting: Sequence[Waiting], holding: Sequence[Holding],
-        spare: dict[str, Spare], now: float,
+        self,
+        waiting: Sequence[Waiting],
+        holding: Sequence[Holding],
+        spare: dict[str, Spare],
+        now: float,
     ) -> list[Entry]:
         ranked = sorted(
             waiting, key=lambda j: (not j.within, j.rank, j.finish, j.submitted_at, j.uid)
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -179,8 +179,20 @@
 
 
 Message = (
-    PartView | Poke | PartOrders | Promise | PromiseAnswer | Hello | HelloAnswer | Relay
-    | RelayAnswer | Probe | ProbeAnswer | Elsewhere | Audit | AuditAnswer
+    PartView
+    | Poke
+    | PartOrders
+    | Promise
+    | PromiseAnswer
+    | Hello
+    | HelloAnswer
+    | Relay
+    | RelayAnswer
+    | Probe
+    | ProbeAnswer
+    | Elsewhere
+    | Audit
+    | AuditAnswer
 )
 
 
--- a/ryegauge/queues/admission.py
+++ b/ryegauge/queues/admission.py
@@ -50,8 +50,12 @@
     it is: asked before the turns, it would give them to whoever asks first."""
 
     def __init__(
-        self, weights: Mapping[str, float], at_once: int, open_: Callable[[str], bool],
-        next_may: Callable[[], bool], pause_s: float,
+        self,
+        weights: Mapping[str, float],
+        at_once: int,
+        open_: Callable[[str], bool],
+        next_may: Callable[[], bool],
+        pause_s: float,
     ) -> None:
         self._turns = FairTurns(weights)
         self._free = at_once
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -30,7 +30,10 @@
 
 class Answers:
     def __init__(
-        self, desk: Desk, serving: Mapping[str, Serving], meters: Mapping[str, Meter],
+        self,
+        desk: Desk,
+        serving: Mapping[str, Serving],
+        meters: Mapping[str, Meter],
         keep_s: float,
     ) -> None:
         self._desk = desk
@@ -100,13 +103,13 @@
     ) -> bool | None:
         body = msgspec.json.encode({"uid": uid, "status": status, "done": done})
         properties = Basic.Properties(
-            content_type="application/json", delivery_mode=PERSISTENT,
-            message_id=f"{uid}/{status}", headers={"x-ryegauge-message": debt["m"]},
+            content_type="application/json",
+            delivery_mode=PERSISTENT,
+            message_id=f"{uid}/{status}",
+            headers={"x-ryegauge-message": debt["m"]},
             correlation_id=debt.get("c") or debt["m"].removeprefix("id:"),
         )
-        return await serving.publish(
-            serving.binding.reply_exchange, debt["r"], body, properties
-        )
+        return await serving.publish(serving.binding.reply_exchange, debt["r"], body, properties)
 
     def _is_old(self, debt: dict[str, object]) -> bool:
         """Debts of versions before carry no date; they count from when they are first seen to
--- a/ryegauge/queues/exporter.py
+++ b/ryegauge/queues/exporter.py
@@ -26,11 +26,15 @@
 
         meters = self._meters.items()
         yield counter(
-            "ryegauge_queue_messages", "Messages taken, by what became of them.", "fate",
+            "ryegauge_queue_messages",
+            "Messages taken, by what became of them.",
+            "fate",
             ((b, fate, n) for b, m in meters for fate, n in m.fates.items()),
         )
         yield counter(
-            "ryegauge_queue_answers", "Answers given, by the job's outcome.", "outcome",
+            "ryegauge_queue_answers",
+            "Answers given, by the job's outcome.",
+            "outcome",
             ((b, outcome, n) for b, m in meters for outcome, n in m.answers.items()),
         )
         totals = {
--- a/ryegauge/queues/front.py
+++ b/ryegauge/queues/front.py
@@ -40,8 +40,13 @@
 
 class QueueFront:
     def __init__(
-        self, desk: Desk, front: FrontDoor, queues: Queues, rng: random.Random,
-        connect: Connect = connect_tcp, meters: dict[str, Meter] | None = None,
+        self,
+        desk: Desk,
+        front: FrontDoor,
+        queues: Queues,
+        rng: random.Random,
+        connect: Connect = connect_tcp,
+        meters: dict[str, Meter] | None = None,
     ) -> None:
         self._desk = desk
         self._front = front
@@ -65,8 +70,11 @@
         shared = desk.settings.settings
         self._needs_s = 4 * shared.workers.lease_s
         self._gate = Gate(
-            {b.name: b.weight for b in queues.bindings}, desk.settings.state_limits.txn_ops,
-            self._has_room, self._next_may, desk.report_s / 20,
+            {b.name: b.weight for b in queues.bindings},
+            desk.settings.state_limits.txn_ops,
+            self._has_room,
+            self._next_may,
+            desk.report_s / 20,
         )
         self._pace = Pace(desk.settings.state_limits.write_rps / 2, trio.current_time())
         self._jobs_most = QUEUES_SHARE * JOBS_PER_MB * shared.quota.memory_mb
@@ -86,7 +94,11 @@
 
             def serve(session: Session) -> Callable[[Event], None]:
                 serving = Serving(
-                    binding, session, nursery, self._take, self._consuming[binding.name],
+                    binding,
+                    session,
+                    nursery,
+                    self._take,
+                    self._consuming[binding.name],
                     self.meters[binding.name],
                 )
                 self._serving[binding.name] = serving
@@ -170,7 +182,8 @@
                 acked = True
                 continue
             reply = await self._persist(
-                serving, lambda: self._front.submit(spec, debt),
+                serving,
+                lambda: self._front.submit(spec, debt),
                 # Another consumer may have the message that it names, not yet recorded.
                 unknown_s=self._needs_s if spec.needs else 0.0,
                 give_back=not acked,
@@ -184,7 +197,8 @@
                 await self._refuse(serving, delivery, identity, why)
                 return
             if (known := self._desk.book.jobs.get(spec.uid)) is not None and (
-                known.spec.team, known.spec.job_class
+                known.spec.team,
+                known.spec.job_class,
             ) != (spec.team, spec.job_class):
                 await self._refuse(serving, delivery, identity, "another job has its name")
                 return
@@ -196,7 +210,9 @@
         if not properties.reply_to:
             return ()
         record: dict[str, object] = {
-            "b": binding.name, "m": identity, "r": properties.reply_to,
+            "b": binding.name,
+            "m": identity,
+            "r": properties.reply_to,
             "t": round(self._desk.wall(), 3),
         }
         if properties.correlation_id:
@@ -204,7 +220,10 @@
         return (Put(debt_key(uid), record),)
 
     async def _persist(
-        self, serving: Serving, ask: Callable[[], Awaitable[Reply]], unknown_s: float = 0.0,
+        self,
+        serving: Serving,
+        ask: Callable[[], Awaitable[Reply]],
+        unknown_s: float = 0.0,
         give_back: bool = True,
     ) -> Reply | None:
         """Until it is answered for good; 422 counts as that only after `unknown_s`. The
@@ -249,8 +268,10 @@
         headers |= {"x-ryegauge-reason": reason[:500], "x-ryegauge-binding": binding.name}
         properties = Basic.Properties(
             content_type=delivery.properties.content_type,
-            content_encoding=delivery.properties.content_encoding, headers=headers,
-            delivery_mode=PERSISTENT, message_id=delivery.properties.message_id,
+            content_encoding=delivery.properties.content_encoding,
+            headers=headers,
+            delivery_mode=PERSISTENT,
+            message_id=delivery.properties.message_id,
             correlation_id=delivery.properties.correlation_id,
         )
         taken = await serving.publish(
@@ -264,7 +285,9 @@
 
 
 def front_of(
-    queues: Queues, rng: random.Random, connect: Connect = connect_tcp,
+    queues: Queues,
+    rng: random.Random,
+    connect: Connect = connect_tcp,
     meters: dict[str, Meter] | None = None,
 ) -> Callable[[Desk, FrontDoor], Awaitable[None]]:
     """What a controller runs beside its own loops."""
--- a/ryegauge/queues/messages.py
+++ b/ryegauge/queues/messages.py
@@ -26,8 +26,14 @@
 # Fields of a submission that no message may set, and those that it may leave out.
 FROM_BINDING = ("uid", "crew", "urgency", "duty")
 LEFT_OUT = {
-    "shape": "sweep", "cards": 0.0, "together": False, "spread": False, "loaners": True,
-    "waypointS": 0.0, "stowS": 0.0, "imageGb": 0.0,
+    "shape": "sweep",
+    "cards": 0.0,
+    "together": False,
+    "spread": False,
+    "loaners": True,
+    "waypointS": 0.0,
+    "stowS": 0.0,
+    "imageGb": 0.0,
 }
 JSON_TYPES = ("application/json", "text/json", None, "")
 CBOR_TYPES = ("application/cbor",)
@@ -62,10 +68,14 @@
     at = properties.timestamp
     window = "" if at is None else str(int(at.timestamp()) // binding.window_s)
     digest = hashlib.sha256(
-        b"\0".join((
-            str(properties.content_type or "").encode(),
-            str(properties.content_encoding or "").encode(), window.encode(), body,
-        ))
+        b"\0".join(
+            (
+                str(properties.content_type or "").encode(),
+                str(properties.content_encoding or "").encode(),
+                window.encode(),
+                body,
+            )
+        )
     ).hexdigest()
     return f"digest:{digest}"
 
@@ -83,8 +93,9 @@
 ) -> Submission | Cancellation | Never:
     identity = identity_of(binding, properties, body)
     try:
-        raw = _decode(properties.content_type, _unpack(
-            properties.content_encoding, body, binding.body_limit))
+        raw = _decode(
+            properties.content_type, _unpack(properties.content_encoding, body, binding.body_limit)
+        )
         if not isinstance(raw, dict):
             raise Malformed("expected a map")
         if "cancel" in raw:
@@ -108,8 +119,12 @@
         if name in raw:
             raise Malformed(f"{name}: comes from the binding, not from the message")
     whole = {
-        **LEFT_OUT, **binding.defaults, **raw,
-        "uid": uid_of(binding.name, identity), "crew": binding.team, "duty": binding.job_class,
+        **LEFT_OUT,
+        **binding.defaults,
+        **raw,
+        "uid": uid_of(binding.name, identity),
+        "crew": binding.team,
+        "duty": binding.job_class,
         "urgency": binding.priority(properties.priority),
     }
     if whole["shape"] == "standing":
--- a/ryegauge/queues/schema.py
+++ b/ryegauge/queues/schema.py
@@ -35,13 +35,16 @@
     ids = {"type": "array", "items": {"type": "string", "minLength": 1}}
     fields["awaits"] = {"anyOf": [ids, {"type": "null"}]}
     required = [
-        name for name in schema["required"]
+        name
+        for name in schema["required"]
         if name in fields and name not in LEFT_OUT and name not in defaults
     ]
     foreign: dict[str, Any] = dict.fromkeys((*FROM_BINDING, "cancel"), False)
     work = {"type": "object", "properties": {**fields, **foreign}, "required": required}
     end = {
-        "type": "object", "properties": {"cancel": {"type": "string", "minLength": 1}},
-        "required": ["cancel"], "additionalProperties": False,
+        "type": "object",
+        "properties": {"cancel": {"type": "string", "minLength": 1}},
+        "required": ["cancel"],
+        "additionalProperties": False,
     }
     return {"$schema": DRAFT, "title": "A message", "anyOf": [work, end]}
--- a/ryegauge/queues/serving.py
+++ b/ryegauge/queues/serving.py
@@ -32,8 +32,12 @@
 
 class Serving:
     def __init__(
-        self, binding: Binding, session: Session, nursery: trio.Nursery,
-        take: Callable[["Serving", Delivery], Awaitable[None]], consuming: Consuming,
+        self,
+        binding: Binding,
+        session: Session,
+        nursery: trio.Nursery,
+        take: Callable[["Serving", Delivery], Awaitable[None]],
+        consuming: Consuming,
         meter: Meter,
     ) -> None:
         self.binding = binding
--- a/ryegauge/rebuilding/adopting.py
+++ b/ryegauge/rebuilding/adopting.py
@@ -33,8 +33,10 @@
     for uid, some in by_job.items():
         job = book.jobs[uid]
         old = job.shares.get(part)
-        share = Share({}, Ranges(), 0) if old is None else Share(
-            dict(old.allotted), old.done, old.version, old.ended_at
+        share = (
+            Share({}, Ranges(), 0)
+            if old is None
+            else Share(dict(old.allotted), old.done, old.version, old.ended_at)
         )
         for stray in some:
             one = Ranges.of([stray.number])
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -167,7 +167,8 @@
     """The parts' shares that have to change for what was known before: of what a part holds
     the newer record counts, what is done by either is done, and no task is in two parts."""
     newer = {
-        part: share for part, share in old.items()
+        part: share
+        for part, share in old.items()
         if part not in job.shares or _stamp(share, book) > _stamp(job.shares[part], book)
     }
     held = Ranges()
@@ -185,8 +186,11 @@
         allotted = {zone: tasks - taken for zone, tasks in base.allotted.items()}
         mine = was.done if now is None else now.done | was.done
         share = Share(
-            {zone: tasks for zone, tasks in allotted.items() if tasks}, mine - job.sealed_tasks,
-            0 if now is None else now.version, base.ended_at, base.origin,
+            {zone: tasks for zone, tasks in allotted.items() if tasks},
+            mine - job.sealed_tasks,
+            0 if now is None else now.version,
+            base.ended_at,
+            base.origin,
         )
         if part in newer:
             held = held | share.tasks
@@ -247,9 +251,7 @@
     size = 0
     for write in writes:
         more = sum(200 + value_bytes(c.value) for c in write.changes if isinstance(c, Put))
-        if changes and (
-            len(changes) + len(write.changes) > limits.ops or size + more > TXN_BYTES
-        ):
+        if changes and (len(changes) + len(write.changes) > limits.ops or size + more > TXN_BYTES):
             yield Write(guards, changes)
             guards, changes, size = {}, [], 0
         guards = {**guards, **write.guards}
--- a/ryegauge/rebuilding/noticing.py
+++ b/ryegauge/rebuilding/noticing.py
@@ -118,7 +118,8 @@
             raise Gone
         changed = {event.key for event in new}
         stuck = sorted(
-            key for key, version in self._checking.items()
+            key
+            for key, version in self._checking.items()
             if key not in changed and self._book.version_of(key) == version
         )
         self._checking = {}
@@ -136,9 +137,7 @@
             self.suspicion, self.contradicted = "", False
         return new
 
-    def odd(
-        self, page: list[Event], after: str | None, last: str | None, ledger: int
-    ) -> list[str]:
+    def odd(self, page: list[Event], after: str | None, last: str | None, ledger: int) -> list[str]:
         """Records that a page of all keys from `after` on, up to `last` or to the end, lacks or
         shows in another version than the book, which has been read since. The page is of
         revision `ledger`: what the book has from before must stand there just so."""
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -48,7 +48,8 @@
         for key, known in self.records.items():
             records[key] = _both(known, records[key]) if key in records else known
         left = {
-            key: known for key, known in records.items()
+            key: known
+            for key, known in records.items()
             if not (key.startswith(("r/j/", "r/s/")) and key.split("/")[2] in finals)
         }
         return Kept(left, finals, self.lived)
@@ -94,9 +95,7 @@
 FLEETING = ("r/p/", "r/l", "r/n/", "r/e")
 
 
-def keep(
-    book: JobBook, lived: bool, written: Mapping[int, Iterable[Put]] | None = None
-) -> Kept:
+def keep(book: JobBook, lived: bool, written: Mapping[int, Iterable[Put]] | None = None) -> Kept:
     """All that the book holds but roles, and what is `written` but not read yet, by revision."""
     records: dict[str, Known] = {}
     for job in book.jobs.values():
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -131,9 +131,7 @@
     """Jobs that are not in the book; unless they are over and have left it, they are lost."""
     kept = snapshot.kept
     jobs = (key[4:] for key in kept.records if key.startswith("r/j/") and key.count("/") == 2)
-    return (
-        uid for uid in (*jobs, *kept.finals) if uid not in book.jobs and uid not in book.packed
-    )
+    return (uid for uid in (*jobs, *kept.finals) if uid not in book.jobs and uid not in book.packed)
 
 
 def outdated(names: Iterable[str], kept: int) -> list[str]:
--- a/ryegauge/rebuilding/stages.py
+++ b/ryegauge/rebuilding/stages.py
@@ -17,9 +17,7 @@
 ABSENT_TERMS = 0.25
 
 
-def my_turn(
-    book: JobBook, names: Sequence[str], name: str, begun_s: float, term_s: float
-) -> bool:
+def my_turn(book: JobBook, names: Sequence[str], name: str, begun_s: float, term_s: float) -> bool:
     """Controllers put back one after the other: most know the same, and all at once they spent
     the changes that the service takes on conflicts. (Found by `experiment loss`: 29 s with five
     of them, 6 s with one.)"""
@@ -51,7 +49,11 @@
 
 
 def next_record(
-    book: JobBook, names: Sequence[str], begun_s: float, held_s: float, hold_s: float,
+    book: JobBook,
+    names: Sequence[str],
+    begun_s: float,
+    held_s: float,
+    hold_s: float,
     term_s: float,
 ) -> dict[str, Any] | None:
     """The era's record as the leader should write it now. `begun_s`, `held_s`: seconds for
--- a/ryegauge/scheduling/estimates.py
+++ b/ryegauge/scheduling/estimates.py
@@ -36,7 +36,9 @@
             if n > 200:
                 n, total, squares = n / 2, total / 2, squares / 2
             self._squares[job_class] = (
-                n + count, total + log_ratio_sum, squares + log_ratio_squares
+                n + count,
+                total + log_ratio_sum,
+                squares + log_ratio_squares,
             )
 
     def run_s(self, job_class: str, estimate_s: float) -> float:
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -188,8 +188,16 @@
         fitting = [room for room in fitting if room.zone == zone]
     ranks = _part_ranks(need, fitting)
     candidates = [
-        (_completion(need, room, grain), not room.spot, need.image not in room.images,
-         room.type.cpus, ranks[room.part], room.cpus, i, room)
+        (
+            _completion(need, room, grain),
+            not room.spot,
+            need.image not in room.images,
+            room.type.cpus,
+            ranks[room.part],
+            room.cpus,
+            i,
+            room,
+        )
         for i, room in enumerate(fitting)
     ]
     candidates.sort(key=lambda c: c[:7])
@@ -290,8 +298,9 @@
         """Of all types, each where and how it is had soonest."""
         return max(
             (
-                min((self.boot_s(t, z, s) for z in t.zones for s in (False, True)),
-                    default=t.boot_s)
+                min(
+                    (self.boot_s(t, z, s) for z in t.zones for s in (False, True)), default=t.boot_s
+                )
                 for t in self.types.values()
             ),
             default=0.0,
@@ -370,7 +379,8 @@
         best: tuple[int, bool, int] | None = None
         for part, rooms in by_part.items():
             fits = sum(
-                room.fits(need) for room in rooms
+                room.fits(need)
+                for room in rooms
                 if room.cpus + EPSILON >= need.cpus
                 and allowed(need, room.type.name, room.zone, room.spot)
             )
@@ -496,8 +506,10 @@
     for left_s, _, room in waits[: need.count]:
         # Not more than once: what waits here has taken what will be free.
         insort(room.busy, (left_s, -1, need.cpus, need.memory_gb, need.gpus))
-        room.soon = None if room.soon is None else (
-            room.soon[0] - need.cpus, room.soon[1] - need.memory_gb, room.soon[2] - need.gpus
+        room.soon = (
+            None
+            if room.soon is None
+            else (room.soon[0] - need.cpus, room.soon[1] - need.memory_gb, room.soon[2] - need.gpus)
         )
         room.held_s = min(room.held_s, left_s)
         room.used = True
@@ -557,12 +569,17 @@
         and _fit(need, t.cpus, t.memory_gb, t.gpus) > 0
         and allowed(need, t.name, z, False)
         and (t.name, z, False) not in market.refused
-        for t in market.types.values() for z in t.zones
+        for t in market.types.values()
+        for z in t.zones
     )
 
 
 def _rent(
-    need: Need, market: Market, spot: bool, now: float, coming: list[Room],
+    need: Need,
+    market: Market,
+    spot: bool,
+    now: float,
+    coming: list[Room],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
     """New machines for what is left of a need; their spare room serves later needs.
@@ -586,9 +603,7 @@
     return len(coming) > before
 
 
-def _choose(
-    need: Need, market: Market, spot: bool, now: float
-) -> tuple[MachineType, str] | None:
+def _choose(need: Need, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
     """FindCostPerfEffectiveVM: of the types that meet the deadline (all, if none
     does), the lowest path time times price for all the tasks that wait."""
     best: tuple[tuple[bool, float, float, str, str], MachineType, str] | None = None
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -34,7 +34,8 @@
 def _leaves(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
     """The exceptions in groups of groups."""
     return [
-        leaf for error in group.exceptions
+        leaf
+        for error in group.exceptions
         for leaf in (_leaves(error) if isinstance(error, BaseExceptionGroup) else [error])
     ]
 
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -67,8 +67,14 @@
     def client(self, address: str, *, max_connections: int, idle_s: float) -> Caller: ...
 
     async def serve(
-        self, address: str, handler: Handler, *, max_connections: int, idle_s: float,
-        request_s: float, listening: Callable[[], None] = ...,
+        self,
+        address: str,
+        handler: Handler,
+        *,
+        max_connections: int,
+        idle_s: float,
+        request_s: float,
+        listening: Callable[[], None] = ...,
         first: Callable[[str], bool] = ...,
     ) -> None:
         """`listening` is called once the address is ours; `first` tells by its target whose
@@ -89,12 +95,21 @@
         return Client(host, port, max_connections=max_connections, idle_s=idle_s)
 
     async def serve(
-        self, address: str, handler: Handler, *, max_connections: int, idle_s: float,
-        request_s: float, listening: Callable[[], None] = lambda: None,
+        self,
+        address: str,
+        handler: Handler,
+        *,
+        max_connections: int,
+        idle_s: float,
+        request_s: float,
+        listening: Callable[[], None] = lambda: None,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
         server = Server(
-            handler, max_connections=max_connections, idle_s=idle_s, request_s=request_s,
+            handler,
+            max_connections=max_connections,
+            idle_s=idle_s,
+            request_s=request_s,
             first=first,
         )
         await server.serve(*split_address(address), listening)
@@ -135,7 +150,12 @@
     run out.)"""
 
     def __init__(
-        self, handler: Handler, *, max_connections: int, idle_s: float, request_s: float,
+        self,
+        handler: Handler,
+        *,
+        max_connections: int,
+        idle_s: float,
+        request_s: float,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
         self._handler = handler
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,6 @@
 hypothesis_settings.load_profile("ci")
 
 
-
 def pytest_configure(config: pytest.Config) -> None:
     plugin = known_red.Plugin(Path(__file__).parent.parent)
     plugin.pytest_configure(config)
@@ -62,6 +61,7 @@
 max_connections = 600
 """
 
+
 def settings_text(n: int = 0, count: int = 3, areas: str = "a") -> str:
     """Controllers are in the zones that `areas` names, one letter each, in turn."""
     text = SETTINGS.format(name=f"node-{n}", n=n + 1, count=count, area=areas[n % len(areas)])
@@ -83,10 +83,25 @@
 
 def job_body(uid: str = "wk-000001", **changes: object) -> dict[str, object]:
     body: dict[str, object] = {
-        "uid": uid, "duty": "clean", "crew": "red", "shape": "sweep", "urgency": "normal",
-        "pieces": 4, "cpus": 2.0, "cards": 0.0, "memoryGb": 4.0, "kit": "img-1",
-        "imageGb": 1.0, "builds": None, "district": None, "together": False,
-        "spread": False, "loaners": True, "expectS": 20.0, "waypointS": 0.0,
-        "stowS": 0.0, "dueS": 300.0,
+        "uid": uid,
+        "duty": "clean",
+        "crew": "red",
+        "shape": "sweep",
+        "urgency": "normal",
+        "pieces": 4,
+        "cpus": 2.0,
+        "cards": 0.0,
+        "memoryGb": 4.0,
+        "kit": "img-1",
+        "imageGb": 1.0,
+        "builds": None,
+        "district": None,
+        "together": False,
+        "spread": False,
+        "loaners": True,
+        "expectS": 20.0,
+        "waypointS": 0.0,
+        "stowS": 0.0,
+        "dueS": 300.0,
     }
     return {**body, **changes}
--- a/tests/days.py
+++ b/tests/days.py
@@ -30,8 +30,11 @@
 
 
 def play(
-    settings: list[Settings], seed: int, jobs: list[dict[str, Any]],
-    script: Callable[[World], Awaitable[None]], seconds: float,
+    settings: list[Settings],
+    seed: int,
+    jobs: list[dict[str, Any]],
+    script: Callable[[World], Awaitable[None]],
+    seconds: float,
     fleet: tuple[FleetType, ...] = SMALL_FLEET,
 ) -> Day:
     """One day in simulated time, the same every time."""
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,8 @@
 
 NAMES = ["a", "b", "c"]
 weights_strategy = st.fixed_dictionaries(
-    {name: st.sampled_from([0.5, 1.0, 2.0, 5.0]) for name in NAMES})
+    {name: st.sampled_from([0.5, 1.0, 2.0, 5.0]) for name in NAMES}
+)
 
 
 @given(weights_strategy, st.sets(st.sampled_from(NAMES), min_size=1))
@@ -37,9 +38,7 @@
 
 
 @given(weights_strategy, st.lists(st.sampled_from([*NAMES, "serve"]), max_size=60))
-def test_turns_are_those_of_the_plain_model(
-    weights: dict[str, float], events: list[str]
-) -> None:
+def test_turns_are_those_of_the_plain_model(weights: dict[str, float], events: list[str]) -> None:
     """The model serves the binding whose next message has the earliest start: the later of
     when it came, in virtual time, and the finish of its binding's message before."""
     turns = FairTurns(weights)
@@ -88,6 +87,7 @@
 @pytest.mark.parametrize("cancelled", [0.2, 1.5])
 def test_one_that_gives_up_leaves_its_place_to_the_next(cancelled: float) -> None:
     """Before its turn, and in the middle of it."""
+
     async def scenario() -> float:
         gate = Gate({"a": 1.0}, 1, lambda _: True, lambda: True, 0.1)
 
@@ -109,8 +109,13 @@
 def test_a_binding_that_may_not_go_waits_aside() -> None:
     async def scenario() -> list[str]:
         open_at = {"a": 5.0, "b": 0.0}
-        gate = Gate({"a": 9.0, "b": 1.0}, 1,
-                    lambda name: trio.current_time() >= open_at[name], lambda: True, 0.1)
+        gate = Gate(
+            {"a": 9.0, "b": 1.0},
+            1,
+            lambda name: trio.current_time() >= open_at[name],
+            lambda: True,
+            0.1,
+        )
         order: list[str] = []
 
         async def message(binding: str) -> None:
--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -36,8 +36,7 @@
 
 def flood(lead: Lead, first: int = 100, jobs: int = 10, **changes: object) -> None:
     for n in range(jobs):
-        lead.job(f"wk-{first + n:06d}", urgency="high", pieces=8, cpus=1.0, memoryGb=1.0,
-                 **changes)
+        lead.job(f"wk-{first + n:06d}", urgency="high", pieces=8, cpus=1.0, memoryGb=1.0, **changes)
 
 
 def old_job(lead: Lead, uid: str, age_s: float, **changes: object) -> None:
@@ -100,8 +99,16 @@
     lead.allot("wk-000001", 0, [0, 1])
     busy(lead, "m-1", 0, 15.0)
     busy(lead, "m-2", 1, 19.0)
-    old_job(lead, "wk-000002", waited_s, pieces=1, cpus=4.0, crew="blue",
-            urgency="best_effort", expectS=30.0)
+    old_job(
+        lead,
+        "wk-000002",
+        waited_s,
+        pieces=1,
+        cpus=4.0,
+        crew="blue",
+        urgency="best_effort",
+        expectS=30.0,
+    )
     lead.job("wk-000003", pieces=6, cpus=1.0, urgency="high", expectS=25.0)
     assert lead.round() == {"wk-000003": 3 if held else 6}
     lead.job("wk-000004", pieces=2, cpus=1.0, urgency="critical", expectS=10.0)
@@ -157,8 +164,9 @@
         records[key] = (value, revision)
         book.apply([Event(key, value, revision)], revision)
 
-    for n, (at, needs) in enumerate([(NOW - 900, []), (NOW - 900, ["wk-000000"]),
-                                     (NOW - 400, []), (NOW - 300, ["wk-000000"])]):
+    for n, (at, needs) in enumerate(
+        [(NOW - 900, []), (NOW - 900, ["wk-000000"]), (NOW - 400, []), (NOW - 300, ["wk-000000"])]
+    ):
         spec = parse_job(job_body(f"wk-{n:06d}", awaits=needs))
         put(job_key(spec.uid), job_record(spec, at, False))
     put(share_key("wk-000000", 0), {"t": {}, "d": [0, 3], "e": NOW - 250.0})
@@ -168,7 +176,10 @@
     again.replace([Event(k, v, version) for k, (v, version) in records.items()], book.ledger)
     for each in (book, again):
         assert [each.jobs[f"wk-{n:06d}"].ready_at for n in (1, 2, 3)] == [
-            NOW - 200.0, NOW - 400.0, NOW - 200.0]
+            NOW - 200.0,
+            NOW - 400.0,
+            NOW - 200.0,
+        ]
 
 
 def test_ends_are_dated_only_where_work_ages(settings: Settings) -> None:
@@ -208,10 +219,27 @@
 
 
 FLOOD: list[dict[str, Any]] = [
-    {"pieces": 12, "cpus": 4.0, "urgency": "best_effort", "crew": "blue", "really": 10.0,
-     "expectS": 10.0, "dueS": None, "delay": 1.0},
-    *({"pieces": 10, "cpus": 1.0, "urgency": "high", "really": 8.0, "expectS": 8.0,
-       "delay": 3.0 + 2.0 * n} for n in range(100)),
+    {
+        "pieces": 12,
+        "cpus": 4.0,
+        "urgency": "best_effort",
+        "crew": "blue",
+        "really": 10.0,
+        "expectS": 10.0,
+        "dueS": None,
+        "delay": 1.0,
+    },
+    *(
+        {
+            "pieces": 10,
+            "cpus": 1.0,
+            "urgency": "high",
+            "really": 8.0,
+            "expectS": 8.0,
+            "delay": 3.0 + 2.0 * n,
+        }
+        for n in range(100)
+    ),
 ]
 
 
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -131,7 +131,9 @@
         with pytest.raises(Misuse):
             connection.ack(number, tag)
     assert [(c, v.name) for c, v in sent(connection)] == [
-        (number, "Basic.Ack"), (number, "Basic.Reject")]
+        (number, "Basic.Ack"),
+        (number, "Basic.Reject"),
+    ]
 
 
 def test_confirms_come_singly_and_together() -> None:
@@ -143,10 +145,16 @@
     bodies = [v for _, v in sent(connection) if isinstance(v, ContentBody)]
     assert len(bodies) == 10  # frames of 8192 octets at most
     got = connection.receive(
-        wire(Basic.Ack(2, False), number) + wire(Basic.Ack(3, True), number)
-        + wire(Basic.Nack(5, False, False), number), 0.0)
-    assert got == [Confirmed(number, (2,), True), Confirmed(number, (1, 3), True),
-                   Confirmed(number, (5,), False)]
+        wire(Basic.Ack(2, False), number)
+        + wire(Basic.Ack(3, True), number)
+        + wire(Basic.Nack(5, False, False), number),
+        0.0,
+    )
+    assert got == [
+        Confirmed(number, (2,), True),
+        Confirmed(number, (1, 3), True),
+        Confirmed(number, (5,), False),
+    ]
     returned = wire(Basic.Return(312, "NO_ROUTE", "", "q"), number)
     returned += wire(ContentHeader(0, 0, Basic.Properties(message_id="m")), number)
     (back,) = connection.receive(returned, 0.0)
@@ -172,7 +180,8 @@
 def test_a_channel_closed_by_the_broker_leaves_the_connection() -> None:
     connection, number = with_channel()
     assert connection.receive(wire(amqp.Channel.Close(404, "no queue", 50, 10), number), 0.0) == [
-        ChannelClosed(number, 404, "no queue")]
+        ChannelClosed(number, 404, "no queue")
+    ]
     assert [v.name for _, v in sent(connection)] == ["Channel.CloseOk"]
     with pytest.raises(Misuse):
         connection.ack(number, 1)
@@ -200,7 +209,8 @@
     "method within a message": wire(Basic.Deliver("me", 1, False, "", ""), 1)
     + wire(Basic.Deliver("me", 2, False, "", ""), 1),
     "body beyond its size": wire(Basic.Deliver("me", 1, False, "", ""), 1)
-    + wire(ContentHeader(0, 1, Basic.Properties()), 1) + wire(ContentBody(b"xx"), 1),
+    + wire(ContentHeader(0, 1, Basic.Properties()), 1)
+    + wire(ContentBody(b"xx"), 1),
     "a message without bound": wire(Basic.Deliver("me", 1, False, "", ""), 1)
     + wire(ContentHeader(0, BODY_MAX + 1, Basic.Properties()), 1),
     "tags that go back": delivery(1, 2, b"a") + delivery(1, 2, b"b"),
@@ -218,16 +228,27 @@
 
 
 GOOD = [
-    START, TUNE, OPEN_OK, wire(Heartbeat()), wire(amqp.Channel.OpenOk(), 1),
-    delivery(1, 1, b"abcdefgh"), wire(amqp.Confirm.SelectOk(), 1),
-    wire(amqp.Connection.Blocked("memory")), wire(amqp.Channel.Close(404, "x", 0, 0), 1),
-    wire(Basic.ConsumeOk("me"), 1), wire(Basic.Nack(0, True, False), 1),
+    START,
+    TUNE,
+    OPEN_OK,
+    wire(Heartbeat()),
+    wire(amqp.Channel.OpenOk(), 1),
+    delivery(1, 1, b"abcdefgh"),
+    wire(amqp.Confirm.SelectOk(), 1),
+    wire(amqp.Connection.Blocked("memory")),
+    wire(amqp.Channel.Close(404, "x", 0, 0), 1),
+    wire(Basic.ConsumeOk("me"), 1),
+    wire(Basic.Nack(0, True, False), 1),
     wire(amqp.Connection.Close(320, "bye", 0, 0)),
 ]
 
 
-@given(st.lists(st.one_of(st.sampled_from(GOOD), st.binary(max_size=40)), max_size=12),
-       st.integers(0, 200), st.integers(0, 255), st.booleans())
+@given(
+    st.lists(st.one_of(st.sampled_from(GOOD), st.binary(max_size=40)), max_size=12),
+    st.integers(0, 200),
+    st.integers(0, 255),
+    st.booleans(),
+)
 def test_no_bytes_make_it_raise_hang_or_grow(
     pieces: list[bytes], at: int, octet: int, logged_in: bool
 ) -> None:
--- a/tests/test_amqp_tls.py
+++ b/tests/test_amqp_tls.py
@@ -75,8 +75,10 @@
 
 def broker(tmp_path: Path, port: int, **changes: object) -> Broker:
     fields: dict[str, object] = {
-        "ca_file": str(tmp_path / "ca.pem"), "password_file": str(tmp_path / "password"),
-        "timeout_s": 5.0, **changes,
+        "ca_file": str(tmp_path / "ca.pem"),
+        "password_file": str(tmp_path / "password"),
+        "timeout_s": 5.0,
+        **changes,
     }
     return Broker(f"amqps://127.0.0.1:{port}/", **fields)  # type: ignore[arg-type]
 
@@ -90,11 +92,11 @@
 
 
 @pytest.mark.parametrize("fault", ["another authority", "another name", "not TLS"])
-def test_others_are_not_and_get_no_password(
-    tmp_path: Path, ca: trustme.CA, fault: str
-) -> None:
-    server = context(trustme.CA() if fault == "another authority" else ca,
-                     "10.9.9.9" if fault == "another name" else "127.0.0.1")
+def test_others_are_not_and_get_no_password(tmp_path: Path, ca: trustme.CA, fault: str) -> None:
+    server = context(
+        trustme.CA() if fault == "another authority" else ca,
+        "10.9.9.9" if fault == "another name" else "127.0.0.1",
+    )
 
     async def scenario() -> None:
         if fault == "not TLS":
@@ -159,6 +161,7 @@
                     if event == Opened():
                         opened.append(session)
                         seen.set()
+
                 return told
 
             async def wait() -> None:
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -78,8 +78,14 @@
     def __init__(self, settings: Settings, fault: str) -> None:
         out: Any = Outside()
         super().__init__(
-            settings, out, book(()), out, lambda: {"x": True}, lambda n: None,  # type: ignore
-            lambda n: None, lambda: 0.0,
+            settings,
+            out,
+            book(()),
+            out,
+            lambda: {"x": True},
+            lambda n: None,  # type: ignore
+            lambda n: None,
+            lambda: 0.0,
         )
         self._finals, self._fault, self.chain = out, fault, ()
 
@@ -222,8 +228,11 @@
     def _ask(self, n: int, what: str) -> None:
         door = self.doors[n]
         run = (
-            door.submit(self.spec) if what == "submit"
-            else door._poll("wk-2") if what == "poll" else door.cancel("wk-2")
+            door.submit(self.spec)
+            if what == "submit"
+            else door._poll("wk-2")
+            if what == "poll"
+            else door.cancel("wk-2")
         )
         self.left -= 1
         self.threads.append(Thread(n, run, what, self.heard))
@@ -285,11 +294,25 @@
     def mark(self) -> object:
         """All that follows depends on."""
         return (
-            self.chain, tuple(len(door.chain) for door in self.doors), self.heard, self.left,
-            self.lost, tuple(repr(late) for late in self.late),
-            tuple((t.door, t.name, t.heard, tuple(t.seen) if t.name != "writer" else
-                   repr(t.wants.about) if t.wants and t.wants.kind == "commit" else "")
-                  for t in self.threads),
+            self.chain,
+            tuple(len(door.chain) for door in self.doors),
+            self.heard,
+            self.left,
+            self.lost,
+            tuple(repr(late) for late in self.late),
+            tuple(
+                (
+                    t.door,
+                    t.name,
+                    t.heard,
+                    tuple(t.seen)
+                    if t.name != "writer"
+                    else repr(t.wants.about)
+                    if t.wants and t.wants.kind == "commit"
+                    else "",
+                )
+                for t in self.threads
+            ),
         )
 
 
@@ -324,12 +347,19 @@
 
 @pytest.fixture
 def played(settings: Settings, monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
-    monkeypatch.setattr(frontdoor, "trio", SimpleNamespace(
-        Event=Event, current_time=lambda: 0.0, move_on_after=lambda s: contextlib.nullcontext(),
-    ))
+    monkeypatch.setattr(
+        frontdoor,
+        "trio",
+        SimpleNamespace(
+            Event=Event,
+            current_time=lambda: 0.0,
+            move_on_after=lambda s: contextlib.nullcontext(),
+        ),
+    )
     monkeypatch.setattr(frontdoor, "never_runs", lambda *_: None)
     return lambda begins, fault, questions: explore(
-        lambda: Play(settings, begins, fault, questions))
+        lambda: Play(settings, begins, fault, questions)
+    )
 
 
 @pytest.mark.parametrize("begins, least", [("new", 2000), ("accepted", 4000), ("hangs", 300)])
@@ -341,11 +371,17 @@
     assert situations > least
 
 
-@pytest.mark.parametrize("fault, begins", [
-    ("from the book", "hangs"), ("from the book", "accepted"), ("no read", "accepted"),
-    ("looks up first", "accepted"), ("cancels what is done", "accepted"),
-    ("recorded anew", "accepted"),
-])
+@pytest.mark.parametrize(
+    "fault, begins",
+    [
+        ("from the book", "hangs"),
+        ("from the book", "accepted"),
+        ("no read", "accepted"),
+        ("looks up first", "accepted"),
+        ("cancels what is done", "accepted"),
+        ("recorded anew", "accepted"),
+    ],
+)
 def test_seeded_faults_are_found(played: Callable[..., Any], fault: str, begins: str) -> None:
     """from the book: a repeated submission is answered from the book, by the object found before
     the read. no read: polls too, without a read. looks up first: outcomes before the read.
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -123,14 +123,25 @@
     async def scenario() -> None:
         asked = Asked(settings)
         asked.on_read = refuse
-        asked.book.replace([
-            record(1, version=3), all_done(1, 5), record(2, version=4), record(3, version=4),
-            Event("r/k/x", {"cancelled": {"wk-4": 1}}, 6),
-        ], 6)
+        asked.book.replace(
+            [
+                record(1, version=3),
+                all_done(1, 5),
+                record(2, version=4),
+                record(3, version=4),
+                Event("r/k/x", {"cancelled": {"wk-4": 1}}, 6),
+            ],
+            6,
+        )
         asked.book.cancelled_ahead.add("wk-2")
         asked.front._finals._known["wk-5"] = {"st": "done", "d": 4}
-        for uid, told in {"wk-1": "done", "wk-2": "cancelled", "wk-3": 503, "wk-4": "cancelled",
-                          "wk-5": "done"}.items():
+        for uid, told in {
+            "wk-1": "done",
+            "wk-2": "cancelled",
+            "wk-3": 503,
+            "wk-4": "cancelled",
+            "wk-5": "done",
+        }.items():
             assert await asked.told(uid) == [told] * 4
 
     trio.run(scenario)
--- a/tests/test_away.py
+++ b/tests/test_away.py
@@ -13,11 +13,15 @@
 # Of each pair the second is cancelled. Half of them run for longer than any trouble here.
 JOBS: list[dict[str, Any]] = [
     {"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "really": really, "crew": crew}
-    for really in (18.0, 70.0) for crew in ("red", "blue") for _ in range(4)
+    for really in (18.0, 70.0)
+    for crew in ("red", "blue")
+    for _ in range(4)
 ]
 CANCELLED = [f"wk-{n + 1:06d}" for n in range(1, len(JOBS), 2)]
-LATER = [{"pieces": 3, "cpus": 1.0, "delay": 45.0 + 4.0 * n, "really": 5.0, "crew": "blue"}
-         for n in range(6)]
+LATER = [
+    {"pieces": 3, "cpus": 1.0, "delay": 45.0 + 4.0 * n, "really": 5.0, "crew": "blue"}
+    for n in range(6)
+]
 
 
 def running(world: Day) -> set[str]:
@@ -61,8 +65,10 @@
         names = {w.name for w in world.workers.values() if w.zone == "b"}
         names |= {world.host_of(n) for n in (1, 3)}
         rest = {world.host_of(n) for n in (0, 2, 4)} | {"users"}
-        rest |= {s.partition(":")[0] for s in (
-            world.settings[0].outside.state, world.settings[0].outside.cloud)}
+        rest |= {
+            s.partition(":")[0]
+            for s in (world.settings[0].outside.state, world.settings[0].outside.cloud)
+        }
         rest |= {w.name for w in world.workers.values() if w.zone == "a"}
         inside.append({t for w in world.workers.values() if w.zone == "b" for t in w.on_machine()})
         with world.cut(names, rest, hold=True):
@@ -107,9 +113,16 @@
     """Urgent and not; workers' and controllers' answers take up to a quarter of a lease, the
     leader ends, and urgent work still goes first."""
     jobs: list[dict[str, Any]] = [
-        {"pieces": 8, "cpus": 2.0, "memoryGb": 1.0, "really": 9.0, "delay": 1.5 * n,
-         "crew": ("red", "blue")[n % 2], "urgency": ("best_effort", "high", "normal")[n % 3],
-         **({"cancel_after": 6.0} if n % 5 == 4 else {})}
+        {
+            "pieces": 8,
+            "cpus": 2.0,
+            "memoryGb": 1.0,
+            "really": 9.0,
+            "delay": 1.5 * n,
+            "crew": ("red", "blue")[n % 2],
+            "urgency": ("best_effort", "high", "normal")[n % 3],
+            **({"cancel_after": 6.0} if n % 5 == 4 else {}),
+        }
         for n in range(24)
     ]
 
--- a/tests/test_back_at_once.py
+++ b/tests/test_back_at_once.py
@@ -43,9 +43,16 @@
         await trio.sleep(4.0)
 
 
-@pytest.mark.parametrize(("back_s", "count", "seed"), [
-    (0.05, 3, 1), (0.2, 5, 2), (0.8, 3, 3), (0.05, 5, 4), (0.2, 3, 5),
-])
+@pytest.mark.parametrize(
+    ("back_s", "count", "seed"),
+    [
+        (0.05, 3, 1),
+        (0.2, 5, 2),
+        (0.8, 3, 3),
+        (0.05, 5, 4),
+        (0.2, 3, 5),
+    ],
+)
 def test_rules_hold(tmp_path: Path, back_s: float, count: int, seed: int) -> None:
     async def script(world: World) -> None:
         await ends(world, back_s)
@@ -69,8 +76,12 @@
             await trio.sleep(2.0)
 
     settings = [
-        msgspec.structs.replace(each, settings=msgspec.structs.replace(
-            each.settings, state=msgspec.structs.replace(each.settings.state, rps=80.0)))
+        msgspec.structs.replace(
+            each,
+            settings=msgspec.structs.replace(
+                each.settings, state=msgspec.structs.replace(each.settings.state, rps=80.0)
+            ),
+        )
         for each in some_controllers(tmp_path, 5)
     ]
     world = play(settings, 8, MIX, script, 160.0)
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -28,7 +28,8 @@
         since = [e for e in here[last + 1 :] if e[4] <= SEVERAL]
         others = [uid for uid, *_ in since if uid in self.good]
         alone = {
-            uid for uid, *_ in since
+            uid
+            for uid, *_ in since
             if uid not in self.good | self.elsewhere and self.failed_on(uid) == {machine}
         }
         return len(others) >= SEVERAL, len(alone) >= SEVERAL
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -29,8 +29,13 @@
         self.given_up: dict[str, float] = {}  # name -> age at which it was given up
         self.uncounted: dict[str, float] = {}
 
-    def play(self, factor_at: dict[Kind, list[tuple[float, float]]], never: float,
-             seconds: float, every_s: float = 1.0) -> None:
+    def play(
+        self,
+        factor_at: dict[Kind, list[tuple[float, float]]],
+        never: float,
+        seconds: float,
+        every_s: float = 1.0,
+    ) -> None:
         now, following = 0.0, 0.0
         while now < seconds:
             while following <= now:
@@ -122,12 +127,16 @@
     assert {e.left_s for e in boots.look(both, 0.0).values()} == {60.0}
 
 
-@pytest.mark.parametrize(("factor", "never", "zones"), [
-    (4.0, 0.0, "ab"), (1.0, 0.4, "ab"), (3.0, 0.3, "b"), (0.05, 0.0, "ab"),
-])
-def test_days_with_late_boots(
-    tmp_path: Path, factor: float, never: float, zones: str
-) -> None:
+@pytest.mark.parametrize(
+    ("factor", "never", "zones"),
+    [
+        (4.0, 0.0, "ab"),
+        (1.0, 0.4, "ab"),
+        (3.0, 0.3, "b"),
+        (0.05, 0.0, "ab"),
+    ],
+)
+def test_days_with_late_boots(tmp_path: Path, factor: float, never: float, zones: str) -> None:
     async def script(world: World) -> None:
         world.slow_zones, world.boot_factor, world.boot_fails = set(zones), factor, never
         await trio.sleep(40.0)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -50,7 +50,7 @@
 
 def test_unknown_settings_are_ignored(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
-    path.write_text('new_field = 1\n' + settings_text() + "[extra]\nx = 1\n")
+    path.write_text("new_field = 1\n" + settings_text() + "[extra]\nx = 1\n")
     assert load(path).node_name == "node-0"
 
 
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -58,8 +58,12 @@
     # A live worker whose owner does not answer tries the next controller in five seconds.
     heard = "owner_deaf" in truth and not gone and "hung" not in truth and helpers
     return Evidence(
-        silent_s=listened, waited_s=after_s, elsewhere_s=1.0 if heard else NEVER,
-        probes=probes, notice="taken" in truth, stood_still_s=stood,
+        silent_s=listened,
+        waited_s=after_s,
+        elsewhere_s=1.0 if heard else NEVER,
+        probes=probes,
+        notice="taken" in truth,
+        stood_still_s=stood,
         heard_share=0.0 if truth & {"owner_deaf", "zone_cut"} else 0.9,
         zone_cut="zone_cut" in truth,
     )
@@ -97,11 +101,22 @@
 outcomes = st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(Outcome)), max_size=4)
 evidence = st.builds(
     lambda silent, stood, elsewhere, probes, notice, share, cut: Evidence(
-        silent, silent + stood, elsewhere, tuple(Probe(*p, 0.0) for p in probes), notice, stood,
-        share, cut,
+        silent,
+        silent + stood,
+        elsewhere,
+        tuple(Probe(*p, 0.0) for p in probes),
+        notice,
+        stood,
+        share,
+        cut,
     ),
-    st.floats(0, 60), st.floats(0, 30), st.sampled_from([1.0, 8.0, 10.0, 40.0, NEVER]),
-    outcomes, st.booleans(), st.floats(0, 1), st.booleans(),
+    st.floats(0, 60),
+    st.floats(0, 30),
+    st.sampled_from([1.0, 8.0, 10.0, 40.0, NEVER]),
+    outcomes,
+    st.booleans(),
+    st.floats(0, 1),
+    st.booleans(),
 )
 SIGNS_OF_LIFE = [Outcome.ANSWERED, Outcome.NO_ANSWER, Outcome.REFUSED, Outcome.RESET]
 
