--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -129,8 +129,12 @@
 
 def test_a_wrong_key_of_an_emulation_names_its_place(tmp_path: Path) -> None:
     path = tmp_path / "e.toml"
-    for text, says in [("speeed = 1.0", "speeed"), ("speed = 0.0", r"\$\.speed"),
-                       ('[[types]]\nname = "x"', r"\$\.types\[0\]"), ("[teams", "TOML")]:
+    for text, says in [
+        ("speeed = 1.0", "speeed"),
+        ("speed = 0.0", r"\$\.speed"),
+        ('[[types]]\nname = "x"', r"\$\.types\[0\]"),
+        ("[teams", "TOML"),
+    ]:
         path.write_text(text)
         with pytest.raises(ConfigError, match=says):
             read_toml(path, Emulation)
@@ -143,10 +147,24 @@
     command = ["/bin/sh", "-c", f'echo "$RYEGAUGE_TASK" >> {out}']
     emulation = Emulation(commands={"demo": command}, report_s=0.3, lease_s=4.0, cancel_s=12.0)
     body = {
-        "uid": "wk-000001", "duty": "demo", "crew": "feed-ops", "shape": "sweep",
-        "urgency": "normal", "pieces": 3, "cpus": 1.0, "cards": 0.0, "memoryGb": 1.0,
-        "kit": "img-1", "imageGb": 0.2, "together": False, "spread": False, "loaners": True,
-        "expectS": 30.0, "waypointS": 0.0, "stowS": 0.0, "dueS": 300.0,
+        "uid": "wk-000001",
+        "duty": "demo",
+        "crew": "feed-ops",
+        "shape": "sweep",
+        "urgency": "normal",
+        "pieces": 3,
+        "cpus": 1.0,
+        "cards": 0.0,
+        "memoryGb": 1.0,
+        "kit": "img-1",
+        "imageGb": 0.2,
+        "together": False,
+        "spread": False,
+        "loaners": True,
+        "expectS": 30.0,
+        "waypointS": 0.0,
+        "stowS": 0.0,
+        "dueS": 300.0,
     }
 
     async def scenario() -> Any:
@@ -161,13 +179,15 @@
                     await trio.sleep(0.2)
                     try:
                         status, answer, _ = await client.request(
-                            "POST", "/v1/jobs", body, timeout_s=5.0)
+                            "POST", "/v1/jobs", body, timeout_s=5.0
+                        )
                     except Exception:
                         status = 0
                 while answer["status"] != "done":
                     await trio.sleep(0.2)
                     status, told, _ = await client.request(
-                        "GET", "/v1/jobs/wk-000001", timeout_s=5.0)
+                        "GET", "/v1/jobs/wk-000001", timeout_s=5.0
+                    )
                     answer = told if status == 200 else answer
                 nursery.cancel_scope.cancel()
         return answer
@@ -200,6 +220,7 @@
             report = decode(body)
             heard.append((address, report["shift"], report["tally"]))
             return Reply(200, {"baton": 1, "orders": []})
+
         return handle
 
     for address in world.controllers.values():
@@ -217,8 +238,14 @@
             count = len(heard)
             for baton, shift, expected in ((1, 1, 200), (0, 1, 409), (1, 2, 409)):
                 body = {"baton": baton, "shift": shift, "orders": []}
-                assert expected == (await world.network.call(
-                    "10.0.0.1", worker.address, "POST", "/commands", body, 2.0))[0]
+                assert (
+                    expected
+                    == (
+                        await world.network.call(
+                            "10.0.0.1", worker.address, "POST", "/commands", body, 2.0
+                        )
+                    )[0]
+                )
             await trio.sleep(world.lease_s + 1.0)
             assert count > 10
             assert len(heard) == count
@@ -241,8 +268,7 @@
             assert answer[0] == 200
             # What is refused is not carried out either.
             with world.refused_by_state(0):
-                answer = await world.network.call(
-                    "10.0.0.1", service, "POST", "/multi", write, 0.1)
+                answer = await world.network.call("10.0.0.1", service, "POST", "/multi", write, 0.1)
                 assert (answer[0], world.state.revision) == (503, 1)
 
     surrounded(tmp_path, scenario)
@@ -267,7 +293,9 @@
 
 
 SPEC: dict[str, Any] = {
-    **job_body("wk-1", pieces=1), "really": 5.0, "broken": False,
+    **job_body("wk-1", pieces=1),
+    "really": 5.0,
+    "broken": False,
 }
 
 
@@ -287,8 +315,11 @@
     ],
 )
 def test_an_answer_is_held_against_what_was_heard_before_it_was_asked(
-    tmp_path: Path, first: tuple[int, str], then: tuple[str, int, str | None],
-    sent: float | None, rule: str | None,
+    tmp_path: Path,
+    first: tuple[int, str],
+    then: tuple[str, int, str | None],
+    sent: float | None,
+    rule: str | None,
 ) -> None:
     async def scenario(world: World) -> list[str]:
         checker = world.checker
@@ -317,8 +348,22 @@
 
 @pytest.mark.parametrize(
     "why_not",
-    ["", "troubled", "soon", "over", "cancelled", "placed", "no room", "limit", "type", "zone",
-     "spot", "needs", "hung", "down"],
+    [
+        "",
+        "troubled",
+        "soon",
+        "over",
+        "cancelled",
+        "placed",
+        "no room",
+        "limit",
+        "type",
+        "zone",
+        "spot",
+        "needs",
+        "hung",
+        "down",
+    ],
 )
 def test_a_job_left_waiting_beside_room_is_told(tmp_path: Path, why_not: str) -> None:
     """A machine of four cores, a task of two; each of the reasons for which it may wait."""
@@ -391,17 +436,29 @@
     jobs += [{"pieces": 1, "cpus": 1.0, "delay": 30.0, "really": 300.0} for _ in range(4)]
     world = play(some_controllers(tmp_path, 3), 3, jobs, script, 100.0)
     assert world.checker.broken == []
-    odd = [status for uid, what, _, status in asked if uid in world.checker.impossible
-           and what == "submit"]
+    odd = [
+        status
+        for uid, what, _, status in asked
+        if uid in world.checker.impossible and what == "submit"
+    ]
     assert len(odd) > 20
     assert set(odd) <= {400, 422}
     ends = {e.uid: e.at for e in world.happened if e.what == "ended" and e.detail == "done"}
-    close = [uid for uid, end in ends.items() if 10.0 < end < 60.0 and sum(
-        u == uid and what == "poll" and 0.0 <= sent - end < 0.03 for u, what, sent, _ in asked
-    ) >= 9]
+    close = [
+        uid
+        for uid, end in ends.items()
+        if 10.0 < end < 60.0
+        and sum(
+            u == uid and what == "poll" and 0.0 <= sent - end < 0.03 for u, what, sent, _ in asked
+        )
+        >= 9
+    ]
     assert len(close) >= 6
-    at_end = {u for u, what, sent, _ in asked if what == "cancel" and u in ends
-              and 0.0 <= sent - ends[u] <= 0.6}
+    at_end = {
+        u
+        for u, what, sent, _ in asked
+        if what == "cancel" and u in ends and 0.0 <= sent - ends[u] <= 0.6
+    }
     assert len(at_end) >= 6
     at_once = {u for u, what, sent, _ in asked if what == "cancel" and 60.0 <= sent <= 60.3}
     assert len(at_once) == 2
--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -101,10 +101,13 @@
         for key, version in guards.items():
             if (stands[key][1] if key in stands else 0) != version_in(version):
                 return None
-        return (*chain, tuple(
-            (c.key, msgspec.json.encode(c.value).decode() if isinstance(c, Put) else None)
-            for c in changes
-        ))
+        return (
+            *chain,
+            tuple(
+                (c.key, msgspec.json.encode(c.value).decode() if isinstance(c, Put) else None)
+                for c in changes
+            ),
+        )
 
     def first(self) -> State:
         claims = [Put("r/l", {"o": "a", "i": "1"})]
@@ -204,7 +207,8 @@
                 assert chain is not None
                 # Confirmed to it, so that it is in what it knows.
                 yield self._with(
-                    s._replace(chain=chain, told="queued"), 0,
+                    s._replace(chain=chain, told="queued"),
+                    0,
                     s.controllers[0]._replace(read=chain),
                 )
                 return
@@ -225,7 +229,8 @@
             chain = self.commit(s.chain, guards, list(changes))
             if chain is not None:
                 yield self._with(
-                    s._replace(chain=chain, told="cancelled"), 0,
+                    s._replace(chain=chain, told="cancelled"),
+                    0,
                     s.controllers[0]._replace(read=chain),
                 )
 
@@ -244,8 +249,11 @@
             stale = {k: b.stale.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
             mark = {"b": [c.era, bool(KEPT[c.back])]} if c.back else {}
             record = {"o": NAMES[n], "i": "1"}
-            chain = self.commit(s.chain, {**stale, **guard}, [
-                *(Put(k, record) for k in stale), Put(f"r/n/{NAMES[n]}", {"i": "1", **mark})])
+            chain = self.commit(
+                s.chain,
+                {**stale, **guard},
+                [*(Put(k, record) for k in stale), Put(f"r/n/{NAMES[n]}", {"i": "1", **mark})],
+            )
             if chain is not None:
                 if era_token(b.era, len(chain)) >= s.workers[n][0]:
                     yield s._replace(chain=chain)
@@ -261,8 +269,9 @@
                 chain = self.commit(s.chain, {**writes[0].guards, **guard}, writes[0].changes)
             else:
                 lived = kept is not None and kept.lived
-                chain = self.commit(s.chain, guard, [
-                    Put(f"r/n/{NAMES[n]}", {"i": "1", "b": [c.era, lived]})])
+                chain = self.commit(
+                    s.chain, guard, [Put(f"r/n/{NAMES[n]}", {"i": "1", "b": [c.era, lived]})]
+                )
                 c = c._replace(back=c.era)
             if chain is not None:
                 yield self._with(s, n, c, chain=chain)
@@ -271,7 +280,7 @@
             yield from self._leader(s, b, guard)
         if b.era_stage == HOLDING and s.workers[n][1] and self.bug != "adopted not counted":
             for write in adopted(b, n, 2, [Stray(JOB, 0, "", False)]):
-                if (chain := self.commit(s.chain, {**write.guards, **guard}, write.changes)):
+                if chain := self.commit(s.chain, {**write.guards, **guard}, write.changes):
                     yield s._replace(chain=chain)
 
     def _token(self, b: JobBook, n: int) -> int | None:
@@ -285,8 +294,12 @@
         if b.era_stage != REBUILT:
             # Time is not modelled: a stage lasts until all that runs has been reported.
             unknown = any(
-                run and self._held(b) != p and b.era_stage == HOLDING
-                and JOB in b.jobs and not b.jobs[JOB].over and self.bug != "adopted not counted"
+                run
+                and self._held(b) != p
+                and b.era_stage == HOLDING
+                and JOB in b.jobs
+                and not b.jobs[JOB].over
+                and self.bug != "adopted not counted"
                 for p, (_, run) in enumerate(s.workers)
             )
             record = next_record(b, NAMES, 99.0, 99.0, 15.0, 5.0)
@@ -346,10 +359,14 @@
                     raise Broken("ran twice")
                 yield self._run(s, n, token, token)
             else:
-                guard = {ERA_KEY: b.era_version, f"r/p/{n}": token,
-                         share_key(JOB, n): job.shares[n].version}
-                chain = self.commit(s.chain, guard, [Put(share_key(JOB, n), {
-                    "t": {}, "d": [0, 1]})])
+                guard = {
+                    ERA_KEY: b.era_version,
+                    f"r/p/{n}": token,
+                    share_key(JOB, n): job.shares[n].version,
+                }
+                chain = self.commit(
+                    s.chain, guard, [Put(share_key(JOB, n), {"t": {}, "d": [0, 1]})]
+                )
                 if chain is not None:
                     yield self._run(s._replace(chain=chain, ran=True), n, token, 0)
 
@@ -387,7 +404,8 @@
 
 
 @pytest.mark.parametrize(
-    "bug", ["era not raised", "era reused", "404 too early", "adopted not counted"],
+    "bug",
+    ["era not raised", "era reused", "404 too early", "adopted not counted"],
 )
 def test_each_seeded_mistake_is_found(bug: str) -> None:
     model = Model(bug)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -114,28 +114,55 @@
 
 def test_days_know_the_troubles_that_meet(small: Path) -> None:
     """Each is played, is seen in the world, and is over afterwards."""
-    kinds = ["late_writes", "late_reports", "machines_deaf", "leader_refused", "leader_cut",
-             "machines_mute", "cancel_at_end", "odd_requests", "close_looks", "lost_writes",
-             "kept_reports"]
-    wire = {"lost_writes": 'late_writes"\nat_once = true #"',
-            "kept_reports": 'late_reports"\nfor_next = true #"'}
-    small.write_text(SMALL + "".join(
-        TROUBLE.replace("late_writes", wire.get(kind, kind)).replace(
-            "at_s = 1", f"at_s = {10 + 4 * n}")
-        for n, kind in enumerate(kinds)
-    ))
+    kinds = [
+        "late_writes",
+        "late_reports",
+        "machines_deaf",
+        "leader_refused",
+        "leader_cut",
+        "machines_mute",
+        "cancel_at_end",
+        "odd_requests",
+        "close_looks",
+        "lost_writes",
+        "kept_reports",
+    ]
+    wire = {
+        "lost_writes": 'late_writes"\nat_once = true #"',
+        "kept_reports": 'late_reports"\nfor_next = true #"',
+    }
+    small.write_text(
+        SMALL
+        + "".join(
+            TROUBLE.replace("late_writes", wire.get(kind, kind)).replace(
+                "at_s = 1", f"at_s = {10 + 4 * n}"
+            )
+            for n, kind in enumerate(kinds)
+        )
+    )
     seen: list[set[str]] = []
 
     def watch(world: World) -> None:
         net = world.network
-        seen.append({name for name, on in {
-            "late_writes": net.late_writes == 0.5, "late_reports": net.late_reports == 0.5,
-            "machines_deaf": net.deaf, "leader_refused": net.refused, "leader_cut": net.cuts,
-            "machines_mute": net.mute, "cancel_at_end": world.users.at_end == 0.5,
-            "odd_requests": world.users.odd_since is not None,
-            "close_looks": world.users.close,
-            "lost_writes": net.lost_writes == 0.5, "kept_reports": net.kept_reports == 0.5,
-        }.items() if on})
+        seen.append(
+            {
+                name
+                for name, on in {
+                    "late_writes": net.late_writes == 0.5,
+                    "late_reports": net.late_reports == 0.5,
+                    "machines_deaf": net.deaf,
+                    "leader_refused": net.refused,
+                    "leader_cut": net.cuts,
+                    "machines_mute": net.mute,
+                    "cancel_at_end": world.users.at_end == 0.5,
+                    "odd_requests": world.users.odd_since is not None,
+                    "close_looks": world.users.close,
+                    "lost_writes": net.lost_writes == 0.5,
+                    "kept_reports": net.kept_reports == 0.5,
+                }.items()
+                if on
+            }
+        )
 
     played = run(load(small), "settled", 3, watch=watch)
     assert played.broken == []
@@ -147,14 +174,16 @@
 def test_the_largest_of_a_class_are_counted() -> None:
     """Nine small jobs are served and the one large one is not, or begins too late."""
     bodies = {
-        f"wk-{n}": {"duty": "pick", "crew": "red", "pieces": 10 if n == 9 else 2}
-        for n in range(10)
+        f"wk-{n}": {"duty": "pick", "crew": "red", "pieces": 10 if n == 9 else 2} for n in range(10)
     }
     events = [Happened(0.0, "submitted", uid) for uid in bodies]
     small_ones = [uid for uid in bodies if uid != "wk-9"]
     events += [Happened(9.0, "started", uid, f"{uid}/0") for uid in small_ones]
-    events += [Happened(20.0, "ended", uid, f"{uid}/{i}", detail="done")
-               for uid in small_ones for i in range(2)]
+    events += [
+        Happened(20.0, "ended", uid, f"{uid}/{i}", detail="done")
+        for uid in small_ones
+        for i in range(2)
+    ]
     assert least_served(events, bodies, 300.0) == (0.0, "largest of pick")
     events += [Happened(300.0, "ended", "wk-9", f"wk-9/{i}", detail="done") for i in range(10)]
     late = [*events, Happened(241.0, "started", "wk-9", "wk-9/0")]
@@ -179,10 +208,22 @@
 
 def test_the_same_seed_gives_the_same_figures_and_files(small: Path, tmp_path: Path) -> None:
     def run(seed: int, out: Path) -> str:
-        result = CliRunner().invoke(main, [
-            "experiment", "ageing", "--day", str(small), "--seed", str(seed), "--json",
-            "--processes", "1", "--out", str(out),
-        ])
+        result = CliRunner().invoke(
+            main,
+            [
+                "experiment",
+                "ageing",
+                "--day",
+                str(small),
+                "--seed",
+                str(seed),
+                "--json",
+                "--processes",
+                "1",
+                "--out",
+                str(out),
+            ],
+        )
         assert result.exit_code == 0, result.output
         return result.stdout
 
@@ -193,8 +234,7 @@
     assert events[0] == events[1]
     assert (tmp_path / "a" / "small.png").read_bytes()[:4] == b"\x89PNG"
     rows = json.loads(first)["small"]["delays"]
-    assert {row["policy"] for row in rows} == {
-        "strict, no backlog", "settled", "strict", "ageing"}
+    assert {row["policy"] for row in rows} == {"strict, no backlog", "settled", "strict", "ageing"}
     assert all(row["jobs"] > 0 for row in rows if row["priority"] == "high")
 
 
@@ -207,16 +247,24 @@
     drawn = {s.body["urgency"]: s.body for s in submissions(day, 1)}
     high, low = drawn["high"], {**drawn["normal"], "pieces": 50}
     bodies = {
-        "h": high, "low": low, "tiny": {**low, "cpus": 0.5}, "old": low, "never": low,
+        "h": high,
+        "low": low,
+        "tiny": {**low, "cpus": 0.5},
+        "old": low,
+        "never": low,
     }
     events = [
-        Happened(0.0, "submitted", "old"), Happened(9.0, "submitted", "low"),
-        Happened(9.0, "submitted", "tiny"), Happened(9.0, "submitted", "never"),
+        Happened(0.0, "submitted", "old"),
+        Happened(9.0, "submitted", "low"),
+        Happened(9.0, "submitted", "tiny"),
+        Happened(9.0, "submitted", "never"),
         Happened(10.0, "submitted", "h"),
-        Happened(11.0, "started", "low", "low/0"), Happened(20.0, "started", "low", "low/1"),
-        Happened(20.5, "started", "tiny", "tiny/0"), Happened(25.0, "ended", "low", "low/1",
-                                                             "m", "done"),
-        Happened(29.0, "started", "h", "h/0"), Happened(45.0, "started", "old", "old/0"),
+        Happened(11.0, "started", "low", "low/0"),
+        Happened(20.0, "started", "low", "low/1"),
+        Happened(20.5, "started", "tiny", "tiny/0"),
+        Happened(25.0, "ended", "low", "low/1", "m", "done"),
+        Happened(29.0, "started", "h", "h/0"),
+        Happened(45.0, "started", "old", "old/0"),
     ]
     played = Played(1, "settled", 60.0, events, bodies, [], 1.0, 0)
     got = figures(day, played)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -105,9 +105,7 @@
 @pytest.mark.parametrize("who", ["leader", "owner"])
 @pytest.mark.parametrize("how", HOWS)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_was_confirmed_is_gone_in_time(
-    tmp_path: Path, who: str, how: str, seed: int
-) -> None:
+def test_what_was_confirmed_is_gone_in_time(tmp_path: Path, who: str, how: str, seed: int) -> None:
     behind: list[bool] = []
 
     async def script(world: Day) -> None:
@@ -192,7 +190,10 @@
 
     trio.run(scenario)
     assert [(a.given, a.whole) for a in answers] == [
-        (False, False), (True, True), (True, True), (False, False)
+        (False, False),
+        (True, True),
+        (True, True),
+        (False, False),
     ]
     assert [len(a.cancelled) for a in answers] == [2, 2, 2, 3]
     before = parse_message(["vowed", True, "i", ["wk-1"]])
@@ -235,7 +236,9 @@
 
     names = PromiseAnswer(True, "a", ["wk-1"], True)
     others: list[Answer] = [
-        PromiseAnswer(True, "b", [], True), PromiseAnswer(True, "b", []), None,
+        PromiseAnswer(True, "b", [], True),
+        PromiseAnswer(True, "b", []),
+        None,
         PromiseAnswer(False, "b", [], True),
     ]
     for other in others:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -23,10 +23,31 @@
 
 GUESTS: list[dict[str, Any]] = [
     {"pieces": 8, "delay": 1.0},
-    {"pieces": 600, "delay": 3.0, "crew": "guest", "cpus": 0.25, "memoryGb": 0.5, "expectS": 4.0,
-     "really": 4.0, "urgency": "best_effort", "dueS": None},
-    *({"pieces": 1, "delay": 5.0 + n / 4, "crew": "guest", "cpus": 0.25, "memoryGb": 0.5,
-       "expectS": 4.0, "really": 4.0, "urgency": "best_effort", "dueS": None} for n in range(40)),
+    {
+        "pieces": 600,
+        "delay": 3.0,
+        "crew": "guest",
+        "cpus": 0.25,
+        "memoryGb": 0.5,
+        "expectS": 4.0,
+        "really": 4.0,
+        "urgency": "best_effort",
+        "dueS": None,
+    },
+    *(
+        {
+            "pieces": 1,
+            "delay": 5.0 + n / 4,
+            "crew": "guest",
+            "cpus": 0.25,
+            "memoryGb": 0.5,
+            "expectS": 4.0,
+            "really": 4.0,
+            "urgency": "best_effort",
+            "dueS": None,
+        }
+        for n in range(40)
+    ),
     {"pieces": 10, "delay": 30.0, "crew": "blue", "urgency": "high", "dueS": 60.0},
 ]
 
@@ -56,8 +77,10 @@
         {"pieces": 8, "delay": 4.0, "broken": True, "cancel_after": 100.0},
         {"pieces": 8, "delay": 8.0, "broken": True, "cancel_after": 100.0, "crew": "blue"},
         {"pieces": 1, "delay": 20.0, "broken": True, "cancel_after": 60.0},
-        *({"pieces": 4, "delay": 10.0 + 6 * n, "crew": "blue" if n % 2 else "red"}
-          for n in range(16)),
+        *(
+            {"pieces": 4, "delay": 10.0 + 6 * n, "crew": "blue" if n % 2 else "red"}
+            for n in range(16)
+        ),
     ]
     faulty: set[str] = set()
 
@@ -72,7 +95,10 @@
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert {uid for uid, end in world.checker.final.items() if end == "cancelled"} == {
-        "wk-000002", "wk-000003", "wk-000004"}
+        "wk-000002",
+        "wk-000003",
+        "wk-000004",
+    }
     failed: dict[str, int] = {}
     for e in world.happened:
         if e.what == "ended" and e.detail == "error":
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -78,7 +78,12 @@
     part.report((1, 8, "running"), machine="m-2", session=2, seq=50)
     for session, seq, token in ((1, 10, EARLIER), (1, 48, TOKEN), (2, 49, EARLIER), (2, 49, TOKEN)):
         old = part.report(
-            (1, 6, state), (1, 8, state), (2, 5, state), machine="m-2", session=session, seq=seq,
+            (1, 6, state),
+            (1, 8, state),
+            (2, 5, state),
+            machine="m-2",
+            session=session,
+            seq=seq,
             token=token,
         )
         assert old == []
@@ -117,14 +122,17 @@
     assert part.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped") == []
 
 
-
 def test_a_cancelled_start_without_an_answer_is_never_begun(settings: Settings) -> None:
     """Not even to be ended at once: its machine is returned, and a service there moves."""
     part = Part(settings, [])
-    part.put(job_key("wk-000002"), job_record(
-        parse_job(job_body("wk-000002", shape="standing", crew="red", cpus=1.0, memoryGb=1.0)),
-        0.0, False,
-    ))
+    part.put(
+        job_key("wk-000002"),
+        job_record(
+            parse_job(job_body("wk-000002", shape="standing", crew="red", cpus=1.0, memoryGb=1.0)),
+            0.0,
+            False,
+        ),
+    )
     part.put(share_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
 
     def told(*tasks: TaskReport) -> list[Command]:
@@ -171,8 +179,12 @@
     start could arrive later than `cancel_s`. An answer in time changes nothing for them."""
     for answered in (True, False):
         part = Part(settings, [])
-        part.put(job_key("wk-000002"), job_record(
-            parse_job(job_body("wk-000002", crew="red", cpus=1.0, memoryGb=1.0)), 0.0, False))
+        part.put(
+            job_key("wk-000002"),
+            job_record(
+                parse_job(job_body("wk-000002", crew="red", cpus=1.0, memoryGb=1.0)), 0.0, False
+            ),
+        )
         part.put(share_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
         message = Report("m-1", "small", "a", True, 1, 0, TOKEN, "m:1")
 
@@ -205,7 +217,8 @@
 
 ONE: list[dict[str, Any]] = [
     {"pieces": 1, "cpus": 1.0, "memoryGb": 1.0, "really": 300.0, "crew": crew}
-    for _ in range(9) for crew in ("red", "blue")
+    for _ in range(9)
+    for crew in ("red", "blue")
 ]
 
 
@@ -287,10 +300,15 @@
 # -- reports for the next leader ---------------------------------------------------------------
 
 MANY: list[dict[str, Any]] = [
-    *({"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "really": 40.0, "crew": crew}
-      for _ in range(4) for crew in ("red", "blue")),
-    *({"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "crew": crew, "delay": 36.0}
-      for crew in ("red", "blue")),
+    *(
+        {"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "really": 40.0, "crew": crew}
+        for _ in range(4)
+        for crew in ("red", "blue")
+    ),
+    *(
+        {"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "crew": crew, "delay": 36.0}
+        for crew in ("red", "blue")
+    ),
 ]
 
 
@@ -337,8 +355,14 @@
 def test_tasks_that_end_far_apart_across_changes_of_leader(tmp_path: Path) -> None:
     """Each runs once, and its job is done when the last has ended, whoever leads by then."""
     jobs: list[dict[str, Any]] = [
-        {"pieces": pieces, "cpus": 1.0, "really": 12.0 + 3 * n, "apart": 23.0 + n, "crew": crew,
-         "delay": 2.0 * n}
+        {
+            "pieces": pieces,
+            "cpus": 1.0,
+            "really": 12.0 + 3 * n,
+            "apart": 23.0 + n,
+            "crew": crew,
+            "delay": 2.0 * n,
+        }
         for n, (pieces, crew) in enumerate([(2, "red"), (3, "blue"), (3, "red"), (2, "blue")] * 2)
     ]
     leaders: list[int] = []
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -119,8 +119,9 @@
                 conn = h11.Connection(h11.CLIENT)
                 try:
                     while conn.our_state is h11.IDLE:
-                        out = conn.send(h11.Request(method="GET", target=target,
-                                                    headers=[("host", "x")]))
+                        out = conn.send(
+                            h11.Request(method="GET", target=target, headers=[("host", "x")])
+                        )
                         await ours.send_all((out or b"") + (conn.send(h11.EndOfMessage()) or b""))
                         while not isinstance(event := conn.next_event(), h11.EndOfMessage):
                             if event is h11.NEED_DATA:
@@ -161,8 +162,11 @@
 ) -> None:
     quota = msgspec.structs.replace(settings.settings.quota, max_connections=most)
     known = [Peer(f"node-{n}", "a", f"10.0.0.{n}:8081") for n in range(peers)]
-    got = sockets_of(msgspec.structs.replace(
-        settings, known=known, settings=msgspec.structs.replace(settings.settings, quota=quota)))
+    got = sockets_of(
+        msgspec.structs.replace(
+            settings, known=known, settings=msgspec.structs.replace(settings.settings, quota=quota)
+        )
+    )
     ours = STATE + CLOUD + PER_PEER * peers
     assert got.public >= most // 2
     if most >= 600:
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -47,8 +47,7 @@
     "allotment": lambda body: writes(body, SHARE) and "r/l" in guards(body),
     "outcome": lambda body: writes(body, SHARE) and "r/l" not in guards(body),
     "cancellation": lambda body: any(
-        re.fullmatch(r"r/j/[^/]+", c.get("write", "")) and c["data"].get("x")
-        for c in body["apply"]
+        re.fullmatch(r"r/j/[^/]+", c.get("write", "")) and c["data"].get("x") for c in body["apply"]
     ),
     "submission": lambda body: writes(body, r"r/j/[^/]+"),
     "archive": lambda body: writes(body, r"f/.+"),
@@ -124,7 +123,7 @@
 
 
 def test_a_job_that_hangs_on_a_lost_outcome_is_not_called_anything_older(
-    settings: Settings
+    settings: Settings,
 ) -> None:
     """Found by reading: a job is moved out, late, after one that names it was recorded. A
     controller that starts then reads the later one without the cancellation that others have told
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -62,9 +62,17 @@
 
     def machine(self, name: str, zone: str = "a", **changes: object) -> None:
         fields: dict[str, object] = {
-            "name": name, "type": "small", "zone": zone, "spot": True, "open": True,
-            "empty": True, "silent_s": 0.0, "notice": False, "retiring": False,
-            "images": [], "tasks": [],
+            "name": name,
+            "type": "small",
+            "zone": zone,
+            "spot": True,
+            "open": True,
+            "empty": True,
+            "silent_s": 0.0,
+            "notice": False,
+            "retiring": False,
+            "images": [],
+            "tasks": [],
         }
         self.machines[name] = MachineView(**{**fields, **changes})  # type: ignore[arg-type]
 
@@ -73,8 +81,14 @@
     ) -> PartView:
         self.shown[part] = seq = self.shown.get(part, 0) + 1
         return PartView(
-            "node-0", part, self.book.parts[part].token, self.revision, machines, seq=seq,
-            base=base, **more,  # type: ignore[arg-type]
+            "node-0",
+            part,
+            self.book.parts[part].token,
+            self.revision,
+            machines,
+            seq=seq,
+            base=base,
+            **more,  # type: ignore[arg-type]
         )
 
     def views(self) -> list[tuple[str, str, int]]:
@@ -83,10 +97,16 @@
             mine = [m for n, m in self.machines.items() if self.part_of(n) == part]
             silences = [
                 (m.name, 0.0, [(by, self.asked[m.name], 1.0) for by in ("node-0", "node-1")])
-                for m in mine if m.name in self.asked
+                for m in mine
+                if m.name in self.asked
             ]
-            view = self.view(part, mine, overheard=self.overheard, silences=silences,
-                             failing=self.failing if part == 0 else [])
+            view = self.view(
+                part,
+                mine,
+                overheard=self.overheard,
+                silences=silences,
+                failing=self.failing if part == 0 else [],
+            )
             evicted += self.leader.on_view(view, self.now).evict
         return evicted
 
@@ -351,9 +371,14 @@
     teams = {team.name: team for team in settings.settings.teams}
     types = {"small": SMALL}
     cases = [
-        ({}, False), ({"crew": "green"}, True), ({"cpus": 5.0}, True),
-        ({"memoryGb": 17.0}, True), ({"builds": ["large"]}, True), ({"district": "c"}, True),
-        ({"cards": 1.0}, True), ({"pieces": 100, "cpus": 4.0}, False),
+        ({}, False),
+        ({"crew": "green"}, True),
+        ({"cpus": 5.0}, True),
+        ({"memoryGb": 17.0}, True),
+        ({"builds": ["large"]}, True),
+        ({"district": "c"}, True),
+        ({"cards": 1.0}, True),
+        ({"pieces": 100, "cpus": 4.0}, False),
         ({"pieces": 9, "cpus": 4.0, "shape": "standing"}, True),
     ]
     for changes, never in cases:
@@ -426,8 +451,11 @@
     held = list(lead.last.allotments["wk-000001", part].tasks)
     assert len(held) > 80
     limit = settings.state_limits.value_bytes
-    worst = Share({"a": Ranges.of(n + 99_000 for n in held[::2])},
-                  Ranges.of(n + 99_000 for n in held[1::2]), 0)
+    worst = Share(
+        {"a": Ranges.of(n + 99_000 for n in held[::2])},
+        Ranges.of(n + 99_000 for n in held[1::2]),
+        0,
+    )
     assert value_bytes(worst.to_record()) <= limit
     # What is held and what is done count already.
     lead.put(share_key("wk-000001", part), {"t": {"": [0, 60]}, "d": [100, 101, 102, 103]})
@@ -448,7 +476,9 @@
     view = lead.view(part, [lead.machines["m-1"]], leaving=[("wk-000001", 2)])
     lead.leader.on_view(view, lead.now)
     assert next(iter(lead.leader.round(lead.now, lead.now).allotments))[0] in (
-        "wk-000001", "wk-000002")
+        "wk-000001",
+        "wk-000002",
+    )
 
 
 def test_a_leader_that_begins_knows_the_types_and_what_it_learnt_before(
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -21,9 +21,17 @@
 # wait for the room.
 CREWS = [crew for crew, cpus in (("red", 32), ("blue", 48)) for _ in range(cpus // 8)]
 JOBS: list[dict[str, Any]] = [
-    {"pieces": 8, "cpus": 1.0, "memoryGb": 1.0, "crew": crew, "really": really, "expectS": really,
-     "delay": delay}
-    for really, delay in ((400.0, 0.0), (6.0, 40.0)) for crew in CREWS
+    {
+        "pieces": 8,
+        "cpus": 1.0,
+        "memoryGb": 1.0,
+        "crew": crew,
+        "really": really,
+        "expectS": really,
+        "delay": delay,
+    }
+    for really, delay in ((400.0, 0.0), (6.0, 40.0))
+    for crew in CREWS
 ]
 # All of it at the low price, so that nobody waits for a cheaper machine: 84 CPUs.
 FLEET = tuple(
@@ -98,6 +106,7 @@
 def test_cancelled_at_the_limit_as_the_leader_ends(tmp_path: Path, how: str) -> None:
     """Half of the cancellations just before the leader ends, the others while its machines can't
     be asked and another one begins."""
+
     async def script(world: Day) -> None:
         await until_room(world)
         with TROUBLES[how](world):
@@ -116,6 +125,7 @@
 @pytest.mark.parametrize("how", ["held up", "late allotments"])
 def test_cancelled_at_the_limit_as_ten_leaders_end(tmp_path: Path, how: str) -> None:
     """In two minutes, with the trouble now and then."""
+
     async def script(world: Day) -> None:
         await until_full(world)
         for n in range(10):
@@ -139,6 +149,7 @@
 ) -> None:
     """One by one for a second; the outage begins with the last, which no other one has read, and
     lasts for longer than `cancel_s`."""
+
     async def script(world: Day) -> None:
         await until_full(world)
         leader = world.leading
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,14 +19,24 @@
 SEEDS = int(os.environ.get("RYEGAUGE_SEEDS", "3"))
 
 JOBS: list[dict[str, Any]] = [
-    *MIX, *PIPES,
+    *MIX,
+    *PIPES,
     # Of two or three tasks that end far apart, so that leaders change in between.
     {"pieces": 3, "delay": 15.0, "cpus": 1.0, "really": 4.0, "apart": 40.0, "crew": "blue"},
     {"pieces": 2, "delay": 25.0, "cpus": 1.0, "really": 10.0, "apart": 60.0, "crew": "blue"},
     {"pieces": 2, "delay": 90.0, "cpus": 1.0, "really": 6.0, "apart": 50.0, "crew": "blue"},
     # Submitted and cancelled in the midst of it.
-    *({"pieces": 4, "delay": 36.0 + 9.0 * n, "cpus": 1.0, "really": 30.0, "crew": "blue",
-       "cancel_after": 4.0 + n} for n in range(8)),
+    *(
+        {
+            "pieces": 4,
+            "delay": 36.0 + 9.0 * n,
+            "cpus": 1.0,
+            "really": 30.0,
+            "crew": "blue",
+            "cancel_after": 4.0 + n,
+        }
+        for n in range(8)
+    ),
 ]
 
 
@@ -150,9 +160,24 @@
 
 
 TROUBLES: list[Callable[[Day], Awaitable[None]]] = [
-    slow_state, refused_then_outage, refused, late_reports, late_writes, deaf, leader_alone,
-    over_and_back, leader_ends_unseen, held_up, outage,
-    mute, lost_answers, reports_for_the_next, cancel_now, cancel_at_end, odd_requests, close_looks,
+    slow_state,
+    refused_then_outage,
+    refused,
+    late_reports,
+    late_writes,
+    deaf,
+    leader_alone,
+    over_and_back,
+    leader_ends_unseen,
+    held_up,
+    outage,
+    mute,
+    lost_answers,
+    reports_for_the_next,
+    cancel_now,
+    cancel_at_end,
+    odd_requests,
+    close_looks,
 ]
 
 
@@ -176,7 +201,8 @@
             await trio.sleep(10.0)
 
     settings: list[Settings] = (
-        rebuilding(tmp_path, 5) if seed % 3 == 0
+        rebuilding(tmp_path, 5)
+        if seed % 3 == 0
         else some_controllers(tmp_path, 5, "ab" if seed % 3 == 1 else "a")
     )
     world = play(settings, 300 + seed, JOBS, script, 500.0)
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -59,8 +59,7 @@
 
 
 def share(allotted: set[int], done: set[int]) -> dict[str, Any]:
-    return {"t": {"": Ranges.of(allotted).flat()} if allotted else {},
-            "d": Ranges.of(done).flat()}
+    return {"t": {"": Ranges.of(allotted).flat()} if allotted else {}, "d": Ranges.of(done).flat()}
 
 
 class History:
@@ -79,7 +78,8 @@
         for part in range(PARTS):
             record = self.service.data.get(share_key(uid(n), part), ({"t": {}, "d": []}, 0))[0]
             result[part] = (
-                set(Ranges.from_flat(record["t"].get("", []))), set(Ranges.from_flat(record["d"]))
+                set(Ranges.from_flat(record["t"].get("", []))),
+                set(Ranges.from_flat(record["d"])),
             )
         return result
 
@@ -106,8 +106,13 @@
         elif kind == 4 and over and not any(t for t, _ in held.values()):
             status = "cancelled" if known[0].get("x") else "done"
             count = sum(len(d) for _, d in held.values())
-            self._commit([Put(final_key(uid(n)), {"st": status, "d": count}), Delete(key),
-                          *(Delete(share_key(uid(n), p)) for p in range(PARTS))])
+            self._commit(
+                [
+                    Put(final_key(uid(n)), {"st": status, "d": count}),
+                    Delete(key),
+                    *(Delete(share_key(uid(n), p)) for p in range(PARTS)),
+                ]
+            )
 
 
 def told(book: JobBook, service: Service, n: int) -> tuple[str, int] | None:
@@ -124,7 +129,8 @@
 
 STEPS = st.lists(
     st.tuples(st.integers(0, 2), st.integers(0, 4), st.integers(0, 1), st.integers(0, 3)),
-    min_size=1, max_size=60,
+    min_size=1,
+    max_size=60,
 )
 
 
@@ -180,9 +186,7 @@
     for n in range(3):
         end = told(expected, truth, n)
         assert told(result, service, n) == end
-        if (job := expected.jobs.get(uid(n))) is not None and (
-            end is None or job.allotted_count
-        ):
+        if (job := expected.jobs.get(uid(n))) is not None and (end is None or job.allotted_count):
             got = result.jobs[uid(n)]
             assert got.done_count == job.done_count
             for part in range(PARTS):
@@ -267,8 +271,12 @@
     service = history.service
     service.write(Write({}, [Put(ERA_KEY, {"e": 1, "s": PUTTING_BACK})]))
     book = service.book()
-    strays = [Stray(uid(0), 0, "", False), Stray(uid(0), 1, "", True),
-              Stray(uid(0), 3, "", False), Stray(uid(7), 0, "", False)]
+    strays = [
+        Stray(uid(0), 0, "", False),
+        Stray(uid(0), 1, "", True),
+        Stray(uid(0), 3, "", False),
+        Stray(uid(7), 0, "", False),
+    ]
     (mine,) = adopted(book, 0, PARTS, strays)
     (theirs,) = adopted(book, 1, PARTS, strays[:1])
     assert service.write(mine)
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -20,8 +20,10 @@
 from ryegauge.scheduling.planner import Rental
 
 LONG = {"pieces": 8, "delay": 1.0, "really": 35.0, "expectS": 35.0, "cpus": 1.0}
-SHORT = [{"pieces": 4, "delay": 31.0 + 4 * n, "really": 3.0, "cpus": 1.0, "crew": "blue"}
-         for n in range(14)]
+SHORT = [
+    {"pieces": 4, "delay": 31.0 + 4 * n, "really": 3.0, "cpus": 1.0, "crew": "blue"}
+    for n in range(14)
+]
 ALL_ROOM = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
 
 
@@ -148,9 +150,13 @@
     controllers = []
     for settings in some_controllers(tmp_path, 5):
         workers = msgspec.structs.replace(
-            settings.settings.workers, report_s=2.5, lease_s=14.0, cancel_s=39.0)
-        controllers.append(msgspec.structs.replace(
-            settings, settings=msgspec.structs.replace(settings.settings, workers=workers)))
+            settings.settings.workers, report_s=2.5, lease_s=14.0, cancel_s=39.0
+        )
+        controllers.append(
+            msgspec.structs.replace(
+                settings, settings=msgspec.structs.replace(settings.settings, workers=workers)
+            )
+        )
     renewed: list[float] = []
 
     async def hang_when_answered(world: Day, worker: Worker) -> None:
--- a/tests/test_noticing.py
+++ b/tests/test_noticing.py
@@ -46,8 +46,11 @@
         self.book.replace(sorted(last.values()), len(self.history))
 
 
-@given(st.lists(st.sampled_from(["write", "begin", "answer", "confirm", "reread", "fails"]),
-                max_size=80))
+@given(
+    st.lists(
+        st.sampled_from(["write", "begin", "answer", "confirm", "reread", "fails"]), max_size=80
+    )
+)
 def test_a_slow_service_is_never_suspected(steps: list[str]) -> None:
     """Reads whose answers come late, fail or show any moment between, confirmations that come
     late or never, full reads at any time."""
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -22,9 +22,20 @@
 
 def checkin(world: World) -> bytes:
     worker = next(w for w in world.workers.values() if w.alive and w.up)
-    return encode({"host": worker.name, "address": worker.address, "build": worker.type.name,
-                   "district": worker.zone, "loaners": True, "shift": 1, "tally": 1, "baton": 0,
-                   "warningS": None, "pieces": []})
+    return encode(
+        {
+            "host": worker.name,
+            "address": worker.address,
+            "build": worker.type.name,
+            "district": worker.zone,
+            "loaners": True,
+            "shift": 1,
+            "tally": 1,
+            "baton": 0,
+            "warningS": None,
+            "pieces": [],
+        }
+    )
 
 
 def one_side(world: World, kind: str, n: int) -> AbstractContextManager[None]:
@@ -44,13 +55,16 @@
             return world.silence(host if kind == "from all" else host | next_one)
 
 
-@pytest.mark.parametrize(("kind", "who"), [
-    *itertools.product(
-        ["refused by state", "from state", "from workers", "from workers, reset", "from all"],
-        ["leader", "owner"],
-    ),
-    ("two from all", "both"),
-])
+@pytest.mark.parametrize(
+    ("kind", "who"),
+    [
+        *itertools.product(
+            ["refused by state", "from state", "from workers", "from workers, reset", "from all"],
+            ["leader", "owner"],
+        ),
+        ("two from all", "both"),
+    ],
+)
 def test_one_sided_cuts(tmp_path: Path, kind: str, who: str) -> None:
     answers: Counter[int] = Counter()
     urgent: dict[str, float] = {}
@@ -58,8 +72,13 @@
     cut: list[float] = []
 
     async def script(world: Day) -> None:
-        world.state.on_write.append(lambda key, value: changes.append(
-            (trio.current_time(), key)) if key.startswith(("r/p/", "r/l")) else None)
+        world.state.on_write.append(
+            lambda key, value: (
+                changes.append((trio.current_time(), key))
+                if key.startswith(("r/p/", "r/l"))
+                else None
+            )
+        )
         await trio.sleep(35.0)
         leader = world.names.index(world.state.data["r/l"][0]["o"])
         n = (leader + 1) % 5 if who == "owner" else leader
@@ -77,7 +96,8 @@
                     if other in silent:
                         continue  # users do not reach it either
                     status, answer, _ = await world.network.call(
-                        "users", world.settings[other].listen, "POST", "/v1/jobs", body, 5.0)
+                        "users", world.settings[other].listen, "POST", "/v1/jobs", body, 5.0
+                    )
                     if other == n:
                         answers[status] += 1
                     world.checker.answered(uid, status, answer, "submit")
--- a/tests/test_operations_day.py
+++ b/tests/test_operations_day.py
@@ -18,9 +18,7 @@
 
 
 @pytest.mark.parametrize(("seed", "mistakes"), [(1, True), (6, True), (2, False)])
-def test_everything_at_once(
-    seed: int, mistakes: bool, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_everything_at_once(seed: int, mistakes: bool, caplog: pytest.LogCaptureFixture) -> None:
     day = load(DAYS / "operations.toml")
     if not mistakes:
         day = without_mistakes(day)
@@ -56,8 +54,10 @@
     few = msgspec.structs.replace(day.installation, write_rps=14.0)
     arrivals = [
         msgspec.structs.replace(a, from_s=60.0, until_s=90.0, every_s=0.15)
-        if a.job_class == "flurry" else msgspec.structs.replace(a, every_s=4.0, mistaken=0.0)
-        for a in day.arrivals if a.job_class != "sweep"
+        if a.job_class == "flurry"
+        else msgspec.structs.replace(a, every_s=4.0, mistaken=0.0)
+        for a in day.arrivals
+        if a.job_class != "sweep"
     ]
     played = play(
         msgspec.structs.replace(day, installation=few, arrivals=arrivals, troubles=[]), "ageing", 4
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -15,31 +15,52 @@
 
 
 def ageing(hold_s: float = 0.0) -> Ageing:
-    return Ageing(patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=hold_s,
-                  stop_after_s=1.0)
+    return Ageing(
+        patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=hold_s, stop_after_s=1.0
+    )
 
 
 def job(uid: str, rank: int = 2, age: float = 0.0, **changes: object) -> Waiting:
     fields: dict[str, object] = {
-        "uid": uid, "team": "red", "rank": rank, "finish": math.inf, "submitted_at": NOW - age,
-        "ready_at": NOW - age, "within": False, "open": 4, "served": 0, "weight": 0.05,
-        "cpus": 1.0, "gpus": 0.0,
+        "uid": uid,
+        "team": "red",
+        "rank": rank,
+        "finish": math.inf,
+        "submitted_at": NOW - age,
+        "ready_at": NOW - age,
+        "within": False,
+        "open": 4,
+        "served": 0,
+        "weight": 0.05,
+        "cpus": 1.0,
+        "gpus": 0.0,
     }
     return Waiting(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 jobs_strategy = st.lists(
     st.tuples(
-        st.integers(0, 3), st.sampled_from([0.0, 50.0, 150.0, 450.0, 900.0, 5000.0]),
-        st.integers(1, 5), st.integers(0, 3), st.sampled_from([0.02, 0.1, 0.25, 0.5]),
-        st.sampled_from(["red", "blue", "full"]), st.booleans(), st.booleans(), st.booleans(),
+        st.integers(0, 3),
+        st.sampled_from([0.0, 50.0, 150.0, 450.0, 900.0, 5000.0]),
+        st.integers(1, 5),
+        st.integers(0, 3),
+        st.sampled_from([0.02, 0.1, 0.25, 0.5]),
+        st.sampled_from(["red", "blue", "full"]),
+        st.booleans(),
+        st.booleans(),
+        st.booleans(),
         st.sampled_from([NOW + 10, NOW + 500, math.inf]),
     ),
     max_size=10,
 )
 holdings_strategy = st.lists(
-    st.tuples(st.integers(0, 3), st.sampled_from([10.0, 250.0, 1000.0, 3000.0]),
-              st.integers(0, 4), st.integers(1, 6), st.sampled_from([0.01, 0.05, 0.2])),
+    st.tuples(
+        st.integers(0, 3),
+        st.sampled_from([10.0, 250.0, 1000.0, 3000.0]),
+        st.integers(0, 4),
+        st.integers(1, 6),
+        st.sampled_from([0.01, 0.05, 0.2]),
+    ),
     max_size=4,
 )
 SPARE = {"red": Spare(8.0, 0.0), "blue": Spare(3.0, 0.0), "full": Spare(0.0, 0.0)}
@@ -47,10 +68,22 @@
 
 def waiting_of(drawn: list[tuple]) -> list[Waiting]:
     return [
-        job(f"wk-{n:03d}", rank, age, open=count, served=served, weight=weight, team=team,
-            within=within, whole=whole and not served, zoned=zoned, finish=finish)
-        for n, (rank, age, count, served, weight, team, within, whole, zoned, finish)
-        in enumerate(drawn)
+        job(
+            f"wk-{n:03d}",
+            rank,
+            age,
+            open=count,
+            served=served,
+            weight=weight,
+            team=team,
+            within=within,
+            whole=whole and not served,
+            zoned=zoned,
+            finish=finish,
+        )
+        for n, (rank, age, count, served, weight, team, within, whole, zoned, finish) in enumerate(
+            drawn
+        )
     ]
 
 
@@ -67,13 +100,14 @@
     def tag(ready_at: float, rank: int, n: int) -> float:
         return ready_at + patience[rank] * (n + 1)
 
-    able = [j for j in waiting
-            if spare[j.team].cpus + 1e-6 >= j.cpus * (j.open if j.whole else 1)]
+    able = [j for j in waiting if spare[j.team].cpus + 1e-6 >= j.cpus * (j.open if j.whole else 1)]
     top = min((j.rank for j in able), default=0)
     burst = sum(j.weight * j.open for j in able if j.rank <= 1) >= CEILING
     held = [
         (tag(h.ready_at, h.rank, h.done + i), h.weight)
-        for h in holding if h.rank > top for i in range(h.held)
+        for h in holding
+        if h.rank > top
+        for i in range(h.held)
     ]
     given: dict[str, int] = {}
     room = {team: s.cpus for team, s in spare.items()}
@@ -107,8 +141,7 @@
         room[j.team] -= j.cpus * tasks
         given[uid] = given.get(uid, 0) + tasks
     turns: list[tuple[str, int | None]] = list(given.items())
-    rest = [j for j in waiting
-            if given.get(j.uid, 0) < j.open and not (j.zoned and j.uid in given)]
+    rest = [j for j in waiting if given.get(j.uid, 0) < j.open and not (j.zoned and j.uid in given)]
     while rest:
         first = rest[0]
         for j in rest[1:]:
@@ -131,8 +164,13 @@
     return a.uid < b.uid
 
 
-def turns(policy: Ageing, waiting: list[Waiting], holding: list[Holding],
-          spare: dict[str, Spare] = SPARE, now: float = NOW) -> list[tuple[str, int | None]]:
+def turns(
+    policy: Ageing,
+    waiting: list[Waiting],
+    holding: list[Holding],
+    spare: dict[str, Spare] = SPARE,
+    now: float = NOW,
+) -> list[tuple[str, int | None]]:
     return [(e.uid, e.most) for e in policy.order(waiting, holding, spare, now)]
 
 
@@ -159,8 +197,14 @@
     ranks = [by_uid[uid].rank for uid, most in got if most is None]
     assert ranks == sorted(ranks)
     first = [(by_uid[uid], most) for uid, most in got if most is not None]
-    top = min((j.rank for j in waiting if j.team != "full"
-               and SPARE[j.team].fits(j, j.open if j.whole else 1)), default=0)
+    top = min(
+        (
+            j.rank
+            for j in waiting
+            if j.team != "full" and SPARE[j.team].fits(j, j.open if j.whole else 1)
+        ),
+        default=0,
+    )
     first = [(j, most) for j, most in first if j.rank > top]
     units = [j.weight * j.open if j.whole else j.weight for j, _ in first]
     assert sum(j.weight * most for j, most in first) <= max([CEILING, *units[:1]]) + 1e-6
@@ -226,9 +270,7 @@
 
 
 @given(st.integers(0, 400), st.integers(1, 3), st.integers(1, 4))
-def test_nobody_starves_under_a_flood_that_never_ends(
-    seed: int, rank: int, low_jobs: int
-) -> None:
+def test_nobody_starves_under_a_flood_that_never_ends(seed: int, rank: int, low_jobs: int) -> None:
     """The second promise, on a fleet of 20 tasks at once that is stepped through: urgent
     work always waits for all of it, and yet every lower job has its first task once twice its
     patience is over, those with earlier tags have run, and the share has room."""
@@ -256,14 +298,18 @@
                     done[uid] += 1
         waiting = [
             job(uid, rank, ready_at=ready, served=served[uid], open=50, weight=1 / slots)
-            for uid, ready in low.items() if ready <= now
+            for uid, ready in low.items()
+            if ready <= now
+        ]
+        waiting += [
+            job(f"wk-9{n:06d}", 0, ready_at=now, open=50, weight=1 / slots)
+            for n in range(urgent, urgent + 3)
         ]
-        waiting += [job(f"wk-9{n:06d}", 0, ready_at=now, open=50, weight=1 / slots)
-                    for n in range(urgent, urgent + 3)]
         urgent += 3
         holding = [
             Holding(rank, low[uid], done[uid], served[uid] - done[uid], 1 / slots)
-            for uid in low if served[uid] > done[uid]
+            for uid in low
+            if served[uid] > done[uid]
         ]
         free = slots - len(running)
         for uid, most, _ in policy.order(waiting, holding, {"red": Spare(1e6, 0.0)}, now):
@@ -288,8 +334,9 @@
             Counting.looked += 1
             return super().tag(ready_at, rank, n)
 
-    policy = Counting(patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=50.0,
-                      stop_after_s=1.0)
+    policy = Counting(
+        patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=50.0, stop_after_s=1.0
+    )
     rng = random.Random(1)
     waiting = [
         job(f"wk-{n:05d}", rng.randrange(4), rng.uniform(0.0, 4000.0), weight=0.001)
@@ -321,8 +368,13 @@
 
 def running(**changes: object) -> Running:
     fields: dict[str, object] = {
-        "team": "blue", "rank": 2, "within": False, "beyond": False, "recent": False,
-        "elapsed_s": 20.0, "left_s": 30.0,
+        "team": "blue",
+        "rank": 2,
+        "within": False,
+        "beyond": False,
+        "recent": False,
+        "elapsed_s": 20.0,
+        "left_s": 30.0,
     }
     return Running(**{**fields, **changes})  # type: ignore[arg-type]
 
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -53,8 +53,14 @@
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, True))
 
     def report(
-        self, *tasks: tuple[int, int, str], machine: str = "m-1", token: int = TOKEN,
-        session: int = 1, seq: int | None = None, checkin: bool = True, why: str = "done",
+        self,
+        *tasks: tuple[int, int, str],
+        machine: str = "m-1",
+        token: int = TOKEN,
+        session: int = 1,
+        seq: int | None = None,
+        checkin: bool = True,
+        why: str = "done",
     ) -> list[Command]:
         if seq is None:
             self.seq += 1
@@ -416,15 +422,25 @@
     assert 2 not in job.open_tasks
     assert part.pending() == {}
     again = JobBook()
-    again.replace([Event(job_key(UID), job_record(spec, 0.0, False), 1),
-                   *(Event(page_key(UID, p, n), {"d": tasks.flat()}, 1)
-                     for (p, n), tasks in job.sealed.items())], 2)
+    again.replace(
+        [
+            Event(job_key(UID), job_record(spec, 0.0, False), 1),
+            *(
+                Event(page_key(UID, p, n), {"d": tasks.flat()}, 1)
+                for (p, n), tasks in job.sealed.items()
+            ),
+        ],
+        2,
+    )
     assert again.jobs[UID].done_count == 1200
 
 
 def test_a_cancellation_fits_whatever_the_job_was_recorded_with() -> None:
-    spec = parse_job(job_body(builds=["small", *(f"other-{n}" for n in range(400))],
-                              kit="i" * 500, duty="d" * 500))
+    spec = parse_job(
+        job_body(
+            builds=["small", *(f"other-{n}" for n in range(400))], kit="i" * 500, duty="d" * 500
+        )
+    )
     assert value_bytes(job_record(spec, 0.0, False)) > 4000
     record = cancelled_record(spec, 0.0, 1900)
     assert value_bytes(record) <= 1900
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -31,11 +31,24 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"uid": "job-1"}, {"uid": "wk-"}, {"uid": 7}, {"pieces": 0}, {"pieces": 100_001},
-        {"pieces": 2.5}, {"pieces": True}, {"cpus": "2"}, {"cpus": -1.0},
-        {"cpus": float("nan")}, {"cpus": float("inf")}, {"shape": "ring"},
-        {"urgency": "asap"}, {"together": None}, {"builds": "g8"}, {"builds": [1]},
-        {"dueS": -3.0}, {"kit": None},
+        {"uid": "job-1"},
+        {"uid": "wk-"},
+        {"uid": 7},
+        {"pieces": 0},
+        {"pieces": 100_001},
+        {"pieces": 2.5},
+        {"pieces": True},
+        {"cpus": "2"},
+        {"cpus": -1.0},
+        {"cpus": float("nan")},
+        {"cpus": float("inf")},
+        {"shape": "ring"},
+        {"urgency": "asap"},
+        {"together": None},
+        {"builds": "g8"},
+        {"builds": [1]},
+        {"dueS": -3.0},
+        {"kit": None},
     ],
 )
 def test_malformed_jobs(changes: dict[str, Any]) -> None:
@@ -59,13 +72,9 @@
         decode(data)
 
 
-@given(
-    st.lists(
-        st.tuples(st.integers(0, 60), st.integers(1, 60), st.booleans()), max_size=6
-    )
-)
+@given(st.lists(st.tuples(st.integers(0, 60), st.integers(1, 60), st.booleans()), max_size=6))
 def test_takeback_share_against_seconds_counted_one_by_one(
-    machines: list[tuple[int, int, bool]]
+    machines: list[tuple[int, int, bool]],
 ) -> None:
     share = TakebackShare(30.0)
     now = 60
@@ -84,6 +93,7 @@
 def test_differences_are_worked_out_in_one_pass() -> None:
     """An array's tasks end in any order and leave thousands of spans; each was held against
     each, a second for one difference."""
+
     class Counting(tuple[tuple[int, int], ...]):
         looks = 0
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -29,10 +29,13 @@
 
 graphs = st.lists(  # job n may need any of the earlier ones: chains, fans, diamonds
     st.tuples(
-        st.sets(st.integers(0, 8), max_size=4), st.integers(0, 3),
-        st.sampled_from([math.inf, 100.0, 130.0, 200.0]), st.integers(1, 40),
+        st.sets(st.integers(0, 8), max_size=4),
+        st.integers(0, 3),
+        st.sampled_from([math.inf, 100.0, 130.0, 200.0]),
+        st.integers(1, 40),
     ),
-    min_size=1, max_size=9,
+    min_size=1,
+    max_size=9,
 )
 
 
@@ -59,8 +62,11 @@
             min(jobs[int(path[-1])][1] for path in paths(str(n))),
         )
         found = pass_back(
-            str(n), lambda uid: Urgency(jobs[int(uid)][2], jobs[int(uid)][1]),
-            after.__getitem__, lambda uid: float(jobs[int(uid)][3]), known,
+            str(n),
+            lambda uid: Urgency(jobs[int(uid)][2], jobs[int(uid)][1]),
+            after.__getitem__,
+            lambda uid: float(jobs[int(uid)][3]),
+            known,
         )
         assert found == expected
 
@@ -68,8 +74,11 @@
 def test_a_pipeline_longer_than_the_stack() -> None:
     length = 20_000
     found = pass_back(
-        "0", lambda uid: Urgency(1e6 if int(uid) == length else math.inf, 3),
-        lambda uid: [str(int(uid) + 1)] if int(uid) < length else [], lambda uid: 2.0, {},
+        "0",
+        lambda uid: Urgency(1e6 if int(uid) == length else math.inf, 3),
+        lambda uid: [str(int(uid) + 1)] if int(uid) < length else [],
+        lambda uid: 2.0,
+        {},
     )
     assert found == Urgency(1e6 - 2.0 * length, 3)
 
@@ -179,8 +188,7 @@
         needs = [uid_of(n - 1)] if n else None
         spec = parse_job(job_body(uid_of(n), awaits=needs))
         write(book, records, job_key(uid_of(n)), job_record(spec, 0.0, False))
-    write(book, records, job_key(uid_of(0)),
-          job_record(parse_job(job_body(uid_of(0))), 0.0, True))
+    write(book, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True))
     assert {job.status for job in book.jobs.values()} == {"cancelled"}
     assert not book.live
     assert not book.waiting
@@ -217,8 +225,7 @@
         write(book, records, job_key(uid_of(n)), job_record(spec, float(n), False))
     write(book, records, share_key(uid_of(0), 1), {"t": {"": [0, 4]}, "d": []})
     write(book, records, share_key(uid_of(0), 1), {"t": {}, "d": []})
-    write(book, records, job_key(uid_of(0)),
-          job_record(parse_job(job_body(uid_of(0))), 0.0, True))
+    write(book, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True))
     left: list[str] = []
     finals: dict[str, object] = {}
     while book.jobs:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -17,8 +17,16 @@
 
 def need(count: int = 1, **changes: object) -> Need:
     fields: dict[str, object] = {
-        "uid": "wk-1", "count": count, "cpus": 2.0, "memory_gb": 4.0, "gpus": 0.0,
-        "image": "i", "image_gb": 1.0, "spot_ok": True, "service": False, "run_s": 30.0,
+        "uid": "wk-1",
+        "count": count,
+        "cpus": 2.0,
+        "memory_gb": 4.0,
+        "gpus": 0.0,
+        "image": "i",
+        "image_gb": 1.0,
+        "spot_ok": True,
+        "service": False,
+        "run_s": 30.0,
         "latest_finish": 1000.0,
     }
     return Need(**{**fields, **changes})  # type: ignore[arg-type]
@@ -26,7 +34,10 @@
 
 def market(**changes: object) -> Market:
     fields: dict[str, object] = {
-        "types": TYPES, "refused": set(), "takeback_share": 0.0, "takeback_threshold": 0.3,
+        "types": TYPES,
+        "refused": set(),
+        "takeback_share": 0.0,
+        "takeback_threshold": 0.3,
     }
     return Market(**{**fields, **changes})  # type: ignore[arg-type]
 
@@ -37,15 +48,22 @@
 
 rooms_strategy = st.lists(
     st.tuples(
-        st.sampled_from(["small", "large"]), st.sampled_from(["a", "b"]), st.booleans(),
-        st.integers(0, 16), st.booleans(),
+        st.sampled_from(["small", "large"]),
+        st.sampled_from(["a", "b"]),
+        st.booleans(),
+        st.integers(0, 16),
+        st.booleans(),
     ),
     max_size=6,
 )
 needs_strategy = st.lists(
     st.tuples(
-        st.integers(1, 9), st.sampled_from([1.0, 2.0, 3.0, 8.0]), st.sampled_from([1.0, 9.0]),
-        st.booleans(), st.sampled_from([None, "a", "b"]), st.booleans(),
+        st.integers(1, 9),
+        st.sampled_from([1.0, 2.0, 3.0, 8.0]),
+        st.sampled_from([1.0, 9.0]),
+        st.booleans(),
+        st.sampled_from([None, "a", "b"]),
+        st.booleans(),
         st.sampled_from([(), (4.0,), (3.0, 8.0)]),
     ),
     max_size=4,
@@ -67,19 +85,22 @@
         if cached:
             r.images.add("i")
         rooms.append(r)
-    plain = [
-        [r.cpus, r.memory_gb, r.type, r.zone, r.spot, "i" in r.images] for r in rooms
-    ]
+    plain = [[r.cpus, r.memory_gb, r.type, r.zone, r.spot, "i" in r.images] for r in rooms]
     for count, cpus, memory, spot_ok, zone, steady, sizes in wants:
         larger = tuple(size for size in sizes if size > cpus)
-        n = need(count, cpus=cpus, memory_gb=memory, spot_ok=spot_ok, larger=larger,
-                 zones=None if zone is None else {zone: count})
+        n = need(
+            count,
+            cpus=cpus,
+            memory_gb=memory,
+            spot_ok=spot_ok,
+            larger=larger,
+            zones=None if zone is None else {zone: count},
+        )
         got: dict[str, int] = {}
         for r, k in place(n, rooms, steady_only=steady):
             got[r.name] = got.get(r.name, 0) + k
         level = [
-            ((30.0 if p[5] else 30.0 + 1.0 / p[2].fetch_gb_per_s) // 3.0, not p[4])
-            for p in plain
+            ((30.0 if p[5] else 30.0 + 1.0 / p[2].fetch_gb_per_s) // 3.0, not p[4]) for p in plain
         ]
         order = sorted(
             range(len(plain)),
@@ -91,8 +112,11 @@
                 (level[i], step, order.index(i))
                 for i, (free, mem, _type, where, spot, _) in enumerate(plain)
                 for step, whole in enumerate((*larger, math.inf))
-                if free >= cpus and mem >= memory and (spot_ok or not spot)
-                and not (steady and spot) and zone in (None, where)
+                if free >= cpus
+                and mem >= memory
+                and (spot_ok or not spot)
+                and not (steady and spot)
+                and zone in (None, where)
                 and free % whole >= cpus
             ]
             if choices:
@@ -132,10 +156,16 @@
             else:
                 running.append(r)
         needs = [
-            need(rng.randint(1, 40), uid=f"wk-{i}", cpus=rng.choice([1.0, 2.0, 4.0, 8.0]),
-                 memory_gb=rng.choice([1.0, 8.0]), run_s=rng.choice([20.0, 30.0, 90.0]),
-                 spot_ok=rng.random() < 0.8, latest_finish=rng.uniform(20.0, 400.0),
-                 larger=rng.choice([(), (8.0,)]))
+            need(
+                rng.randint(1, 40),
+                uid=f"wk-{i}",
+                cpus=rng.choice([1.0, 2.0, 4.0, 8.0]),
+                memory_gb=rng.choice([1.0, 8.0]),
+                run_s=rng.choice([20.0, 30.0, 90.0]),
+                spot_ok=rng.random() < 0.8,
+                latest_finish=rng.uniform(20.0, 400.0),
+                larger=rng.choice([(), (8.0,)]),
+            )
             for i in range(60)
         ]
         refused = {("small", "a", True), ("large", "a", False)}
--- a/tests/test_queue_days.py
+++ b/tests/test_queue_days.py
@@ -80,6 +80,7 @@
 def test_the_connection_drops_at_each_step_in_turn(frames: int) -> None:
     """Counted from when the first message may come: in the middle of login, subscription,
     acknowledgements, answers and their confirms."""
+
     async def cut(played: Played) -> None:
         await cut_after(played, frames)
 
@@ -101,12 +102,18 @@
         put(broker, "work", "bad-3", {**MESSAGE, "cpus": 99.0})
 
     played = day(4, 2, bad, 60.0)
-    dead = {str(m.properties.message_id): m.properties.headers
-            for m in played.broker.queues["dead.work"]}
+    dead = {
+        str(m.properties.message_id): m.properties.headers
+        for m in played.broker.queues["dead.work"]
+    }
     reasons = {name: str((h or {})["x-ryegauge-reason"]) for name, h in dead.items()}
     assert set(reasons) == {f"bad-{n}" for n in range(4)}
-    for name, word in (("bad-0", "JSON"), ("bad-1", "cpus"), ("bad-2", "no such message"),
-                       ("bad-3", "limit")):
+    for name, word in (
+        ("bad-0", "JSON"),
+        ("bad-1", "cpus"),
+        ("bad-2", "no such message"),
+        ("bad-3", "limit"),
+    ):
         assert word in reasons[name]
     assert all(len(answers) == 1 for answers in played.told.values())
     assert not played.broker.queues["work"]
@@ -114,6 +121,7 @@
 
 def test_a_message_waits_for_one_that_is_recorded_after_it() -> None:
     """Several consumers: the second of two messages may be recorded first."""
+
     async def swapped(played: Played) -> None:
         world, broker = played.world, played.broker
         last, first = uid("last"), uid("m-50")
@@ -192,6 +200,7 @@
 
 def test_answers_that_nobody_takes_are_kept_and_then_dropped() -> None:
     """By the rule that is stated: they are tried again until they are too old."""
+
     async def unroutable(played: Played) -> None:
         played.broker.refuse_keys.add("answers")
         await trio.sleep(45.0)
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -105,14 +105,18 @@
 
 BOMB = gzip.compress(b" " * 50_000_000, mtime=0)
 NEVER = [
-    ({}, b"", "JSON"), ({}, b"[1]", "map"), ({}, b"{}", "pieces"),
+    ({}, b"", "JSON"),
+    ({}, b"[1]", "map"),
+    ({}, b"{}", "pieces"),
     ({}, json.dumps({**BODY, "pieces": 0}).encode(), "pieces"),
     ({}, json.dumps({**BODY, "uid": "wk-1"}).encode(), "uid"),
     ({}, json.dumps({**BODY, "urgency": "critical"}).encode(), "urgency"),
     ({}, json.dumps({**BODY, "shape": "standing"}).encode(), "service"),
     ({}, json.dumps({**BODY, "awaits": "m-1"}).encode(), "awaits"),
-    ({}, b'{"cancel": 5}', "cancel"), ({}, b'{"cancel": "m", "pieces": 1}', "cancel"),
-    ({}, b"[" * 100_000, "JSON|longer"), ({"content_type": "text/xml"}, b"<x/>", "content_type"),
+    ({}, b'{"cancel": 5}', "cancel"),
+    ({}, b'{"cancel": "m", "pieces": 1}', "cancel"),
+    ({}, b"[" * 100_000, "JSON|longer"),
+    ({"content_type": "text/xml"}, b"<x/>", "content_type"),
     ({"content_type": "application/cbor"}, b"\x81", "CBOR"),
     ({"content_encoding": "lzma"}, b"x", "content_encoding"),
     ({"content_encoding": "gzip"}, b"x", "gzip"),
@@ -132,8 +136,11 @@
     assert any(word in found.reason for word in says.split("|"))
 
 
-@given(st.binary(max_size=200), st.sampled_from([None, "gzip", "zstd"]),
-       st.sampled_from([None, "application/json", "application/cbor"]))
+@given(
+    st.binary(max_size=200),
+    st.sampled_from([None, "gzip", "zstd"]),
+    st.sampled_from([None, "application/json", "application/cbor"]),
+)
 def test_no_body_makes_it_raise(body: bytes, encoding: str | None, kind: str | None) -> None:
     broker = bindings.Broker("amqp://127.0.0.1")
     binding = bindings.Binding("b", "q", "red", "pick", [broker])
@@ -142,13 +149,36 @@
 
 
 VALUES = st.one_of(
-    st.none(), st.booleans(), st.integers(-2, 200_000), st.floats(-1.0, 1e6), st.text(max_size=3),
-    st.lists(st.sampled_from(["m-1", "", "x"]), max_size=2), st.sampled_from(["sweep", "gang"]),
+    st.none(),
+    st.booleans(),
+    st.integers(-2, 200_000),
+    st.floats(-1.0, 1e6),
+    st.text(max_size=3),
+    st.lists(st.sampled_from(["m-1", "", "x"]), max_size=2),
+    st.sampled_from(["sweep", "gang"]),
 )
 FIELDS = st.dictionaries(
-    st.sampled_from(["pieces", "cpus", "memoryGb", "kit", "expectS", "shape", "cards", "builds",
-                     "awaits", "dueS", "uid", "cancel", "together", "district", "other"]),
-    VALUES, max_size=4,
+    st.sampled_from(
+        [
+            "pieces",
+            "cpus",
+            "memoryGb",
+            "kit",
+            "expectS",
+            "shape",
+            "cards",
+            "builds",
+            "awaits",
+            "dueS",
+            "uid",
+            "cancel",
+            "together",
+            "district",
+            "other",
+        ]
+    ),
+    VALUES,
+    max_size=4,
 )
 
 
@@ -212,8 +242,9 @@
     return order[len(done)] if len(done) < len(order) else None
 
 
-def following(s: State, take: tuple[str, ...], settle: tuple[str, ...], fixed_uid: bool
-              ) -> Iterator[State]:
+def following(
+    s: State, take: tuple[str, ...], settle: tuple[str, ...], fixed_uid: bool
+) -> Iterator[State]:
     for c in (0, 1):
         steps = s.done[c]
         if steps is None and s.ready:
@@ -229,14 +260,19 @@
             # The broker takes the connection for dead and delivers again, while the consumer
             # goes on: what it acknowledges later counts for nothing.
             if c in s.taken and s.copies < COPIES:
-                yield s._replace(ready=True, copies=s.copies + 1,
-                                 taken=tuple(t for t in s.taken if t != c))
+                yield s._replace(
+                    ready=True, copies=s.copies + 1, taken=tuple(t for t in s.taken if t != c)
+                )
             # It ends, before or after a step: what it holds unacknowledged comes again.
             if s.crashes < CRASHES and s.copies < COPIES:
                 back = c in s.taken
                 yield s._replace(
-                    done=_set(s.done, c, None), taken=tuple(t for t in s.taken if t != c),
-                    ready=s.ready or back, copies=s.copies + back, crashes=s.crashes + 1)
+                    done=_set(s.done, c, None),
+                    taken=tuple(t for t in s.taken if t != c),
+                    ready=s.ready or back,
+                    copies=s.copies + back,
+                    crashes=s.crashes + 1,
+                )
     if s.jobs and not s.over:
         yield s._replace(over=True)
     if s.debt and s.over:
@@ -255,8 +291,9 @@
     return tuple(value if n == c else old for n, old in enumerate(done))
 
 
-def explore(take: tuple[str, ...], settle: tuple[str, ...] = SETTLE, *, fixed_uid: bool = True
-            ) -> set[str]:
+def explore(
+    take: tuple[str, ...], settle: tuple[str, ...] = SETTLE, *, fixed_uid: bool = True
+) -> set[str]:
     """Every state that can be reached; what is wrong in any of them, or at the end of all
     that can happen."""
     todo, seen, wrong = [State()], {State()}, set()
@@ -266,8 +303,7 @@
             wrong.add("two jobs")
         if state.answers and not state.over:
             wrong.add("answered early")
-        if not (state.ready or state.taken or state.jobs or any(
-                d is not None for d in state.done)):
+        if not (state.ready or state.taken or state.jobs or any(d is not None for d in state.done)):
             wrong.add("lost")
         if state.over and not state.debt and not state.answers:
             wrong.add("never answered")
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -105,8 +105,14 @@
 
 
 WORK: list[dict[str, Any]] = [
-    {"pieces": 4 + n % 5, "delay": 2.0 + 3.0 * n, "cpus": 1.0 + n % 3, "really": 6.0 + n % 7,
-     "crew": ("red", "blue")[n % 2], **({"cancel_after": 5.0} if n % 4 == 3 else {})}
+    {
+        "pieces": 4 + n % 5,
+        "delay": 2.0 + 3.0 * n,
+        "cpus": 1.0 + n % 3,
+        "really": 6.0 + n % 7,
+        "crew": ("red", "blue")[n % 2],
+        **({"cancel_after": 5.0} if n % 4 == 3 else {}),
+    }
     for n in range(18)
 ]
 
@@ -135,11 +141,16 @@
 def test_jobs_bound_to_a_zone_lose_their_machines(tmp_path: Path, seed: int) -> None:
     bound: list[dict[str, Any]] = [
         {"pieces": 8, "delay": 1.0 + n, "cpus": 1.0, "really": 20.0, "crew": "blue", **place}
-        for n, place in enumerate([
-            {"district": "b"}, {"district": "b", "together": True}, {"together": True},
-            {"spread": True}, {"district": "a", "loaners": False},
-            {"district": "b", "builds": ["small"]},
-        ])
+        for n, place in enumerate(
+            [
+                {"district": "b"},
+                {"district": "b", "together": True},
+                {"together": True},
+                {"spread": True},
+                {"district": "a", "loaners": False},
+                {"district": "b", "builds": ["small"]},
+            ]
+        )
     ]
 
     async def script(world: Day) -> None:
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -59,6 +59,7 @@
 
 def test_it_goes_on_where_it_was(tmp_path: Path) -> None:
     """Most controllers end while they put back; then the service goes back once more."""
+
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(62.0)
@@ -79,6 +80,7 @@
 @pytest.mark.parametrize("kind", ["back 20 s", "all", "records"])
 def test_snapshots_are_enough_when_all_end(tmp_path: Path, kind: str) -> None:
     """Fresh ones, and beside them one that is cut off and one of another fleet."""
+
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         disks = [MemoryDisk() for _ in world.settings]
@@ -128,6 +130,7 @@
 def test_what_nobody_knows_is_not_said_to_be_unknown(tmp_path: Path) -> None:
     """Everything is lost, with all who knew: 503 from the moment that a worker shows it, no 404
     for a job that was accepted, and the log says so."""
+
     async def script(world: World) -> None:
         await trio.sleep(30.0)
         world.state.lose_all()
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -33,7 +33,8 @@
     silent = float(s.now - s.heard)
     probes = [
         Probe(by, Outcome.NO_CONNECTION, float(s.now))
-        for by, asked in zip(("owner", "helper"), s.asked, strict=True) if asked
+        for by, asked in zip(("owner", "helper"), s.asked, strict=True)
+        if asked
     ]
     # The owner hears few of its machines: only others' word can call this one lost.
     return judge(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).grade
@@ -61,8 +62,9 @@
     if s.release == "none" and grade(s) >= Grade.LOST:
         yield s._replace(release="sent", free=s.free or fault == "sent")
     if s.release in ("sent", "lost"):  # a request without an answer may be executed late
-        yield s._replace(release="executed" if s.release == "sent" else "lost", power=False,
-                         on=False)
+        yield s._replace(
+            release="executed" if s.release == "sent" else "lost", power=False, on=False
+        )
         yield s._replace(release="lost", free=s.free or fault == "unanswered")
     if s.release == "executed":
         yield s._replace(release="answered", free=True)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -76,9 +76,7 @@
                 address = world.settings[n].mesh_addr
                 usual = world.network.handlers[address]
 
-                async def hangs(
-                    method: str, target: str, body: bytes, usual: Any = usual
-                ) -> Reply:
+                async def hangs(method: str, target: str, body: bytes, usual: Any = usual) -> Reply:
                     await usual(method, target, body)
                     await trio.sleep_forever()
                     raise AssertionError
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -142,9 +142,7 @@
 
     def share_in_time(self) -> float:
         """Of the submissions that were first sent outside of troubles."""
-        calm = [
-            uid for uid, spec in self.checker.specs.items() if self.calm(float(spec["first"]))
-        ]
+        calm = [uid for uid, spec in self.checker.specs.items() if self.calm(float(spec["first"]))]
         return sum(
             uid in self.submitted and self.submitted[uid][1] - self.submitted[uid][0] <= IN_TIME_S
             for uid in calm
@@ -153,10 +151,14 @@
 
 def some_settings(tmp_path: Path, memory_mb: float) -> list[Settings]:
     changes = {
-        "report_s = 1.0": "report_s = 2.5", "lease_s = 10.0": "lease_s = 14.0",
-        "cancel_s = 35.0": "cancel_s = 39.0", "rps = 100.0": "rps = 90.0",
-        "write_rps = 40.0": "write_rps = 25.0", "value_kb = 16.0": "value_kb = 4.0",
-        "cpus_max = 32.0": "cpus_max = 64.0", "cpus_max = 48.0": "cpus_max = 64.0",
+        "report_s = 1.0": "report_s = 2.5",
+        "lease_s = 10.0": "lease_s = 14.0",
+        "cancel_s = 35.0": "cancel_s = 39.0",
+        "rps = 100.0": "rps = 90.0",
+        "write_rps = 40.0": "write_rps = 25.0",
+        "value_kb = 16.0": "value_kb = 4.0",
+        "cpus_max = 32.0": "cpus_max = 64.0",
+        "cpus_max = 48.0": "cpus_max = 64.0",
         "memory_mb = 106.0": f"memory_mb = {memory_mb}",
     }
     result = []
@@ -172,7 +174,12 @@
 
 
 def play_small(
-    tmp_path: Path, script: Script, *, seed: int = 1, count: int = COUNT, after_s: float = 40.0,
+    tmp_path: Path,
+    script: Script,
+    *,
+    seed: int = 1,
+    count: int = COUNT,
+    after_s: float = 40.0,
     memory_mb: float = 106.0,
 ) -> SmallJobs:
     worlds: list[SmallJobs] = []
@@ -184,8 +191,14 @@
         for i in range(count):
             at = FIRST_S + EVERY_S * i
             body = job_body(
-                f"wk-{i + 1:06d}", pieces=1, cpus=0.5, memoryGb=1.0, imageGb=0.2, expectS=4.0,
-                crew=("red", "blue")[i % 2], urgency=("normal", "best_effort", "high")[i % 3],
+                f"wk-{i + 1:06d}",
+                pieces=1,
+                cpus=0.5,
+                memoryGb=1.0,
+                imageGb=0.2,
+                expectS=4.0,
+                crew=("red", "blue")[i % 2],
+                urgency=("normal", "best_effort", "high")[i % 3],
                 first=at,
             )
             cancel_after = world.rng.uniform(0.2, 6.0) if i % 4 == 0 else None
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -20,15 +20,18 @@
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(0, 2**60) | st.text(max_size=8) | st.floats(0, 1e9),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner,
-                                                               max_size=3),
+    lambda inner: (
+        st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner, max_size=3)
+    ),
     max_leaves=6,
 )
 KNOWN = st.builds(Known, VALUES, st.integers(0, 255), st.integers(0, 2**36))
 KEPT = st.builds(
-    Kept, st.dictionaries(st.text(max_size=12), KNOWN, max_size=250),
+    Kept,
+    st.dictionaries(st.text(max_size=12), KNOWN, max_size=250),
     st.dictionaries(
-        st.text(max_size=9), st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9)),
+        st.text(max_size=9),
+        st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9)),
         max_size=8,
     ),
     st.just(False),
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -24,12 +24,25 @@
 FLAT = [int]
 # Field: (required, type or the types of what it holds).
 JOB = {
-    "uid": (True, str), "duty": (True, str), "crew": (True, str), "shape": (True, str),
-    "urgency": (True, str), "pieces": (True, int), "cpus": (True, NUMBER),
-    "cards": (True, NUMBER), "memoryGb": (True, NUMBER), "kit": (True, str),
-    "imageGb": (True, NUMBER), "together": (True, bool), "spread": (True, bool),
-    "loaners": (True, bool), "expectS": (True, NUMBER), "waypointS": (True, NUMBER),
-    "stowS": (True, NUMBER), "builds": (False, [str]), "district": (False, str),
+    "uid": (True, str),
+    "duty": (True, str),
+    "crew": (True, str),
+    "shape": (True, str),
+    "urgency": (True, str),
+    "pieces": (True, int),
+    "cpus": (True, NUMBER),
+    "cards": (True, NUMBER),
+    "memoryGb": (True, NUMBER),
+    "kit": (True, str),
+    "imageGb": (True, NUMBER),
+    "together": (True, bool),
+    "spread": (True, bool),
+    "loaners": (True, bool),
+    "expectS": (True, NUMBER),
+    "waypointS": (True, NUMBER),
+    "stowS": (True, NUMBER),
+    "builds": (False, [str]),
+    "district": (False, str),
     "dueS": (False, NUMBER),
 }
 OWNER = {"o": (True, str), "i": (True, str)}
@@ -39,8 +52,12 @@
     r"r/p/\d+": OWNER,
     r"r/l": OWNER,
     r"r/c/[^/]+": {
-        "label": (True, str), "cpus": (True, NUMBER), "memoryGb": (True, NUMBER),
-        "hourly": (True, NUMBER), "startupS": (True, NUMBER), "districts": (True, [str]),
+        "label": (True, str),
+        "cpus": (True, NUMBER),
+        "memoryGb": (True, NUMBER),
+        "hourly": (True, NUMBER),
+        "startupS": (True, NUMBER),
+        "districts": (True, [str]),
     },
     r"r/j/wk-\d+": {"s": (True, JOB), "at": (True, NUMBER), "x": (False, bool)},
     r"r/j/wk-\d+/\d+": {"t": (True, {"": FLAT}), "d": (True, FLAT)},
@@ -50,10 +67,15 @@
 PASSED_OVER = r"r/[^npljc]/.+"
 # What production reads of each message, by place.
 MESSAGES: dict[str, list[Any]] = {
-    "poke": [int], "part": [str, int, int, int, list, list, int, int, list],
-    "orders": [int, list, list, list, bool], "vow": [str, str, list],
-    "vowed": [bool, str, list], "hello": [str, str], "welcome": [str],
-    "relay": [str, str, object], "relayed": [int, object],
+    "poke": [int],
+    "part": [str, int, int, int, list, list, int, int, list],
+    "orders": [int, list, list, list, bool],
+    "vow": [str, str, list],
+    "vowed": [bool, str, list],
+    "hello": [str, str],
+    "welcome": [str],
+    "relay": [str, str, object],
+    "relayed": [int, object],
 }
 
 
@@ -82,8 +104,10 @@
 
 def accepted_message(wire: list[Any]) -> bool:
     kinds = MESSAGES.get(wire[0])
-    return kinds is not None and len(wire) > len(kinds) and all(
-        fits(value, kind) for value, kind in zip(wire[1:], kinds, strict=False)
+    return (
+        kinds is not None
+        and len(wire) > len(kinds)
+        and all(fits(value, kind) for value, kind in zip(wire[1:], kinds, strict=False))
     )
 
 
@@ -109,7 +133,8 @@
     for key, value in DATA["records"].items():
         if re.fullmatch(r"r/j/wk-\d+/\d+", key):
             assert Share.from_record(value, 7).to_record() == {
-                "t": {zone: flat for zone, flat in value["t"].items() if flat}, "d": value["d"],
+                "t": {zone: flat for zone, flat in value["t"].items() if flat},
+                "d": value["d"],
             }
         elif re.fullmatch(r"r/j/wk-\d+", key):
             spec = parse_job(value["s"])
@@ -125,8 +150,11 @@
         path.write_text(settings_text(n))
         one = load(path)
         quota = msgspec.structs.replace(one.settings.quota, memory_mb=0.2)
-        settings.append(msgspec.structs.replace(
-            one, settings=msgspec.structs.replace(one.settings, quota=quota)))
+        settings.append(
+            msgspec.structs.replace(
+                one, settings=msgspec.structs.replace(one.settings, quota=quota)
+            )
+        )
 
     async def quiet(world: World) -> None:
         return
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -38,8 +38,16 @@
     {"pieces": 9, "delay": 12.0, "really": 15.0, "kit": "img-2"},
     {"pieces": 4, "delay": 20.0, "together": True, "crew": "blue"},
     {"pieces": 4, "delay": 25.0, "spread": True, "crew": "blue", "cancel_after": 40.0},
-    {"pieces": 2, "delay": 8.0, "shape": "standing", "expectS": 0.0, "dueS": None,
-     "loaners": False, "cpus": 1.0, "cancel_after": 60.0},
+    {
+        "pieces": 2,
+        "delay": 8.0,
+        "shape": "standing",
+        "expectS": 0.0,
+        "dueS": None,
+        "loaners": False,
+        "cpus": 1.0,
+        "cancel_after": 60.0,
+    },
     {"pieces": 16, "delay": 40.0, "cancel_after": 12.0, "really": 30.0},
     {"pieces": 5, "delay": 45.0, "builds": ["small"], "district": "b", "crew": "blue"},
     {"pieces": 20, "delay": 60.0, "cpus": 4.0, "really": 12.0},
@@ -60,11 +68,24 @@
     {"pieces": 1, "delay": 24.0, "awaits": ["wk-000006"], "late": True},
     {"pieces": 4, "delay": 30.0, "cpus": 1.0},
     {"pieces": 4, "delay": 30.0, "awaits": ["wk-000010"], "cancel_after": 3.0},
-    {"pieces": 4, "delay": 30.0, "awaits": ["wk-000010", "wk-000001"], "spread": True,
-     "crew": "blue"},
+    {
+        "pieces": 4,
+        "delay": 30.0,
+        "awaits": ["wk-000010", "wk-000001"],
+        "spread": True,
+        "crew": "blue",
+    },
     {"pieces": 20, "delay": 40.0, "cpus": 2.0, "really": 14.0},
-    {"pieces": 2, "delay": 40.0, "awaits": ["wk-000013"], "shape": "standing", "expectS": 0.0,
-     "dueS": None, "cpus": 1.0, "cancel_after": 50.0},
+    {
+        "pieces": 2,
+        "delay": 40.0,
+        "awaits": ["wk-000013"],
+        "shape": "standing",
+        "expectS": 0.0,
+        "dueS": None,
+        "cpus": 1.0,
+        "cancel_after": 50.0,
+    },
     {"pieces": 3, "delay": 60.0, "awaits": ["wk-000012", "wk-000004", "wk-000012"]},
 ]
 
@@ -158,8 +179,9 @@
 
             async def submit(name: str) -> None:
                 while name not in checker.accepted:
-                    status, answer = await world.ask("POST", "/v1/jobs", job_body(
-                        name, pieces=1, cpus=0.1))
+                    status, answer = await world.ask(
+                        "POST", "/v1/jobs", job_body(name, pieces=1, cpus=0.1)
+                    )
                     checker.answered(name, status, answer, "submit")
                     await trio.sleep(0.5)
 
@@ -200,9 +222,26 @@
         some = {rng.choice(sorted(hosts))}
         alive = sorted(w.name for w in world.workers.values() if w.alive and w.up)
         kind = rng.choice(
-            ["crash", "crash", "crash_all", "crash_most", "peers_refuse", "outage", "outage",
-             "from_state", "from_workers", "from_peers", "from_all", "die", "notice", "hang",
-             "sick", "machine_cut", "cloud", "zones"]
+            [
+                "crash",
+                "crash",
+                "crash_all",
+                "crash_most",
+                "peers_refuse",
+                "outage",
+                "outage",
+                "from_state",
+                "from_workers",
+                "from_peers",
+                "from_all",
+                "die",
+                "notice",
+                "hang",
+                "sick",
+                "machine_cut",
+                "cloud",
+                "zones",
+            ]
         )
         hold = rng.random() < 0.6
         if kind == "crash":
@@ -288,6 +327,7 @@
 def test_rules_hold_while_controllers_are_rolled(tmp_path: Path, seed: int) -> None:
     """One after the other ends and comes back new, with other ends between, of which
     those before their turn come back old; pipelines begin when all are new."""
+
     async def roll(world: World) -> None:
         # CI has no other checkout and rolls the present version over itself.
         old = node_of(os.environ.get("RYEGAUGE_PRODUCTION"))
@@ -308,8 +348,11 @@
         limit_state(world)
 
     later = [
-        {**job, "delay": job["delay"] + 80.0,
-         "awaits": [f"wk-{int(name[3:]) + len(MIX):06d}" for name in job.get("awaits", ())]}
+        {
+            **job,
+            "delay": job["delay"] + 80.0,
+            "awaits": [f"wk-{int(name[3:]) + len(MIX):06d}" for name in job.get("awaits", ())],
+        }
         for job in PIPES
     ]
     settings = with_next(some_controllers(tmp_path, 5, "ab" if seed % 2 else "a"))
@@ -442,13 +485,28 @@
     assert world.checker.broken == []
     statuses = {name: status for name, (status, _) in got.items()}
     assert statuses == {
-        "map": 400, "missing": 400, "never": 422, "known, malformed": 200,
-        "known, never": 200, "unknown": 404, "cancel unknown": 404, "cancel done": 200,
-        "path": 404, "report": 400, "poll in outage": 503, "unknown in outage": 503,
+        "map": 400,
+        "missing": 400,
+        "never": 422,
+        "known, malformed": 200,
+        "known, never": 200,
+        "unknown": 404,
+        "cancel unknown": 404,
+        "cancel done": 200,
+        "path": 404,
+        "report": 400,
+        "poll in outage": 503,
+        "unknown in outage": 503,
         "done, in outage": 200,
-        "submit in outage": 503, "never in outage": 503, "awaits itself": 422,
-        "awaits unknown": 422, "awaits malformed": 400, "too long": 400,
-        "known, unknown needs": 200, "refused is unknown": 404, "needs in outage": 503,
+        "submit in outage": 503,
+        "never in outage": 503,
+        "awaits itself": 422,
+        "awaits unknown": 422,
+        "awaits malformed": 400,
+        "too long": 400,
+        "known, unknown needs": 200,
+        "refused is unknown": 404,
+        "needs in outage": 503,
     }
     assert got["cancel done"][1]["status"] == "done"
     assert max(took.values()) < 2.0
@@ -482,8 +540,10 @@
         with world.cut_zones(hold=False):
             await trio.sleep(25.0)
 
-    jobs = [{"pieces": 9, "delay": 1.0, "really": 60.0, "cpus": 4.0},
-            {"pieces": 6, "delay": 45.0, "crew": "blue"}]
+    jobs = [
+        {"pieces": 9, "delay": 1.0, "really": 60.0, "cpus": 4.0},
+        {"pieces": 6, "delay": 45.0, "crew": "blue"},
+    ]
     world = play(some_controllers(tmp_path, 5, "ab"), 3, jobs, cut, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -494,6 +554,7 @@
     controllers: list[Settings],
 ) -> None:
     """Found by measurement: it waited for the catalogue, and allotted nothing."""
+
     async def away(world: World) -> None:
         await trio.sleep(35.0)
         world.cloud.outage = True
@@ -503,8 +564,10 @@
         assert "wk-000002" in world.checker.final
         world.cloud.outage = False
 
-    jobs = [{"pieces": 4, "delay": 1.0, "really": 40.0, "cpus": 1.0},
-            {"pieces": 2, "delay": 45.0, "really": 5.0, "cpus": 1.0, "expectS": 5.0}]
+    jobs = [
+        {"pieces": 4, "delay": 1.0, "really": 40.0, "cpus": 1.0},
+        {"pieces": 2, "delay": 45.0, "really": 5.0, "cpus": 1.0, "expectS": 5.0},
+    ]
     world = play(controllers, 3, jobs, away, 120.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -523,8 +586,11 @@
     controllers = []
     for settings in some_controllers(tmp_path, 3, "a"):
         workers = msgspec.structs.replace(settings.settings.workers, lease_s=14.0, cancel_s=40.0)
-        controllers.append(msgspec.structs.replace(
-            settings, settings=msgspec.structs.replace(settings.settings, workers=workers)))
+        controllers.append(
+            msgspec.structs.replace(
+                settings, settings=msgspec.structs.replace(settings.settings, workers=workers)
+            )
+        )
     world = play(controllers, 3, jobs, deaf, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -536,8 +602,19 @@
 
 @pytest.mark.parametrize(
     "rule",
-    ["ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented",
-     "not_done", "went_back", "too_early", "orphaned", "forgotten unanswered"],
+    [
+        "ran_twice",
+        "quota",
+        "wrong_place",
+        "ran_cancelled",
+        "forgotten",
+        "invented",
+        "not_done",
+        "went_back",
+        "too_early",
+        "orphaned",
+        "forgotten unanswered",
+    ],
 )
 def test_each_rules_checker_can_fail(controllers: list[Settings], rule: str) -> None:
     """The world is made to break each rule by hand, and the checker says so."""
@@ -551,8 +628,14 @@
                 world.rent("large", "a", True)
             one, two = world.workers.values()
             spec = {
-                "crew": "red", "cpus": 2.0, "pieces": 4, "builds": None, "district": None,
-                "loaners": True, "together": False, "spread": False,
+                "crew": "red",
+                "cpus": 2.0,
+                "pieces": 4,
+                "builds": None,
+                "district": None,
+                "loaners": True,
+                "together": False,
+                "spread": False,
             }
             checker.specs["wk-1"] = spec
             checker.specs["wk-2"] = {**spec, "awaits": ["wk-1"]}
@@ -605,5 +688,3 @@
 
     broken = trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
     assert [line.split()[1].rstrip(":") for line in broken] == [rule.split()[0]]
-
-
