--- a/ryegauge/coordination/part.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -11,19 +11,19 @@
 
 import msgspec
 
-from ryegauge.bookkeeping.eras import PUTTING_BACK, REBUILT, era_in
-from ryegauge.bookkeeping.jobbook import JobBook
+from ryegauge.bookkeeping.epochs import RECOVERED, RESTORING, epoch_of_token
 from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state_replica import StateReplica
 from ryegauge.config import Settings
-from ryegauge.coordination import shares
-from ryegauge.coordination.held import Machine, Phase, Task
-from ryegauge.coordination.needs import make_need, task_sizes, tracks_zones
-from ryegauge.coordination.showing import Showing, Signature
-from ryegauge.detection.blame import Blame
-from ryegauge.detection.hearing import Attention, Hearing, is_deaf
-from ryegauge.detection.verdicts import SUSPECT_GAPS, Probe
+from ryegauge.coordination import assignment_updates
+from ryegauge.coordination.demands import make_demand, records_zones, task_sizes
+from ryegauge.coordination.owner_records import Machine, Phase, Task
+from ryegauge.coordination.view_publisher import Signature, ViewPublisher
+from ryegauge.detection.failure_diagnosis import SUSPECT_GAPS, ProbeResult
+from ryegauge.detection.fault_attribution import FaultAttribution
+from ryegauge.detection.last_heard import LastHeard, StallDetector, owner_unreachable
 from ryegauge.protocol.cloud import MachineType
-from ryegauge.protocol.peers import MachineView, PartView, RunSample
+from ryegauge.protocol.peers import MachineView, RunSample, ShardView
 from ryegauge.protocol.workers import (
     Command,
     Forget,
@@ -35,96 +35,96 @@
     task_key,
 )
 from ryegauge.scheduling.estimates import Estimates
-from ryegauge.scheduling.planner import Room, place, whole_room
+from ryegauge.scheduling.planner import MachineCapacity, place, unused_capacity
 
 log = logging.getLogger(__name__)
 
 # Machines given up whose late reports are still recognised.
 REMEMBERED = 10_000
 # A task that fails again and again is tried at least so often.
-LONGEST_PAUSE_LEASES = 4.0
+MAX_RETRY_PAUSE_LEASES = 4.0
 
 
 def _of(key: TaskKey) -> tuple[str, list[TaskKey]]:
     return key[0], [key]
 
 
-class PartOwner:
+class ShardOwner:
     def __init__(
         self,
-        part: int,
+        shard: int,
         token: int,
-        book: JobBook,
+        replica: StateReplica,
         settings: Settings,
         types: Callable[[], dict[str, MachineType]],
         now: float,
         authority_ended_at: float = -math.inf,
-        looks_for_strays: bool = False,
+        detects_unrecorded: bool = False,
     ) -> None:
         """`authority_ended_at`: by then all authority of before this era has ended."""
-        self.part = part
+        self.shard = shard
         self.token = token
         self._since = now
-        self._book = book
+        self._replica = replica
         self._settings = settings
         self._types = types
-        self.lease_s = settings.sure_lease_s
+        self.lease_s = settings.max_lease_s
         # By then whatever the earlier authority commanded has reported here or lost
         # its lease: it could last answer before this token existed.
         self._authority_ended_at = authority_ended_at
         self._barrier_at = max(now, authority_ended_at) + self.lease_s
         # While data that the state service lost is put back, nothing is placed, and what no
         # share holds may be adopted: (task, attempt) -> (seen at, whether it has ended as done).
-        self._rebuilding = self._stage != REBUILT
-        self._looks_for_strays = looks_for_strays
-        self.strays: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
-        self._acquitted: set[tuple[TaskKey, int]] = set()
+        self._rebuilding = self._stage != RECOVERED
+        self._detects_unrecorded = detects_unrecorded
+        self.unrecorded: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
+        self._cleared: set[tuple[TaskKey, int]] = set()
         self.machines: dict[str, Machine] = {}
         # Machines of ours that have never reported here or were given up: name -> (address,
         # attempts to ask them).
-        self._unheard: dict[str, tuple[str, list[Probe]]] = {}
+        self._unheard: dict[str, tuple[str, list[ProbeResult]]] = {}
         self._elsewhere: dict[str, float] = {}  # machine of ours -> when others last heard it
-        self._hearing = Hearing(Attention(settings.settings.workers.report_s, now))
+        self._hearing = LastHeard(StallDetector(settings.settings.workers.report_s, now))
         self._stamps: dict[str, tuple[float, float]] = {}  # of machines given up
         self.tasks: dict[TaskKey, Task] = {}
         self._by_job: dict[str, set[TaskKey]] = {}
         self._attempts = token << 20
         self._free: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
-        self.leaving: set[TaskKey] = set()
+        self.pending_removal: set[TaskKey] = set()
         self._bulky: set[str] = set()  # jobs whose share's record has grown too large
         self.estimates = Estimates()
         self._samples: dict[str, tuple[int, float, float]] = {}
         # Counts reports that said something new. Most only renew a lease, and looking
         # at everything again for each would take most of the time.
         self.revision = 0
-        self._showing = Showing()
-        self._blame = Blame(self._any_done)
+        self._showing = ViewPublisher()
+        self._blame = FaultAttribution(self._any_done)
         self._faulty: set[str] = set()  # machines that are to be given up
         self._suspected: set[str] = set()  # machines that get no tasks for now
         self._blamed_at = now
-        for uid in list(book.live):
+        for uid in list(replica.live):
             self._reconcile(uid, "unseen")
 
     # -- what the book says -------------------------------------------------------
 
     @property
     def _stage(self) -> int:
-        return self._book.era_stage
+        return self._replica.recovery_stage
 
     def on_job(self, uid: str) -> None:
         self._reconcile(uid, "unseen" if self._rebuilding else "free")
 
     def _reconcile(self, uid: str, phase: Phase) -> None:
-        job = self._book.jobs.get(uid)
-        share = job.shares.get(self.part) if job is not None else None
+        job = self._replica.jobs.get(uid)
+        assignment = job.assignments.get(self.shard) if job is not None else None
         known = self._by_job.get(uid)
-        if share is None and not known:
+        if assignment is None and not known:
             self._bulky.discard(uid)
             return
         wanted: set[TaskKey] = set()
-        if share is not None:
-            for zone, ranges in share.allotted.items():
+        if assignment is not None:
+            for zone, ranges in assignment.assigned.items():
                 for index in ranges:
                     key = (uid, index)
                     wanted.add(key)
@@ -133,7 +133,11 @@
                         (self._free if phase == "free" else self._unseen).add(key)
         for key in (known or set()) - wanted:
             self._drop(key)
-        if job is not None and share is not None and shares.is_bulky(job, share, self._settings):
+        if (
+            job is not None
+            and assignment is not None
+            and assignment_updates.is_bulky(job, assignment, self._settings)
+        ):
             self._bulky.add(uid)
         else:
             self._bulky.discard(uid)
@@ -141,14 +145,14 @@
             self._by_job[uid] = wanted
         else:
             self._by_job.pop(uid, None)
-        if self._book.is_cancelled(uid):
+        if self._replica.is_cancelled(uid):
             for key in wanted:
                 self._withdraw(self.tasks[key])
 
     def _drop(self, key: TaskKey) -> None:
         """The record no longer gives us the task: only written once it was over."""
         task = self.tasks.pop(key)
-        for keys in (self._free, self._unseen, self.leaving):
+        for keys in (self._free, self._unseen, self.pending_removal):
             keys.discard(key)
         if task.machine is not None and (m := self.machines.get(task.machine)) is not None:
             m.tasks.discard(key)
@@ -169,7 +173,7 @@
         self._unseen.discard(task.key)
         task.phase = "leaving"
         task.done = task.done or done
-        self.leaving.add(task.key)
+        self.pending_removal.add(task.key)
 
     def _end(self, task: Task) -> None:
         """Its attempt is over for certain; the task itself is not."""
@@ -188,7 +192,7 @@
         machine.tasks.discard(task.key)
         if self._blame.succeeded(task.key[0], machine.name):
             self._reassess()
-        job = self._book.jobs.get(task.key[0])
+        job = self._replica.jobs.get(task.key[0])
         if job is not None and task.running_since is not None and job.spec.estimate_s > 0:
             took = max(0.1, now - task.running_since)
             ratio = math.log(took / job.spec.estimate_s)
@@ -206,12 +210,12 @@
         self._blame.failed(task.key[0], machine.name, len(task.errors))
         self._reassess()
         w = self._settings.settings.workers
-        longest_s = LONGEST_PAUSE_LEASES * w.lease_s
+        longest_s = MAX_RETRY_PAUSE_LEASES * w.lease_s
         pause_s = w.report_s * 2.0 ** min(task.failed, 30) - w.report_s
         task.not_before = now + min(longest_s, pause_s)
 
     def _any_done(self, uid: str) -> bool:
-        job = self._book.jobs.get(uid)
+        job = self._replica.jobs.get(uid)
         return job is not None and job.done_count > 0
 
     def _reassess(self) -> None:
@@ -313,7 +317,7 @@
             elif (
                 checkin
                 and (key, task.attempt) in machine.direct
-                and not self._book.is_cancelled(key[0])
+                and not self._replica.is_cancelled(key[0])
             ):
                 # Not wanted any more, and sent straight without an answer: it may yet begin. In
                 # order, so that it is over before it does; the worker keeps it as ended (it is
@@ -335,7 +339,8 @@
         return [
             Kill(key, entry.attempt, 0.0)
             for entry in report.tasks
-            if entry.state != "ended" and self._book.is_cancelled((key := task_key(entry.task))[0])
+            if entry.state != "ended"
+            and self._replica.is_cancelled((key := task_key(entry.task))[0])
         ]
 
     def _missing(
@@ -362,7 +367,7 @@
             elif task.withdrawn and checkin:
                 # Nothing else than its return makes sure that it does not start.
                 machine.retiring = True
-                stuck = stuck or self._book.is_cancelled(key[0])
+                stuck = stuck or self._replica.is_cancelled(key[0])
         if checkin:
             machine.stuck_at = min(machine.stuck_at, machine.heard_at) if stuck else math.inf
 
@@ -398,7 +403,7 @@
             if task is None:
                 # The record no longer has it with us: its outcome is durable, unless the
                 # record is one that was lost.
-                if not self._is_stray(machine, key, entry, now):
+                if not self._check_unrecorded(machine, key, entry, now):
                     commands += forget
             elif mine and entry.why == "done":
                 self._finish(task, machine, now)
@@ -419,13 +424,13 @@
             else:
                 commands += forget
             return
-        if task is None and self._is_stray(machine, key, entry, now):
+        if task is None and self._check_unrecorded(machine, key, entry, now):
             return
         if task is None or not mine:
             commands.append(Kill(key, attempt, 0.0))
             return
         task.phase = "seen"
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         if job is not None:
             self._cache(machine, job.spec.image, job.spec.image_gb)
         if entry.state == "running" and task.running_since is None:
@@ -445,19 +450,21 @@
         if task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
 
-    def _is_stray(self, machine: Machine, key: TaskKey, entry: TaskReport, now: float) -> bool:
+    def _check_unrecorded(
+        self, machine: Machine, key: TaskKey, entry: TaskReport, now: float
+    ) -> bool:
         """Whether a task that no share gives us may yet turn out to be ours, since its record
         was lost. If nothing was lost there is none: a share holds a task until it is surely
         nowhere."""
-        if not self._looks_for_strays:
+        if not self._detects_unrecorded:
             return False
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         open_ = job is not None and job.is_open(key[1])
         attempt = entry.attempt
         if self._rebuilding:
-            if self._stage == PUTTING_BACK:
+            if self._stage == RESTORING:
                 return True
-            is_stray = open_
+            is_unrecorded = open_
         else:
             # Only one begun by an authority before ours, in this era: what is left of earlier
             # ones had its time to be adopted. One that has ended proves nothing: handed back,
@@ -465,24 +472,24 @@
             # recorded day: a task that was stopped for others after a takeover had a healthy
             # service taken for one that had lost data.)
             token = attempt >> 20
-            earlier = token != self.token and era_in(token) == era_in(self.token)
-            known = (key, attempt) in self._acquitted
+            earlier = token != self.token and epoch_of_token(token) == epoch_of_token(self.token)
+            known = (key, attempt) in self._cleared
             ended = entry.state == "ended"
-            is_stray = earlier and not ended and not known and (open_ or job is None)
-        if is_stray:
-            zone = machine.zone if job is not None and tracks_zones(job.spec) else ""
-            seen_at = self.strays[key, attempt][0] if (key, attempt) in self.strays else now
-            self.strays[key, attempt] = (seen_at, zone, entry.why == "done")
-        return is_stray
-
-    def acquit(self, key: TaskKey, attempt: int) -> None:
+            is_unrecorded = earlier and not ended and not known and (open_ or job is None)
+        if is_unrecorded:
+            zone = machine.zone if job is not None and records_zones(job.spec) else ""
+            seen_at = self.unrecorded[key, attempt][0] if (key, attempt) in self.unrecorded else now
+            self.unrecorded[key, attempt] = (seen_at, zone, entry.why == "done")
+        return is_unrecorded
+
+    def clear_unrecorded(self, key: TaskKey, attempt: int) -> None:
         """Its record is not lost: it is stopped, as is everything that is not ours."""
-        self.strays.pop((key, attempt), None)
-        self._acquitted.add((key, attempt))
+        self.unrecorded.pop((key, attempt), None)
+        self._cleared.add((key, attempt))
 
-    def is_stray(self, key: TaskKey) -> bool:
+    def is_unrecorded(self, key: TaskKey) -> bool:
         """Still, by the book as it is now."""
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         return key not in self.tasks and (job is None or job.is_open(key[1]))
 
     def _cache(self, machine: Machine, image: str, gb: float) -> None:
@@ -530,7 +537,7 @@
 
     # -- silence ------------------------------------------------------------------------
 
-    def heard_elsewhere(self, name: str, at: float) -> None:
+    def on_heard_elsewhere(self, name: str, at: float) -> None:
         self._elsewhere.pop(name, None)
         self._elsewhere[name] = at
         if len(self._elsewhere) > REMEMBERED:
@@ -539,7 +546,7 @@
     def deaf(self, now: float) -> bool:
         """Whether others hear our machines and we do not, though we listened."""
         gap_s = self._settings.report_gap_s
-        if not self._elsewhere or self._hearing.attention.stood_still_s(now - 3 * gap_s):
+        if not self._elsewhere or self._hearing.attention.stalled_s(now - 3 * gap_s):
             return False
         if now < self._since + gap_s:
             # Those that others heard are just being sent on to us, or reported before we began.
@@ -547,9 +554,9 @@
             # that was unseen there waited for one more barrier.)
             return False
         heard_at = {m.name: m.heard_at for m in self.machines.values()}
-        return is_deaf(heard_at, self._elsewhere, gap_s, now)
+        return owner_unreachable(heard_at, self._elsewhere, gap_s, now)
 
-    def unheard(self, machines: Iterable[tuple[str, str]]) -> None:
+    def unreported(self, machines: Iterable[tuple[str, str]]) -> None:
         """What the leader has listed in our part and we have not shown: (name, address)."""
         known = self._unheard
         self._unheard = {
@@ -575,7 +582,7 @@
             if all(now - p.at > gap_s for p in probes)
         ]
 
-    def probed(self, name: str, probe: Probe) -> None:
+    def probed(self, name: str, probe: ProbeResult) -> None:
         """One for each controller that asked; a report that came meanwhile says more."""
         machine = self.machines.get(name)
         if machine is None:
@@ -626,7 +633,7 @@
         self._hearing.attention.look(now)
         if now - self._blamed_at > self._settings.settings.workers.lease_s:
             self._blamed_at = now
-            self._blame.keep(self._book.live, self.machines)
+            self._blame.keep(self._replica.live, self.machines)
             self._reassess()
         for machine in list(self.machines.values()):
             if now > machine.heard_at + self.lease_s:
@@ -637,12 +644,12 @@
                 self._gave_up(machine.name, (self._ended_session(machine), math.inf))
                 del self.machines[machine.name]
         if self._rebuilding:
-            if self._stage != REBUILT:
+            if self._stage != RECOVERED:
                 return
             # From here on tasks that are not ours are stopped, so it counts from here.
             self._rebuilding = False
             self._barrier_at = max(now, self._authority_ended_at) + self.lease_s
-            self.strays.clear()
+            self.unrecorded.clear()
         # A machine that was answered but has not reported under this token yet had
         # its lease renewed, with whatever is on it.
         if self._unseen and now > self._barrier_at + self.lease_s:
@@ -692,17 +699,17 @@
             )
         )
 
-    def _rooms(self, now: float) -> list[Room]:
-        rooms: list[Room] = []
+    def _rooms(self, now: float) -> list[MachineCapacity]:
+        rooms: list[MachineCapacity] = []
         types = self._types()
         for machine in self.machines.values():
             type_ = types.get(machine.type)
             if type_ is None or not self._takes_tasks(machine, now):
                 continue
-            room = whole_room(type_, machine.name, machine.zone, machine.spot, self.part)
+            room = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
             room.images = set(machine.images)
             for key in self._occupants(machine):
-                job = self._book.jobs.get(key[0])
+                job = self._replica.jobs.get(key[0])
                 if job is None:
                     room.cpus = -1.0  # something unknown runs here: leave it alone
                     break
@@ -737,19 +744,19 @@
             task = self.tasks[key]
             if task.not_before <= now:
                 groups.setdefault((key[0], task.zone), []).append(key)
-        sizes = task_sizes(self._book)
+        sizes = task_sizes(self._replica)
         for (uid, zone), keys in groups.items():
-            job = self._book.jobs[uid]
+            job = self._replica.jobs[uid]
             zones = {zone: len(keys)} if zone else None
             # How urgent it is has been decided where its tasks were allotted.
-            need = make_need(job, len(keys), zones, self.estimates, math.inf, sizes)
+            need = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
             avoid = set().union(*(self.tasks[key].errors for key in keys))
             open_rooms = [room for room in rooms if room.name not in avoid] if avoid else rooms
             queue = iter(keys)
             # The leader has decided between kinds of machine by giving the task here.
-            taken = place(need, open_rooms, steady_only=False)
+            taken = place(need, open_rooms, on_demand_only=False)
             if avoid and need.count:
-                taken += place(need, rooms, steady_only=False)  # failed there before, or nowhere
+                taken += place(need, rooms, on_demand_only=False)  # failed there before, or nowhere
             for room, count in taken:
                 for _ in range(count):
                     self._start(self.tasks[next(queue)], room.name)
@@ -766,14 +773,16 @@
 
     # -- what is to be written and told -----------------------------------------------
 
-    def pending(self, wall: float | None = None) -> list[shares.Pending]:
+    def pending(self, wall: float | None = None) -> list[assignment_updates.AssignmentUpdate]:
         """What is to be written; `wall` only if ends are to be dated."""
-        over = [self.tasks[key] for key in self.leaving]
-        return shares.pending(self._book, self._settings, self.part, over, self._bulky, wall)
+        over = [self.tasks[key] for key in self.pending_removal]
+        return assignment_updates.pending(
+            self._replica, self._settings, self.shard, over, self._bulky, wall
+        )
 
     def view(
-        self, node: str, leader: int, now: float, overheard: Iterable[tuple[str, float]] = ()
-    ) -> PartView:
+        self, node: str, leader: int, now: float, foreign_reports: Iterable[tuple[str, float]] = ()
+    ) -> ShardView:
         """What the leader (by its token) has not been shown yet."""
         machines, gone = self._showing.next(
             leader,
@@ -781,25 +790,25 @@
             lambda m: self._signature(m, now),
             lambda m: self._describe(m, now),
         )
-        leaving: dict[str, int] = {}
-        for key in self.leaving:
-            leaving[key[0]] = leaving.get(key[0], 0) + 1
+        pending_removal: dict[str, int] = {}
+        for key in self.pending_removal:
+            pending_removal[key[0]] = pending_removal.get(key[0], 0) + 1
         samples = [RunSample(name, *sums) for name, sums in self._samples.items()]
         self._samples.clear()
         for sample in samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
-        return PartView(
+        return ShardView(
             node,
-            self.part,
+            self.shard,
             self.token,
-            self._book.ledger,
+            self._replica.state_revision,
             machines,
             samples,
             self._showing.seq,
             self._showing.acknowledged,
             gone,
-            list(leaving.items()),
-            list(overheard),
+            list(pending_removal.items()),
+            list(foreign_reports),
             self._silences(machines, now),
             list(self._blame.failing()),
         )
@@ -807,13 +816,13 @@
     def _silences(
         self, shown: Iterable[MachineView], now: float
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
-        stood_still_s = self._hearing.attention.stood_still_s
+        stalled_s = self._hearing.attention.stalled_s
         silent = [
             self.machines[view.name]
             for view in shown
             if view.silent_s > SUSPECT_GAPS * self._settings.report_gap_s
         ]
-        result = [(m.name, stood_still_s(m.heard_at), m.probes) for m in silent]
+        result = [(m.name, stalled_s(m.heard_at), m.probes) for m in silent]
         result += [(name, 0.0, probes) for name, (_, probes) in self._unheard.items() if probes]
         return [
             (name, stood_s, [(p.by, p.outcome, now - p.at) for p in probes])
@@ -862,7 +871,7 @@
         )
 
     def _left_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
-        job = self._book.jobs.get(uid)
+        job = self._replica.jobs.get(uid)
         if job is None:
             return 0.0
         run_s = self.estimates.run_s(job.spec.job_class, job.spec.estimate_s)
--- a/ryegauge/coordination/views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -5,19 +5,19 @@
 
 import math
 
-from ryegauge.bookkeeping.jobbook import Job, JobBook
 from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state_replica import Job, StateReplica
 from ryegauge.config import Settings
-from ryegauge.detection.blame import Failing
-from ryegauge.protocol.peers import MachineView, PartView
+from ryegauge.detection.fault_attribution import FailingJob
+from ryegauge.protocol.peers import MachineView, ShardView
 
 
-class Shown:
+class ObservedMachine:
     """A machine as its part's owner described it, with what follows from that."""
 
     __slots__ = ("at", "busy", "cpus", "gpus", "known", "memory_gb", "tasks", "view")
 
-    def __init__(self, view: MachineView, at: float, book: JobBook) -> None:
+    def __init__(self, view: MachineView, at: float, replica: StateReplica) -> None:
         self.view = view
         self.at = at
         self.cpus = self.memory_gb = self.gpus = 0.0  # taken by its tasks
@@ -26,7 +26,7 @@
         # (job class, estimate, when it ends, tasks, CPUs, GB, cards)
         self.busy: list[tuple[str, float, float, int, float, float, float]] = []
         for uid, flat, left_s in view.tasks:
-            job = book.jobs.get(uid)
+            job = replica.jobs.get(uid)
             if job is None:
                 self.known = False
                 continue
@@ -49,13 +49,13 @@
             self.gpus += n * spec.gpus
 
 
-class PartState:
+class ShardState:
     """What the leader knows of a part: whole views, and changes to them since."""
 
     __slots__ = (
         "at",
         "failing",
-        "leaving",
+        "pending_removal",
         "machines",
         "node",
         "seq",
@@ -70,71 +70,71 @@
         self.token = token
         self.seq = 0
         self.at = -math.inf
-        self.machines: dict[str, Shown] = {}
+        self.machines: dict[str, ObservedMachine] = {}
         # Silent machine -> (seconds that its owner stood still, attempts to ask it).
         self.silences: dict[str, tuple[float, list[tuple[str, str, float]]]] = {}
-        self.failing: list[Failing] = []  # jobs that fail wherever they are tried
-        self.leaving: dict[str, int] = {}  # job -> tasks that are nowhere, not yet written
+        self.failing: list[FailingJob] = []  # jobs that fail wherever they are tried
+        self.pending_removal: dict[str, int] = {}  # job -> tasks that are nowhere, not yet written
 
 
-class Views:
+class ShardViews:
     """Of all parts, by the latest views of their owners."""
 
-    def __init__(self, book: JobBook, settings: Settings) -> None:
-        self._book = book
+    def __init__(self, replica: StateReplica, settings: Settings) -> None:
+        self._replica = replica
         self._settings = settings
-        self._parts: dict[int, PartState] = {}
-        self._epoch = book.epoch
+        self._shards: dict[int, ShardState] = {}
+        self._full_read_count = replica.full_read_count
 
-    def late(self, view: PartView) -> bool:
+    def late(self, view: ShardView) -> bool:
         """A copy of an earlier view, or one that was held on its way: an owner numbers its
         views, and tokens only rise. (A whole one took the place of what was known since, and
         what it had overheard long ago counted as heard just now.)"""
-        state = self._parts.get(view.part)
+        state = self._shards.get(view.shard)
         return state is not None and (view.token, view.seq) <= (state.token, state.seq)
 
-    def take_in(self, view: PartView, now: float) -> PartState | None:
+    def take_in(self, view: ShardView, now: float) -> ShardState | None:
         """None: changes to something that we don't have, since an answer of ours was
         lost, or we have just begun to lead. The owner has to send everything."""
-        state = self._parts.get(view.part)
+        state = self._shards.get(view.shard)
         if view.base == 0:
             same = state is not None and state.token == view.token
             since = state.since if state is not None and same else now
-            state = self._parts[view.part] = PartState(view.node, view.token, since)
+            state = self._shards[view.shard] = ShardState(view.node, view.token, since)
         elif state is None or (state.token, state.seq) != (view.token, view.base):
             return None
-        state.seq, state.at, state.leaving = view.seq, now, dict(view.leaving)
+        state.seq, state.at, state.pending_removal = view.seq, now, dict(view.pending_removal)
         state.silences = {name: (stood_s, probes) for name, stood_s, probes in view.silences}
-        state.failing = [Failing(*entry) for entry in view.failing]
+        state.failing = [FailingJob(*entry) for entry in view.failing]
         for name in view.gone:
             state.machines.pop(name, None)
         for machine in view.machines:
-            state.machines[machine.name] = Shown(machine, now, self._book)
+            state.machines[machine.name] = ObservedMachine(machine, now, self._replica)
         return state
 
     def renew(self) -> None:
         """After a full read of the book its jobs are other objects."""
-        if self._epoch != self._book.epoch:
-            self._epoch = self._book.epoch
-            for state in self._parts.values():
+        if self._full_read_count != self._replica.full_read_count:
+            self._full_read_count = self._replica.full_read_count
+            for state in self._shards.values():
                 for name, shown in state.machines.items():
-                    state.machines[name] = Shown(shown.view, shown.at, self._book)
+                    state.machines[name] = ObservedMachine(shown.view, shown.at, self._replica)
 
-    def fresh(self, now: float) -> dict[int, PartState]:
-        views: dict[int, PartState] = {}
-        for part, state in self._parts.items():
-            owner = self._book.parts.get(part)
+    def fresh(self, now: float) -> dict[int, ShardState]:
+        views: dict[int, ShardState] = {}
+        for shard, state in self._shards.items():
+            owner = self._replica.shards.get(shard)
             if (
                 owner is not None
                 and owner.token == state.token
                 and now - state.at < self._settings.report_gap_s
             ):
-                views[part] = state
+                views[shard] = state
         return views
 
-    def heard(self, part: int, name: str, now: float) -> bool:
+    def heard(self, shard: int, name: str, now: float) -> bool:
         """Whether the part's owner has heard from a machine within its lease."""
-        state = self._parts.get(part)
+        state = self._shards.get(shard)
         if state is None or now - state.at > self._settings.report_gap_s:
             return False
         shown = state.machines.get(name)
--- a/ryegauge/coordination/snapshotting.py
+++ b/ryegauge/coordination/snapshotting.py
@@ -8,22 +8,22 @@
 
 import trio
 
-from ryegauge.bookkeeping.jobbook import final_key
-from ryegauge.coordination.desk import RETRY, Desk
-from ryegauge.rebuilding.noticing import Noticing
+from ryegauge.bookkeeping.state_replica import archive_key
+from ryegauge.coordination.node_context import RETRYABLE_ERRORS, NodeContext
+from ryegauge.rebuilding.loss_detection import LossDetector
 from ryegauge.rebuilding.records import keep
 from ryegauge.rebuilding.snapshots import (
     SUFFIX,
-    About,
     Snapshot,
+    SnapshotHeader,
     Unusable,
     decoded,
-    encoded,
+    encode_snapshot,
+    evidence_of_loss,
     fleet_of,
-    name_of,
-    outdated,
-    proof,
-    unaccounted,
+    missing_jobs,
+    snapshot_name,
+    snapshots_to_delete,
 )
 
 log = logging.getLogger(__name__)
@@ -79,22 +79,25 @@
 
 
 class Snapshotting:
-    def __init__(self, desk: Desk, noticing: Noticing, disk: Disk) -> None:
-        self._desk = desk
-        self._noticing = noticing
+    def __init__(self, context: NodeContext, loss_detector: LossDetector, disk: Disk) -> None:
+        self._context = context
+        self._noticing = loss_detector
         self._disk = disk
-        self._fleet = fleet_of(desk.settings)
+        self._fleet = fleet_of(context.settings)
         self._seen: set[str] = set()  # files that were looked at, or are ours
 
     async def run(self) -> None:
-        every_s = self._desk.settings.properties.snapshots_every_s
+        every_s = self._context.settings.properties.snapshots_every_s
         while True:
             await trio.sleep(every_s)
             try:
                 await self.look()
-                if not self._desk.doubtful() and self._desk.book.era_complete:
+                if (
+                    not self._context.data_loss_suspected()
+                    and self._context.replica.recovery_complete
+                ):
                     await self._take()
-            except (*RETRY, OSError) as error:
+            except (*RETRYABLE_ERRORS, OSError) as error:
                 log.warning("snapshots: %s", error)
 
     async def look(self) -> None:
@@ -114,48 +117,55 @@
                 log.warning(
                     "snapshot %s of %s: %d records, %d outcomes",
                     name,
-                    snapshot.about.node,
-                    len(snapshot.kept.records),
-                    len(snapshot.kept.finals),
+                    snapshot.header.node,
+                    len(snapshot.known_state.records),
+                    len(snapshot.known_state.final_outcomes),
                 )
-                self._noticing.learn(snapshot.kept)
-                self._noticing.accuse(why)
+                self._noticing.learn(snapshot.known_state)
+                self._noticing.report_loss(why)
                 return
 
     async def _proof(self, snapshot: Snapshot) -> str:
-        await self._desk.syncer.fresh()
-        if why := proof(snapshot, self._desk.book):
+        await self._context.syncer.wait_for_read()
+        if why := evidence_of_loss(snapshot, self._context.replica):
             return why
-        for n, uid in enumerate(unaccounted(snapshot, self._desk.book)):
+        for n, uid in enumerate(missing_jobs(snapshot, self._context.replica)):
             if n == LOOKED_UP:
                 break
-            if await self._desk.state.get(final_key(uid), timeout_s=1.0) is None:
-                await self._desk.syncer.fresh()
-                if uid not in self._desk.book.jobs and uid not in self._desk.book.packed:
+            if await self._context.state.get(archive_key(uid), timeout_s=1.0) is None:
+                await self._context.syncer.wait_for_read()
+                if (
+                    uid not in self._context.replica.jobs
+                    and uid not in self._context.replica.restored_outcomes
+                ):
                     return f"a snapshot has {uid}"
         return ""
 
     async def _take(self) -> None:
-        book, began = self._desk.book, trio.current_time()
-        about = About(
-            self._fleet, self._desk.settings.node_name, self._desk.wall(), book.era, book.ledger
+        replica, began = self._context.replica, trio.current_time()
+        header = SnapshotHeader(
+            self._fleet,
+            self._context.settings.node_name,
+            self._context.wall(),
+            replica.epoch,
+            replica.state_revision,
         )
-        kept = keep(book, False)
+        known_state = keep(replica, False)
         pieces: list[bytes] = []
-        for piece in encoded(about, kept):
+        for piece in encode_snapshot(header, known_state):
             pieces.append(piece)
-            await trio.sleep(PAUSE * self._desk.report_s)
-        name = name_of(about)
+            await trio.sleep(PAUSE * self._context.report_s)
+        name = snapshot_name(header)
         self._seen.add(name)
         await self._disk.write(name, pieces)
-        mine = [n for n in await self._disk.names() if n.endswith(f"-{about.node}{SUFFIX}")]
-        for old in outdated(mine, KEPT):
+        mine = [n for n in await self._disk.names() if n.endswith(f"-{header.node}{SUFFIX}")]
+        for old in snapshots_to_delete(mine, KEPT):
             await self._disk.delete(old)
         log.info(
             "snapshot %s: %d records, %d outcomes, %d bytes, %.1f s",
             name,
-            len(kept.records),
-            len(kept.finals),
+            len(known_state.records),
+            len(known_state.final_outcomes),
             sum(map(len, pieces)),
             trio.current_time() - began,
         )
--- a/ryegauge/coordination/allotting.py
+++ b/ryegauge/coordination/task_assignment.py
@@ -5,28 +5,28 @@
 from collections.abc import Callable
 from typing import Any
 
-from ryegauge.bookkeeping.jobbook import Job, JobBook, Share, span_bytes
 from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state_replica import Assignment, Job, StateReplica, max_range_bytes
 from ryegauge.config import Team
-from ryegauge.coordination.needs import make_need, task_sizes, tracks_zones, zone_limits
+from ryegauge.coordination.demands import make_demand, records_zones, task_sizes, zone_limits
 from ryegauge.coordination.urgency import Urgencies
-from ryegauge.detection.blame import HeldBack
-from ryegauge.ordering.model import Holding, Policy, Spare, Waiting
+from ryegauge.detection.fault_attribution import RetryBackoff
+from ryegauge.ordering.model import AssignedTasks, Policy, TeamHeadroom, WaitingJob
 from ryegauge.protocol.jobs import JobSpec
 from ryegauge.scheduling.estimates import Estimates
-from ryegauge.scheduling.planner import EPSILON, Need, Plan, Room
+from ryegauge.scheduling.planner import EPSILON, Demand, MachineCapacity, Plan
 
 # What a share's record takes besides its ranges: names, and zones if they are tracked.
 RECORD_BYTES = 256
 
 
 def within_guarantee(
-    book: JobBook, teams: dict[str, Team], order: Callable[[Job], Any]
+    replica: StateReplica, teams: dict[str, Team], order: Callable[[Job], Any]
 ) -> set[str]:
     """Jobs that fit into their team's guarantee together with those of the team's
     unfinished jobs that come earlier in the order: they need not wait for other
     teams. Jobs that wait for others hold no part of it."""
-    unfinished = sorted((job for job in book.live.values() if not job.over), key=order)
+    unfinished = sorted((job for job in replica.live.values() if not job.is_terminal), key=order)
     cpus: dict[str, float] = {}
     gpus: dict[str, float] = {}
     within: set[str] = set()
@@ -42,45 +42,45 @@
     return within
 
 
-def open_needs(
-    book: JobBook,
+def ordered_demands(
+    replica: StateReplica,
     teams: dict[str, Team],
     urgencies: Urgencies,
     estimates: Estimates,
     within_guarantee: set[str],
     policy: Policy,
-    running: list[Room],
+    running: list[MachineCapacity],
     wall: float,
-    held: HeldBack,
+    held: RetryBackoff,
     now: float,
-) -> tuple[list[Need], dict[str, Job]]:
+) -> tuple[list[Demand], dict[str, Job]]:
     """Open tasks within their team's limits, in the policy's order of precedence. A job
     may come twice, with some of its tasks and with the rest. Of one that is held back a
     single task comes, or a gang, when its time has come; nothing is rented for it."""
     used_cpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     used_gpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     open_jobs: dict[str, Job] = {}
-    for uid, job in book.live.items():
-        n = job.allotted_count
+    for uid, job in replica.live.items():
+        n = job.assigned_count
         name = job.spec.team
         used_cpus[name] = used_cpus.get(name, 0.0) + n * job.spec.cpus
         used_gpus[name] = used_gpus.get(name, 0.0) + n * job.spec.gpus
         if (
-            not job.over
+            not job.is_terminal
             and job.ready
             and job.open_tasks
             and name in teams
             and held.wait_s(uid, now) <= 0
         ):
             open_jobs[uid] = job
-    fleet = FleetSize(running) if policy.ages else None
-    waiting: list[Waiting] = []
+    fleet = FleetTotals(running) if policy.uses_ageing else None
+    waiting: list[WaitingJob] = []
     for uid, job in open_jobs.items():
         finish, rank = urgencies.of(job)
         spec = job.spec
         open_count = len(job.open_tasks)
         waiting.append(
-            Waiting(
+            WaitingJob(
                 uid,
                 spec.team,
                 rank,
@@ -89,25 +89,25 @@
                 job.ready_at,
                 uid in within_guarantee,
                 open_count,
-                job.done_count + job.allotted_count,
+                job.done_count + job.assigned_count,
                 0.0 if fleet is None else fleet.weight(spec),
                 spec.cpus,
                 spec.gpus,
                 spec.kind == "gang" and open_count == spec.tasks,
                 spec.kind == "standing",
-                tracks_zones(spec),
+                records_zones(spec),
             )
         )
-    spare = {
-        name: Spare(team.most_cpus - used_cpus[name], team.most_gpus - used_gpus[name])
+    headroom = {
+        name: TeamHeadroom(team.cpu_limit - used_cpus[name], team.gpu_limit - used_gpus[name])
         for name, team in teams.items()
     }
-    holding = [] if fleet is None else holdings(book, urgencies, fleet)
-    needs: list[Need] = []
-    sizes = task_sizes(book)
-    left = {job.uid: job.open for job in waiting}
+    holding = [] if fleet is None else holdings(replica, urgencies, fleet)
+    needs: list[Demand] = []
+    sizes = task_sizes(replica)
+    left = {job.uid: job.open_task_count for job in waiting}
     probed: set[str] = set()
-    for uid, most, hold_s in policy.order(waiting, holding, spare, wall):
+    for uid, most, hold_s in policy.order(waiting, holding, headroom, wall):
         job = open_jobs[uid]
         spec = job.spec
         team = teams[spec.team]
@@ -117,17 +117,17 @@
                 continue
             probed.add(uid)
             count = count if spec.kind == "gang" else 1
-        count = _within(count, spec.cpus, team.most_cpus - used_cpus[team.name])
-        count = _within(count, spec.gpus, team.most_gpus - used_gpus[team.name])
+        count = _within(count, spec.cpus, team.cpu_limit - used_cpus[team.name])
+        count = _within(count, spec.gpus, team.gpu_limit - used_gpus[team.name])
         zones = zone_limits(job)
         if count <= 0 or (spec.kind == "gang" and count < left[uid]):
             continue
         used_cpus[team.name] += count * spec.cpus
         used_gpus[team.name] += count * spec.gpus
         left[uid] -= count
-        need = make_need(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
+        need = make_demand(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
         need.hold_s, need.due = hold_s, most is not None
-        need.rents = uid not in held
+        need.may_rent = uid not in held
         needs.append(need)
     return needs, open_jobs
 
@@ -139,10 +139,10 @@
     return min(count, int((free + EPSILON) // each))
 
 
-class FleetSize:
+class FleetTotals:
     """What all running machines have together."""
 
-    def __init__(self, running: list[Room]) -> None:
+    def __init__(self, running: list[MachineCapacity]) -> None:
         self._cpus = sum(room.type.cpus for room in running)
         self._memory_gb = sum(room.type.memory_gb for room in running)
         self._gpus = sum(room.type.gpus for room in running)
@@ -151,66 +151,70 @@
         """The largest share of any resource that one task takes; 1 while there is none."""
         return (
             max(
-                part / whole if whole > 0 else 1.0
-                for part, whole in (
+                shard / whole if whole > 0 else 1.0
+                for shard, whole in (
                     (spec.cpus, self._cpus),
                     (spec.memory_gb, self._memory_gb),
                     (spec.gpus, self._gpus),
                 )
-                if part > 0
+                if shard > 0
             )
             if spec.cpus or spec.memory_gb or spec.gpus
             else 0.0
         )
 
 
-def holdings(book: JobBook, urgencies: Urgencies, fleet: FleetSize) -> list[Holding]:
+def holdings(
+    replica: StateReplica, urgencies: Urgencies, fleet: FleetTotals
+) -> list[AssignedTasks]:
     """What counts against the share for aged work: tasks that end, of jobs that are not
     over. (Services hold their room for good and would close the share to all others.)"""
     return [
-        Holding(
+        AssignedTasks(
             urgencies.rank(job),
             job.ready_at,
             job.done_count,
-            job.allotted_count,
+            job.assigned_count,
             fleet.weight(job.spec),
         )
-        for job in book.live.values()
-        if job.allotted_count and not job.over and job.spec.kind != "standing"
+        for job in replica.live.values()
+        if job.assigned_count and not job.is_terminal and job.spec.kind != "standing"
     ]
 
 
-def allot(decided: Plan, jobs: dict[str, Job], value_bytes: int) -> dict[tuple[str, int], Share]:
+def assign_tasks(
+    decided: Plan, jobs: dict[str, Job], value_bytes: int
+) -> dict[tuple[str, int], Assignment]:
     """The shares as they should become, where the plan gives a part more of a job."""
-    result: dict[tuple[str, int], Share] = {}
+    result: dict[tuple[str, int], Assignment] = {}
     taken: dict[str, Ranges] = {}
     for placement in decided.placements:
         job = jobs[placement.uid]
         rest = job.open_tasks - taken.get(placement.uid, Ranges())
-        key = (placement.uid, placement.part)
-        share = result.get(key)
-        held = share or job.shares.get(placement.part)
-        tasks = rest.first(min(placement.count, _room_in_record(job, held, value_bytes)))
+        key = (placement.uid, placement.shard)
+        assignment = result.get(key)
+        held = assignment or job.assignments.get(placement.shard)
+        tasks = rest.first(min(placement.count, _free_record_bytes(job, held, value_bytes)))
         if not tasks:
             continue
         taken[placement.uid] = taken.get(placement.uid, Ranges()) | tasks
-        if share is None:
-            old = job.shares.get(placement.part)
-            share = (
-                Share({}, Ranges(), 0)
+        if assignment is None:
+            old = job.assignments.get(placement.shard)
+            assignment = (
+                Assignment({}, Ranges(), 0)
                 if old is None
-                else Share(dict(old.allotted), old.done, old.version)
+                else Assignment(dict(old.assigned), old.done, old.version)
             )
-            result[key] = share
-        zone = placement.zone if tracks_zones(job.spec) else ""
-        share.allotted[zone] = share.allotted.get(zone, Ranges()) | tasks
+            result[key] = assignment
+        zone = placement.zone if records_zones(job.spec) else ""
+        assignment.assigned[zone] = assignment.assigned.get(zone, Ranges()) | tasks
     return result
 
 
-def _room_in_record(job: Job, share: Share | None, value_bytes: int) -> int:
+def _free_record_bytes(job: Job, assignment: Assignment | None, value_bytes: int) -> int:
     """How many more tasks a share may be given so that its record stays within what
     the state service takes, in whatever order they end: each may come to be a range
     of its own, among those that are held or among those that are done."""
     limit = value_bytes - RECORD_BYTES
-    ranges = limit // span_bytes(job.spec.tasks)
-    return ranges if share is None else ranges - share.count - len(share.done.spans)
+    ranges = limit // max_range_bytes(job.spec.tasks)
+    return ranges if assignment is None else ranges - assignment.count - len(assignment.done.spans)
--- a/ryegauge/coordination/showing.py
+++ b/ryegauge/coordination/view_publisher.py
@@ -3,19 +3,19 @@
 
 from collections.abc import Callable, Mapping
 
-from ryegauge.coordination.held import Machine
+from ryegauge.coordination.owner_records import Machine
 from ryegauge.protocol.peers import MachineView
 from ryegauge.protocol.workers import TaskKey
-from ryegauge.transport.http import BODY_LIMIT
+from ryegauge.transport.http import MAX_BODY_BYTES
 
 # What the leader is shown of a machine, to tell whether it has changed.
 Signature = tuple[bool, bool, bool, bool, float, int, frozenset[TaskKey], tuple[str, ...]]
 
 # Views are cut into messages well below the limit of a body.
-VIEW_BYTES = BODY_LIMIT // 2
+VIEW_BYTES = MAX_BODY_BYTES // 2
 
 
-class Showing:
+class ViewPublisher:
     def __init__(self) -> None:
         # The leader (its token) that views are shown to, what it has acknowledged,
         # and the view under way: (number, machines in it, machines no longer there).
--- a/ryegauge/detection/verdicts.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 
-class Outcome(StrEnum):
+class ProbeOutcome(StrEnum):
     """What became of an attempt to ask a worker for its report."""
 
     ANSWERED = "answered"
@@ -20,39 +20,39 @@
     NO_CONNECTION = "no_connection"  # dead, or cut off from whoever asked
 
 
-class Probe(NamedTuple):
+class ProbeResult(NamedTuple):
     by: str  # the controller that asked
-    outcome: Outcome
+    outcome: ProbeOutcome
     at: float  # when it was asked, in the judge's clock
 
     @staticmethod
     def of(by: str, outcome: str, at: float) -> "Probe | None":
         """None for an outcome that was not had, or that only a later version knows."""
-        return Probe(by, Outcome(outcome), at) if outcome in OUTCOMES else None
+        return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
 
-OUTCOMES = frozenset(str(outcome) for outcome in Outcome)
+OUTCOMES = frozenset(str(outcome) for outcome in ProbeOutcome)
 
 
-class Grade(IntEnum):
+class Severity(IntEnum):
     """How sure it is that a machine does not come back in time; each grade allows the steps
     of those below it."""
 
-    WELL = 0
+    HEALTHY = 0
     SUSPECT = 1  # no new tasks, not counted as room
-    MISSED = 2  # replacements are worth asking for
+    MISSING = 2  # replacements are worth asking for
     LOST = 3  # releasing it loses less than waiting for it
-    OVER = 4  # its lease has surely run out: nothing runs there any more
+    EXPIRED = 4  # its lease has surely run out: nothing runs there any more
 
 
 class Cause(StrEnum):
     """What explains the silence best."""
 
     NONE = "none"
-    OWNER_STOOD_STILL = "owner_stood_still"
-    OWNER_DEAF = "owner_deaf"  # it lives, as others know
+    OWNER_STALLED = "owner_stood_still"
+    OWNER_UNREACHABLE = "owner_deaf"  # it lives, as others know
     HUNG = "hung"
-    TAKEN = "taken"  # after a notice of the cloud
+    RECLAIMED = "taken"  # after a notice of the cloud
     ZONE_CUT = "zone_cut"  # nothing of its zone is heard, and most of another is
     DEAD_OR_CUT = "dead_or_cut"  # unreachable for all that were asked
     UNDECIDED = "undecided"
@@ -64,32 +64,35 @@
     silent_s: float  # seconds without a word, while somebody listened
     waited_s: float  # the same by the clock alone
     elsewhere_s: float  # since another controller heard it; infinite if none did
-    probes: Collection[Probe] = ()  # newer than its last word
+    probes: Collection[ProbeResult] = ()  # newer than its last word
     notice: bool = False
-    stood_still_s: float = 0.0  # of the owner, since the machine's last word
+    stalled_s: float = 0.0  # of the owner, since the machine's last word
     # Of the part's machines that this listener should hear: how many it does.
     heard_share: float = 1.0
     zone_cut: bool = False  # `cut_zones` has its zone
 
 
-class Verdict(NamedTuple):
-    grade: Grade
+class Diagnosis(NamedTuple):
+    severity: Severity
     cause: Cause
     # Most others of its part are heard: its silence is its own, not one that many share.
-    isolated: bool = True
+    silent_alone: bool = True
 
 
-WELL = Verdict(Grade.WELL, Cause.NONE)
+HEALTHY = Diagnosis(Severity.HEALTHY, Cause.NONE)
 
 
-def worth_replacing(verdict: Verdict) -> bool:
+def worth_replacing(diagnosis: Diagnosis) -> bool:
     """Whether to ask for a replacement while it is not yet certain. Not for one that hangs:
     it is back before a replacement is up, or its lease ends soon. (Found by days of hangs
     under a lease: 83 machines were rented for nothing.)"""
-    return verdict.grade >= Grade.MISSED and verdict.cause not in (Cause.OWNER_DEAF, Cause.HUNG)
+    return diagnosis.severity >= Severity.MISSING and diagnosis.cause not in (
+        Cause.OWNER_UNREACHABLE,
+        Cause.HUNG,
+    )
 
 
-class Limits(NamedTuple):
+class DetectionLimits(NamedTuple):
     """In seconds, all from the settings."""
 
     gap_s: float  # the longest ordinary pause between reports
@@ -103,55 +106,57 @@
 # An owner that hears fewer of its machines than this may itself be cut off.
 HEARING_SHARE = 0.75
 # What may come back (it hangs, its zone is cut off) is hoped for that long.
-HOPE_LEASES = 3.0
+RECOVERY_LEASES = 3.0
 # So many controllers must have asked in vain before silence counts without the others.
 ASKED = 2
 
 
-def judge(evidence: Evidence, limits: Limits) -> Verdict:
+def diagnose(evidence: Evidence, limits: DetectionLimits) -> Diagnosis:
     """The grade of a machine and the cause that explains its silence best.
 
     More evidence that it lives never raises the grade; more that it does not, never lowers
     it. One listener alone, if it hears few of its machines, cannot call them lost: that
     takes others that did not hear or reach them either."""
     gap_s = limits.gap_s
-    isolated = evidence.heard_share >= HEARING_SHARE
+    silent_alone = evidence.heard_share >= HEARING_SHARE
     over = evidence.waited_s > limits.lease_s
     if evidence.waited_s <= SUSPECT_GAPS * gap_s:
-        return Verdict(Grade.WELL, Cause.NONE, isolated)
+        return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
     if evidence.silent_s <= SUSPECT_GAPS * gap_s:
-        cause = Cause.OWNER_STOOD_STILL
-        return Verdict(Grade.OVER if over else Grade.WELL, cause, isolated)
+        cause = Cause.OWNER_STALLED
+        return Diagnosis(Severity.EXPIRED if over else Severity.HEALTHY, cause, silent_alone)
     outcomes = {probe.outcome for probe in evidence.probes}
-    if Outcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
+    if ProbeOutcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
         # It lives, and its tasks run on until its lease ends; its owner cannot hear it.
-        return Verdict(Grade.OVER if over else Grade.SUSPECT, Cause.OWNER_DEAF, isolated)
+        return Diagnosis(
+            Severity.EXPIRED if over else Severity.SUSPECT, Cause.OWNER_UNREACHABLE, silent_alone
+        )
     cause = _cause(evidence, outcomes)
-    if evidence.waited_s > HOPE_LEASES * limits.lease_s:
+    if evidence.waited_s > RECOVERY_LEASES * limits.lease_s:
         cause = Cause.DEAD_OR_CUT
     if over:
-        grade = Grade.OVER
+        severity = Severity.EXPIRED
     elif cause in (Cause.HUNG, Cause.ZONE_CUT):
         # It may go on at any time within its lease, with all its tasks; those of a zone come
         # back together.
-        grade = Grade.MISSED if evidence.silent_s > LOST_GAPS * gap_s else Grade.SUSPECT
-    elif cause is Cause.TAKEN:
-        grade = Grade.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Grade.SUSPECT
+        severity = Severity.MISSING if evidence.silent_s > LOST_GAPS * gap_s else Severity.SUSPECT
+    elif cause is Cause.RECLAIMED:
+        severity = Severity.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Severity.SUSPECT
     elif evidence.silent_s <= LOST_GAPS * gap_s:
-        grade = Grade.MISSED if cause is Cause.DEAD_OR_CUT else Grade.SUSPECT
+        severity = Severity.MISSING if cause is Cause.DEAD_OR_CUT else Severity.SUSPECT
     else:
-        grade = Grade.LOST if cause is Cause.DEAD_OR_CUT or isolated else Grade.MISSED
-    return Verdict(grade, cause, isolated)
+        severity = Severity.LOST if cause is Cause.DEAD_OR_CUT or silent_alone else Severity.MISSING
+    return Diagnosis(severity, cause, silent_alone)
 
 
-def _cause(evidence: Evidence, outcomes: set[Outcome]) -> Cause:
-    if outcomes & {Outcome.NO_ANSWER, Outcome.REFUSED, Outcome.RESET}:
+def _cause(evidence: Evidence, outcomes: set[ProbeOutcome]) -> Cause:
+    if outcomes & {ProbeOutcome.NO_ANSWER, ProbeOutcome.REFUSED, ProbeOutcome.RESET}:
         return Cause.HUNG
     if evidence.notice:
-        return Cause.TAKEN
+        return Cause.RECLAIMED
     if evidence.zone_cut:
         return Cause.ZONE_CUT
-    asked = {p.by for p in evidence.probes if p.outcome is Outcome.NO_CONNECTION}
+    asked = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
     return Cause.DEAD_OR_CUT if len(asked) >= ASKED else Cause.UNDECIDED
 
 
--- a/ryegauge/detection/blame.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -29,7 +29,7 @@
 SHARED_OUTAGE = 0.25
 
 
-class Failing(NamedTuple):
+class FailingJob(NamedTuple):
     """A job as an owner tells of it."""
 
     uid: str
@@ -45,7 +45,7 @@
         self.tries = 0
 
 
-class Blame:
+class FaultAttribution:
     """What has failed where in one part, as its owner saw it."""
 
     def __init__(self, done: Callable[[str], bool]) -> None:
@@ -122,9 +122,9 @@
         sound = sum(not self._looks_faulty(name) for name in job.failed_on)
         return sound >= SEVERAL
 
-    def failing(self) -> list[Failing]:
+    def failing(self) -> list[FailingJob]:
         return [
-            Failing(uid, len(job.failed_on), job.tries)
+            FailingJob(uid, len(job.failed_on), job.tries)
             for uid, job in self._jobs.items()
             if self.mistaken(uid)
         ]
@@ -138,7 +138,7 @@
         self.machines = self.tries = self.probes = 0
 
 
-class HeldBack:
+class RetryBackoff:
     """Jobs taken for mistaken: one task of each is tried now and then, ever more seldom, since
     it may have been the machines' fault after all. They are never given up."""
 
@@ -146,9 +146,9 @@
         self._first_s, self._longest_s = first_s, longest_s
         self._jobs: dict[str, _Held] = {}
 
-    def told(self, failing: Iterable[Failing], now: float) -> list[Failing]:
+    def told(self, failing: Iterable[FailingJob], now: float) -> list[FailingJob]:
         """What owners say of their parts; those that are held back from now on."""
-        new: list[Failing] = []
+        new: list[FailingJob] = []
         tries: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing:
             m, n = tries.get(uid, (0, 0))
@@ -157,7 +157,7 @@
             held = self._jobs.get(uid)
             if held is None:
                 held = self._jobs[uid] = _Held(now)
-                new.append(Failing(uid, machines, count))
+                new.append(FailingJob(uid, machines, count))
             if count > held.tries:
                 held.tried_at = now
             held.machines, held.tries = max(held.machines, machines), max(held.tries, count)
@@ -173,7 +173,7 @@
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def latest(self, most: int) -> list[str]:
+    def newest(self, most: int) -> list[str]:
         return list(self._jobs)[-most:]
 
     def wait_s(self, uid: str, now: float) -> float:
@@ -186,7 +186,7 @@
     def pause_s(self, probes: int) -> float:
         return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
 
-    def tried(self, uid: str, now: float) -> None:
+    def on_retry(self, uid: str, now: float) -> None:
         """One of its tasks is given to a part."""
         held = self._jobs.get(uid)
         if held is not None:
--- a/ryegauge/detection/hearing.py
+++ b/ryegauge/detection/last_heard.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 
-class Attention:
+class StallDetector:
     """A clock that stands while its owner does: between two looks it goes on by at most
     `step_s` seconds, which the loops of a healthy controller stay well below."""
 
@@ -29,15 +29,15 @@
             self._stood = [*self._stood[-7:], (now, passed - self._step_s)]
         return self.time
 
-    def stood_still_s(self, since: float) -> float:
+    def stalled_s(self, since: float) -> float:
         """How long it has stood still, in standstills that ended after `since`."""
         return sum(lasted for until, lasted in self._stood if until > since)
 
 
-class Hearing:
+class LastHeard:
     """Which machines were heard, by attentive time, and how long each was silent before."""
 
-    def __init__(self, attention: Attention) -> None:
+    def __init__(self, attention: StallDetector) -> None:
         self.attention = attention
         self._heard: dict[str, float] = {}
 
@@ -53,7 +53,7 @@
         return math.inf if at is None else self.attention.look(now) - at
 
 
-class Overheard:
+class ForeignReports:
     """Machines of other owners that reported here and were sent on: such a machine lives,
     whatever its owner hears. A worker whose owner does not answer tries the next controller
     a little later, so a live one is overheard before it is given up."""
@@ -62,9 +62,9 @@
         self._keep_s = keep_s
         self._at: dict[str, tuple[float, int]] = {}  # machine -> (when, its part)
 
-    def heard(self, machine: str, part: int, now: float) -> None:
+    def heard(self, machine: str, shard: int, now: float) -> None:
         self._at.pop(machine, None)
-        self._at[machine] = (now, part)  # the latest is last
+        self._at[machine] = (now, shard)  # the latest is last
         while self._at and next(iter(self._at.values()))[0] < now - self._keep_s:
             del self._at[next(iter(self._at))]
 
@@ -72,10 +72,10 @@
         """(machine, part, seconds ago) of those heard after `at`, the latest `most`."""
         result: list[tuple[str, int, float]] = []
         for machine in reversed(self._at):
-            heard_at, part = self._at[machine]
+            heard_at, shard = self._at[machine]
             if heard_at <= at or len(result) >= most:
                 break
-            result.append((machine, part, now - heard_at))
+            result.append((machine, shard, now - heard_at))
         return result
 
 
@@ -86,7 +86,7 @@
 DEAF_LEAST = 3
 
 
-def is_deaf(
+def owner_unreachable(
     heard_at: Mapping[str, float], elsewhere: Mapping[str, float], gap_s: float, now: float
 ) -> bool:
     """Whether an owner does not hear workers that others hear, by when it heard each of its
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -12,10 +12,10 @@
 import trio
 
 from ryegauge.transport.http import (
+    ConnectionRefused,
     Handler,
-    NoAnswer,
-    Refused,
     Reply,
+    ResponseTimeout,
     Unreachable,
     decode,
     encode,
@@ -116,7 +116,7 @@
                 self._again, address, method, target, payload, *self.late_writes_s
             )
             await trio.sleep(timeout_s)
-            raise NoAnswer("no answer")
+            raise ResponseTimeout("no answer")
         if self.late_reports and target == "/checkin" and self._drawn(self.late_reports):
             self.nursery.start_soon(
                 self._again, address, method, target, payload, 2.0, self.copies_within_s
@@ -154,9 +154,9 @@
         with trio.move_on_after(timeout_s):
             await done.wait()
         if not answer:
-            raise NoAnswer("no answer") if stood.is_set() else Unreachable("no connection")
+            raise ResponseTimeout("no answer") if stood.is_set() else Unreachable("no connection")
         if answer[0].status == -1:
-            raise Refused("refused")
+            raise ConnectionRefused("refused")
         reply = answer[0]
         data = None if reply.body is None else decode(encode(reply.body))
         return reply.status, data, reply.retry_after_s
--- a/ryegauge/emulator/rules.py
+++ b/ryegauge/emulator/rules.py
@@ -74,7 +74,7 @@
                 spec = self.specs[task.rpartition("/")[0]]
                 used[spec["crew"]] += spec["cpus"]
         for team in self.world.settings[0].settings.teams:
-            if used[team.name] > team.most_cpus + 1e-6:
+            if used[team.name] > team.cpu_limit + 1e-6:
                 self.broke("quota", f"{team.name} uses {used[team.name]}")
 
     def check_place(self, worker: Worker, task: str, on: list[Worker]) -> None:
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -82,7 +82,7 @@
         ):
             return False
         team = next(t for t in world.settings[0].settings.teams if t.name == spec["crew"])
-        if self._used[team.name] + spec["cpus"] > team.most_cpus + SLACK:
+        if self._used[team.name] + spec["cpus"] > team.cpu_limit + SLACK:
             return False
         done = all(
             f"{name}/{i}" in world.results
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -9,7 +9,7 @@
 from ryegauge.experiments.day import Day, settings_of
 from ryegauge.experiments.play import Played
 from ryegauge.experiments.served import least_served
-from ryegauge.ordering import policy_of
+from ryegauge.ordering import create_policy
 from ryegauge.ordering.ageing import Ageing
 from ryegauge.protocol.jobs import PRIORITIES
 
@@ -61,7 +61,7 @@
 
 def figures(day: Day, played: Played) -> DayFigures:
     settings = settings_of(day, "ageing")[0]
-    tags = policy_of(settings)
+    tags = create_policy(settings)
     assert isinstance(tags, Ageing)
     waits = _waits(played)
     names: list[str] = list(PRIORITIES)
--- a/ryegauge/experiments/loss.py
+++ b/ryegauge/experiments/loss.py
@@ -6,7 +6,7 @@
 import msgspec
 import trio
 
-from ryegauge.bookkeeping.eras import ERA_KEY, PUTTING_BACK, REBUILT
+from ryegauge.bookkeeping.epochs import EPOCH_KEY, RECOVERED, RESTORING
 from ryegauge.emulator.disk import MemoryDisk
 from ryegauge.emulator.versions import node_of
 from ryegauge.emulator.world import World
@@ -147,9 +147,9 @@
         _prepared(world, cell, records, checkout)
 
         def written(key: str, value: Any) -> None:
-            if key == ERA_KEY:
+            if key == EPOCH_KEY:
                 stages[value["s"]] = trio.current_time()
-                if value["s"] == PUTTING_BACK:
+                if value["s"] == RESTORING:
                     first.clear()
 
         world.state.on_write.append(written)
@@ -179,7 +179,7 @@
     day = _day(machines, cell)
     played = play(day, "settled", seed, program=program, watch=watch, prepare=prepare)
     (world,) = worlds
-    noticed = stages.get(PUTTING_BACK, float("inf"))
+    noticed = stages.get(RESTORING, float("inf"))
     since = noticed if noticed < float("inf") else AT_S
     starts = [e for e in played.happened if e.what == "started" and e.at > since]
     ends = {
@@ -207,7 +207,7 @@
         round(first.get("poll", float("inf")) - AT_S, 2),
         round(min((e.at for e in starts), default=float("inf")) - AT_S, 2),
         round(first.get("submit", float("inf")) - AT_S, 2),
-        round(stages.get(REBUILT, float("inf")) - AT_S, 2),
+        round(stages.get(RECOVERED, float("inf")) - AT_S, 2),
         len(mine),
         len(mine) - len(killed),
         len(killed),
--- a/ryegauge/experiments/rounds.py
+++ b/ryegauge/experiments/rounds.py
@@ -4,20 +4,20 @@
 import tracemalloc
 from typing import Any
 
-from ryegauge.bookkeeping.jobbook import JobBook, job_key, job_record
 from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import StateReplica, job_key, job_record
 from ryegauge.config import Settings
 from ryegauge.coordination.leader import Leader
 from ryegauge.experiments.day import Day, settings_of
 from ryegauge.protocol.cloud import MachineType
 from ryegauge.protocol.jobs import PRIORITIES, parse_job
-from ryegauge.protocol.peers import MachineView, PartView
+from ryegauge.protocol.peers import MachineView, ShardView
 
 MACHINES = 40
 
 
 def _leader(settings: Settings, jobs: int, now: float) -> Leader:
-    book = JobBook()
+    replica = StateReplica()
     events = [Event("r/p/0", {"o": "node-0", "i": "x"}, 1)]
     teams = settings.settings.teams
     for n in range(jobs):
@@ -43,17 +43,17 @@
         }
         at = now - (n * 37 % 3600)
         events.append(Event(job_key(body["uid"]), job_record(parse_job(body), at, False), n + 2))
-    book.replace(events, jobs + 2)
-    leader = Leader(9, book, settings, now)
+    replica.replace(events, jobs + 2)
+    leader = Leader(9, replica, settings, now)
     leader.fleet.types = {
         "small": MachineType("small", 4.0, 16.0, 0.4, 10.0, ["a"], spot_price=0.1)
     }
-    leader.on_list([], now)
+    leader.on_machine_list([], now)
     views = [
         MachineView(f"m-{n}", "small", "a", True, True, True, 0.0, False, False, [], [])
         for n in range(MACHINES)
     ]
-    leader.on_view(PartView("node-0", 0, book.parts[0].token, jobs + 2, views), now)
+    leader.on_shard_view(ShardView("node-0", 0, replica.shards[0].token, jobs + 2, views), now)
     return leader
 
 
--- a/ryegauge/ordering/__init__.py
+++ b/ryegauge/ordering/__init__.py
@@ -5,15 +5,15 @@
 """
 
 from ryegauge.config import Settings
+from ryegauge.ordering.guarantee_first import GuaranteeFirst
 from ryegauge.ordering.model import Policy
-from ryegauge.ordering.settled import Settled
 
 
-def policy_of(settings: Settings) -> Policy:
+def create_policy(settings: Settings) -> Policy:
     """The policy that the operators' properties choose."""
     props = settings.properties
     if props.ordering == "settled":
-        return Settled()
+        return GuaranteeFirst()
     from ryegauge.ordering.ageing import Ageing, Strict
 
     lease_s = settings.settings.workers.lease_s
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -22,7 +22,14 @@
 import math
 from collections.abc import Sequence
 
-from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
+from ryegauge.ordering.model import (
+    AssignedTasks,
+    PreemptionRequest,
+    QueueEntry,
+    RunningTasks,
+    TeamHeadroom,
+    WaitingJob,
+)
 
 EPSILON = 1e-9
 
@@ -30,45 +37,45 @@
 URGENT = 1
 
 
-def by_rank(job: Waiting) -> tuple[int, bool, float, float, str]:
+def by_rank(job: WaitingJob) -> tuple[int, bool, float, float, str]:
     """Rank alone decides between ranks. Among equals: a guarantee, then the latest finish,
     then who was ready first."""
-    return (job.rank, not job.within, job.finish, job.ready_at, job.uid)
+    return (job.rank, not job.within_guarantee, job.finish, job.ready_at, job.uid)
 
 
-def _unit(job: Waiting) -> int:
+def _unit(job: WaitingJob) -> int:
     """A gang is one unit: a part of it is of no use."""
-    return job.open if job.whole else 1
+    return job.open_task_count if job.whole else 1
 
 
 class Strict:
     """By rank alone: routine work may wait forever. The baseline of the experiments."""
 
-    stops_any = True
-    stop_pause = 2.0
-    ages = False
+    preempts_long_running = True
+    preemption_pause_reports = 2.0
+    uses_ageing = False
 
     def __init__(self, stop_after_s: float) -> None:
         self._stop_after_s = stop_after_s
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
-        return [Entry(job.uid) for job in sorted(waiting, key=by_rank)]
+    ) -> list[QueueEntry]:
+        return [QueueEntry(job.uid) for job in sorted(waiting, key=by_rank)]
 
-    def claims(self, claim: Claim, lowest: int) -> bool:
+    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
         urgent = claim.rank <= URGENT and lowest > claim.rank
         return claim.guaranteed or (urgent and claim.waited_s >= self._stop_after_s)
 
-    def may_stop(self, claim: Claim, running: Running) -> bool:
+    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool:
         """Urgent work stops lower work, but not what ends sooner than a stop takes. A
         guarantee stops what others run beyond theirs if that has just begun, and does not
         go before it: else the room would go to the higher rank again, round after round."""
-        if running.aged:
+        if running.is_protected_by_age:
             return False
         if (
             claim.rank <= URGENT
@@ -80,21 +87,21 @@
         return (
             claim.guaranteed
             and running.recent
-            and not running.within
+            and not running.within_guarantee
             and running.beyond
             and running.team != claim.team
             and running.rank >= claim.rank
         )
 
-    def stop_key(self, running: Running) -> tuple[float, ...]:
-        return (-running.rank, running.within, running.elapsed_s)
+    def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
+        return (-running.rank, running.within_guarantee, running.elapsed_s)
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         return False
 
 
 class Ageing(Strict):
-    ages = True
+    uses_ageing = True
 
     def __init__(
         self,
@@ -123,44 +130,44 @@
         """How many of a job's tasks are due by age; 0 if the clock stands before it."""
         return max(0, math.floor((now - ready_at) / self.patience_s(rank)))
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         due = self.due(holding.ready_at, holding.rank, now)
         return 0 < holding.done + holding.held <= due
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         # Urgent work in a flood comes to be due as well. Counted, it would use the share up
         # before older work, although it has all of the fleet besides.
-        able = [j for j in waiting if j.team in spare and spare[j.team].fits(j, _unit(j))]
+        able = [j for j in waiting if j.team in headroom and headroom[j.team].fits(j, _unit(j))]
         top = min((j.rank for j in able), default=0)
-        urgent = sum(j.weight * j.open for j in able if j.rank <= URGENT)
+        urgent = sum(j.weight * j.open_task_count for j in able if j.rank <= URGENT)
         burst = top <= URGENT and urgent >= self._ceiling
-        first = self._aged_first(waiting, holding, spare, now, top, burst)
+        first = self._aged_first(waiting, holding, headroom, now, top, burst)
         turns = [
-            Entry(job.uid, count, self._hold_left_s(job, now) if job.rank > top else 0.0)
+            QueueEntry(job.uid, count, self._hold_left_s(job, now) if job.rank > top else 0.0)
             for job, count in first.values()
         ]
         for job in sorted(waiting, key=by_rank):
             count = first[job.uid][1] if job.uid in first else 0
             # Where the rest may run depends on where these go: it follows next round.
-            if count < job.open and not (count and job.zoned):
-                turns.append(Entry(job.uid))
+            if count < job.open_task_count and not (count and job.zoned):
+                turns.append(QueueEntry(job.uid))
         return turns
 
     def _aged_first(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
         top: int,
         burst: bool = False,
-    ) -> dict[str, tuple[Waiting, int]]:
+    ) -> dict[str, tuple[WaitingJob, int]]:
         """Tasks that go before everything else, by job, in the order of their tags."""
         heap = [
             (self.tag(job.ready_at, job.rank, job.served), job.uid, job)
@@ -170,9 +177,9 @@
         if not heap:
             return {}
         heapq.heapify(heap)
-        left = dict(spare)
+        left = dict(headroom)
         held = self._due_held([h for h in holding if h.rank > top], now)
-        chosen: dict[str, tuple[Waiting, int]] = {}
+        chosen: dict[str, tuple[WaitingJob, int]] = {}
         share: float | None = None
         used, i = 0.0, 0
         while heap:
@@ -200,11 +207,11 @@
             taken = (chosen[uid][1] if uid in chosen else 0) + count
             chosen[uid] = (job, taken)
             following = self.tag(job.ready_at, job.rank, job.served + taken)
-            if taken < job.open and following <= now:
+            if taken < job.open_task_count and following <= now:
                 heapq.heappush(heap, (following, uid, job))
         return chosen
 
-    def _due_held(self, holding: Sequence[Holding], now: float) -> list[tuple[float, float]]:
+    def _due_held(self, holding: Sequence[AssignedTasks], now: float) -> list[tuple[float, float]]:
         """(tag, weight) of the tasks that are held and due, the earliest tag first. What
         holds room with a later tag than one that waits has overtaken it, and counts
         against nobody who came before."""
@@ -216,7 +223,7 @@
         result.sort()
         return result
 
-    def _hold_left_s(self, job: Waiting, now: float) -> float:
+    def _hold_left_s(self, job: WaitingJob, now: float) -> float:
         """Room is held for a bounded time, then for as long not: estimates may be wrong,
         and a machine that never comes free must not stand half empty for good."""
         if self._hold_s <= 0:
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple, Protocol
 
 
-class Waiting(NamedTuple):
+class WaitingJob(NamedTuple):
     """A job with open tasks that wait for nothing but room."""
 
     uid: str
@@ -13,8 +13,8 @@
     finish: float  # latest finish
     submitted_at: float
     ready_at: float  # when the last job that it needs was done, else its submission
-    within: bool  # fits into its team's guarantee with the team's earlier jobs
-    open: int  # tasks neither done nor held by a part
+    within_guarantee: bool  # fits into its team's guarantee with the team's earlier jobs
+    open_task_count: int  # tasks neither done nor held by a part
     served: int  # tasks done or held by a part
     # The largest share of the fleet's CPUs, memory or cards that one task takes.
     weight: float
@@ -25,7 +25,7 @@
     zoned: bool = False  # where a task may run depends on where the others are
 
 
-class Holding(NamedTuple):
+class AssignedTasks(NamedTuple):
     """Tasks of one job that parts hold: running, or on their way."""
 
     rank: int
@@ -35,7 +35,7 @@
     weight: float
 
 
-class Entry(NamedTuple):
+class QueueEntry(NamedTuple):
     """A job's turn. The same job may come twice: for some of its tasks, then the rest."""
 
     uid: str
@@ -44,7 +44,7 @@
     hold_s: float = 0.0
 
 
-class Claim(NamedTuple):
+class PreemptionRequest(NamedTuple):
     """A job that found no room, as far as it may ask for others to be stopped."""
 
     team: str
@@ -54,61 +54,61 @@
     waited_s: float
 
 
-class Running(NamedTuple):
+class RunningTasks(NamedTuple):
     """Tasks of one job on one machine that might be stopped for others."""
 
     team: str
     rank: int
-    within: bool
+    within_guarantee: bool
     beyond: bool  # its team uses more than its guarantee
     recent: bool  # has just begun, and has slack for another run on a new machine
     elapsed_s: float
     left_s: float
-    aged: bool = False  # was given its room for its age
+    is_protected_by_age: bool = False  # was given its room for its age
 
 
-class Spare(NamedTuple):
+class TeamHeadroom(NamedTuple):
     """What a team may still use."""
 
     cpus: float
     gpus: float
 
-    def fits(self, job: Waiting, count: int) -> bool:
+    def fits(self, job: WaitingJob, count: int) -> bool:
         return job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
 
-    def less(self, job: Waiting, count: int) -> "Spare":
-        return Spare(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
+    def less(self, job: WaitingJob, count: int) -> "TeamHeadroom":
+        return TeamHeadroom(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
 
 
 class Policy(Protocol):
     # Whether work that is well under way may be stopped too.
-    stops_any: bool
+    preempts_long_running: bool
     # Pause between stops for others, in the longest ordinary pauses between reports.
-    stop_pause: float
+    preemption_pause_reports: float
     # Whether `Holding` and `Waiting.weight` are looked at, and ends are recorded.
-    ages: bool
+    uses_ageing: bool
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         """Turns, the first goes first. `spare` is by team and is left as it is."""
         ...
 
-    def claims(self, claim: Claim, lowest: int) -> bool:
+    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
         """Whether a job may have others stopped at all; `lowest` is the rank of the least
         urgent job there is."""
         ...
 
-    def may_stop(self, claim: Claim, running: Running) -> bool: ...
+    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool: ...
 
-    def stop_key(self, running: Running) -> tuple[float, ...]:
+    def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
         """The lowest is stopped first."""
         ...
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         """Whether a job holds no more than its age gives it a right to."""
         ...
--- a/ryegauge/protocol/cloud.py
+++ b/ryegauge/protocol/cloud.py
@@ -33,7 +33,7 @@
     fetch_gb_per_s: float = 1.0
     spot_price: float | None = None
 
-    def price_of(self, spot: bool) -> float:
+    def hourly_price(self, spot: bool) -> float:
         return self.spot_price if spot and self.spot_price is not None else self.price
 
 
@@ -68,14 +68,14 @@
     more: bool = False
 
 
-class Rented(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
+class RentalReply(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
     machines: list[str]
 
 
 T = TypeVar("T")
 
 
-def parse(raw: Any, kind: type[T]) -> T:
+def parse_reply(raw: Any, kind: type[T]) -> T:
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -40,15 +40,15 @@
     log_ratio_squares: float = 0.0
 
 
-class PartView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
+class ShardView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
     """A part as its owner sees it: the machines that have changed since the view
     numbered `base`, or all of them (as far as one message holds) if that is 0."""
 
     node: str
-    part: int
+    shard: int
     token: int
     # The revision of the state service that this view has taken in.
-    ledger: int
+    state_revision: int
     machines: list[MachineView]
     samples: list[RunSample] = []
     seq: int = 1
@@ -57,10 +57,10 @@
     gone: list[str] = []
     # (uid, tasks that are on no machine any more, by the owner's book still held by the
     # part). Versions before pipelines neither send nor read it.
-    leaving: list[tuple[str, int]] = []
+    pending_removal: list[tuple[str, int]] = []
     # Machines of others that reported to this controller of late and were sent on: (name,
     # seconds ago). Versions before failure detection neither send nor read it.
-    overheard: list[tuple[str, float]] = []
+    foreign_reports: list[tuple[str, float]] = []
     # Of the machines in this view that are silent, since the last word of each: (name,
     # seconds in which the owner stood still itself, attempts to ask the worker as (by whom,
     # outcome, seconds ago)).
@@ -70,7 +70,7 @@
     failing: list[tuple[str, int, int]] = []
 
 
-class Probe(msgspec.Struct, frozen=True, array_like=True, tag="probe"):
+class ProbeRequest(msgspec.Struct, frozen=True, array_like=True, tag="probe"):
     """Ask the workers at these addresses for their reports, and say what became of it.
     Versions before failure detection answer 400, which says nothing."""
 
@@ -82,7 +82,7 @@
     outcomes: list[str]  # one for each address; empty: not asked
 
 
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
+class ForeignReportNotice(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
     """Workers of your parts reported here: (machine, part, seconds ago). Versions before
     failure detection answer 400."""
 
@@ -90,16 +90,16 @@
     machines: list[tuple[str, int, float]]
 
 
-class Poke(msgspec.Struct, frozen=True, array_like=True, tag="poke"):
+class ChangeNotice(msgspec.Struct, frozen=True, array_like=True, tag="poke"):
     """Something was written up to this revision; read it soon."""
 
-    ledger: int
+    state_revision: int
 
 
-class PartOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
+class ShardOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
     """The leader's answer to a PartView."""
 
-    ledger: int
+    state_revision: int
     # Take no new tasks onto these: they are to be returned once empty.
     retire: list[str]
     # Released with certainty: nothing is on them any more.
@@ -110,13 +110,13 @@
     resync: bool = False
     # Machines of the part that the cloud lists as running and the owner does not show: (name,
     # address). It asks them. Versions before failure detection neither send nor read them.
-    unheard: list[tuple[str, str]] = []
+    unreported: list[tuple[str, str]] = []
     # Jobs that are held back, by the evidence of all parts. Versions before that neither send
     # nor read it.
-    mistaken: list[str] = []
+    failing_jobs: list[str] = []
 
 
-class Promise(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
+class LeaseExtensionRequest(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
     """During an outage of the state service: will you keep from taking my roles?"""
 
     node: str
@@ -125,18 +125,18 @@
     cancelled: list[str]
     # The sender's book is complete up to this revision. Versions before cancellations were
     # named by revision do not say so, and are named all that there are.
-    ledger: int = 0
+    state_revision: int = 0
 
 
-class PromiseAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
+class LeaseExtensionAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
     """Given only by a controller that gets no answer from the state service either."""
 
-    given: bool
+    granted: bool
     incarnation: str
     cancelled: list[str]
     # Whether these are all the cancellations that the asker's book may lack, of those that the
     # sender's users may have been told. Versions before named only some: theirs do not count.
-    whole: bool = False
+    complete: bool = False
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
@@ -150,10 +150,10 @@
     node: str
     # Whether the sender has known the book for a while, and can tell whether records are
     # missing. Versions before rebuilding do not say so.
-    lived: bool = False
+    can_vouch: bool = False
 
 
-class Audit(msgspec.Struct, frozen=True, array_like=True, tag="audit"):
+class AuditRequest(msgspec.Struct, frozen=True, array_like=True, tag="audit"):
     """Do all records that you know still stand in the state service? Asked by a controller
     that has just started. Versions before rebuilding answer 400, which says nothing."""
 
@@ -162,10 +162,10 @@
 
 class AuditAnswer(msgspec.Struct, frozen=True, array_like=True, tag="audited"):
     node: str
-    good: bool
+    intact: bool
 
 
-class Relay(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
+class RelayRequest(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
     """A request to the state service, for a controller that it refuses alone."""
 
     method: str
@@ -179,19 +179,19 @@
 
 
 Message = (
-    PartView
-    | Poke
-    | PartOrders
-    | Promise
-    | PromiseAnswer
+    ShardView
+    | ChangeNotice
+    | ShardOrders
+    | LeaseExtensionRequest
+    | LeaseExtensionAnswer
     | Hello
     | HelloAnswer
-    | Relay
+    | RelayRequest
     | RelayAnswer
-    | Probe
+    | ProbeRequest
     | ProbeAnswer
-    | Elsewhere
-    | Audit
+    | ForeignReportNotice
+    | AuditRequest
     | AuditAnswer
 )
 
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -12,11 +12,11 @@
 import trio
 from pamqp.commands import Basic
 
-from ryegauge.bookkeeping.jobbook import debt_key, final_key
 from ryegauge.bookkeeping.state import Delete
-from ryegauge.coordination.desk import RETRY, Desk
+from ryegauge.bookkeeping.state_replica import archive_key, pending_reply_key
 from ryegauge.coordination.leader import Leader
-from ryegauge.coordination.terms import LEADER_KEY
+from ryegauge.coordination.membership import LEADER_KEY
+from ryegauge.coordination.node_context import RETRYABLE_ERRORS, NodeContext
 from ryegauge.queues.meter import Meter
 from ryegauge.queues.serving import Serving
 
@@ -31,12 +31,12 @@
 class Answers:
     def __init__(
         self,
-        desk: Desk,
+        context: NodeContext,
         serving: Mapping[str, Serving],
         meters: Mapping[str, Meter],
         keep_s: float,
     ) -> None:
-        self._desk = desk
+        self._context = context
         self._serving = serving
         self._meters = meters
         self._keep_s = keep_s
@@ -47,15 +47,15 @@
     async def run(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self._desk.report_s / 4)
-                leader = self._desk.leading()
+                await trio.sleep(self._context.report_s / 4)
+                leader = self._context.leading()
                 if leader is None:
                     continue
                 now = trio.current_time()
-                debts = self._desk.book.debts
-                self._paid &= debts.keys()
-                self._later = {u: later for u, later in self._later.items() if u in debts}
-                for uid, (debt, _) in list(debts.items()):
+                pending_replies = self._context.replica.pending_replies
+                self._paid &= pending_replies.keys()
+                self._later = {u: later for u, later in self._later.items() if u in pending_replies}
+                for uid, (debt, _) in list(pending_replies.items()):
                     if uid in self._under_way or self._later.get(uid, (0.0, 0.0))[0] > now:
                         continue
                     serving = self._serving.get(debt["b"])
@@ -68,7 +68,7 @@
         try:
             if (final := await self._final(uid)) is None:
                 return
-            entry = self._desk.book.debts.get(uid)
+            entry = self._context.replica.pending_replies.get(uid)
             if entry is None:
                 return
             debt, version = entry
@@ -88,12 +88,14 @@
             if paid:
                 # While the state service is away it is not told again and again.
                 self._paid.add(uid)
-            guards = {LEADER_KEY: leader.token, debt_key(uid): version}
-            await self._desk.state.commit(guards, [Delete(debt_key(uid))], timeout_s=1.0)
+            guards = {LEADER_KEY: leader.token, pending_reply_key(uid): version}
+            await self._context.state.commit(
+                guards, [Delete(pending_reply_key(uid))], timeout_s=1.0
+            )
             if serving is not None:
                 serving.meter.answers[status if paid else "undeliverable"] += 1
-            await self._desk.syncer.fresh()
-        except RETRY as error:
+            await self._context.syncer.wait_for_read()
+        except RETRYABLE_ERRORS as error:
             log.debug("%s: answering again later: %s", uid, error)
         finally:
             self._under_way.discard(uid)
@@ -116,21 +118,21 @@
         be unpayable."""
         at = debt.get("t")
         if not isinstance(at, int | float):
-            at = debt["t"] = self._desk.wall()
-        return self._desk.wall() - float(at) > self._keep_s
+            at = debt["t"] = self._context.wall()
+        return self._context.wall() - float(at) > self._keep_s
 
     def _put_off(self, uid: str) -> None:
         _, pause_s = self._later.get(uid, (0.0, 0.0))
-        report_s = self._desk.report_s
+        report_s = self._context.report_s
         pause_s = min(max(report_s, 2 * pause_s), MOST_REPORTS * report_s)
         self._later[uid] = (trio.current_time() + pause_s, pause_s)
 
     async def _final(self, uid: str) -> tuple[str, int] | None:
         """How the job has ended, durably; None while it has not."""
-        book = self._desk.book
-        if (job := book.jobs.get(uid)) is not None:
-            return (job.status, job.done_count) if job.over else None
-        if (packed := book.packed.get(uid)) is not None:
-            return packed  # put back after a loss: it has no record of its own
-        found = await self._desk.state.get(final_key(uid), timeout_s=1.0)
+        replica = self._context.replica
+        if (job := replica.jobs.get(uid)) is not None:
+            return (job.status, job.done_count) if job.is_terminal else None
+        if (restored_outcomes := replica.restored_outcomes.get(uid)) is not None:
+            return restored_outcomes  # put back after a loss: it has no record of its own
+        found = await self._context.state.get(archive_key(uid), timeout_s=1.0)
         return None if found is None else (found[0]["st"], found[0]["d"])
--- a/ryegauge/queues/front.py
+++ b/ryegauge/queues/front.py
@@ -15,12 +15,12 @@
 
 from ryegauge.amqp.client import Connect, Session, connect_tcp, keep_connected
 from ryegauge.amqp.connection import Delivery, Event
-from ryegauge.bookkeeping.budget import USUAL
-from ryegauge.bookkeeping.jobbook import debt_key, value_bytes
-from ryegauge.bookkeeping.state import Gone, Put, Unavailable, Unknown
-from ryegauge.coordination.desk import Desk
-from ryegauge.coordination.frontdoor import FrontDoor
-from ryegauge.coordination.leading import JOBS_PER_MB
+from ryegauge.bookkeeping.budget import RESERVE_DEFAULT
+from ryegauge.bookkeeping.state import Gone, OutcomeUnknown, Put, Unavailable
+from ryegauge.bookkeeping.state_replica import pending_reply_key, value_bytes
+from ryegauge.coordination.job_api import JobApi
+from ryegauge.coordination.leader_loops import JOBS_PER_MB
+from ryegauge.coordination.node_context import NodeContext
 from ryegauge.protocol.jobs import JobSpec
 from ryegauge.queues.admission import Gate, Pace
 from ryegauge.queues.answers import PERSISTENT, Answers
@@ -41,14 +41,14 @@
 class QueueFront:
     def __init__(
         self,
-        desk: Desk,
-        front: FrontDoor,
+        context: NodeContext,
+        front: JobApi,
         queues: Queues,
         rng: random.Random,
         connect: Connect = connect_tcp,
         meters: dict[str, Meter] | None = None,
     ) -> None:
-        self._desk = desk
+        self._context = context
         self._front = front
         self._queues = queues
         self._rng = rng
@@ -60,23 +60,23 @@
             self.meters.setdefault(binding.name, Meter())
             brokers = " ".join(sorted(broker.url for broker in binding.brokers))
             self._consuming[binding.name] = Consuming(
-                desk.settings.node_name, brokers, desk.settings.term_s
+                context.settings.node_name, brokers, context.settings.controller_lease_s
             )
-        self._answers = Answers(desk, self._serving, self.meters, queues.keep_answers_s)
+        self._answers = Answers(context, self._serving, self.meters, queues.keep_answers_s)
         # A refused submission is tried again after half a report, then after twice that, ...
-        self._least_pause_s = desk.report_s / 2
+        self._least_pause_s = context.report_s / 2
         # One that names a message not yet recorded waits so long for it; one that can't be
         # recorded goes back for others after as long.
-        shared = desk.settings.settings
+        shared = context.settings.settings
         self._needs_s = 4 * shared.workers.lease_s
         self._gate = Gate(
             {b.name: b.weight for b in queues.bindings},
-            desk.settings.state_limits.txn_ops,
+            context.settings.state_limits.txn_ops,
             self._has_room,
             self._next_may,
-            desk.report_s / 20,
+            context.report_s / 20,
         )
-        self._pace = Pace(desk.settings.state_limits.write_rps / 2, trio.current_time())
+        self._pace = Pace(context.settings.state_limits.write_rps / 2, trio.current_time())
         self._jobs_most = QUEUES_SHARE * JOBS_PER_MB * shared.quota.memory_mb
         self._limits = {b.name: (b.team, b.job_class, b.open_jobs) for b in queues.bindings}
         self._open_jobs: Counter[tuple[str, str]] = Counter()
@@ -112,10 +112,10 @@
         while True:
             await trio.sleep(self._least_pause_s / 2)
             now = trio.current_time()
-            ask = now > asked_at + self._desk.settings.term_s / 2
+            ask = now > asked_at + self._context.settings.controller_lease_s / 2
             if ask:
                 asked_at = now
-            live = self._desk.book.nodes
+            live = self._context.replica.nodes
             for name, serving in self._serving.items():
                 if ask and len(live) > 1:
                     serving.count()
@@ -123,21 +123,23 @@
 
     def _next_may(self) -> bool:
         """Users who submit directly go first: to them belongs what of the changes is scarce."""
-        state = self._desk.state
-        return state.writes.available(USUAL) > 0 and self._pace.take(
-            state.refused_writes, trio.current_time()
+        state = self._context.state
+        return state.writes.available(RESERVE_DEFAULT) > 0 and self._pace.take(
+            state.rate_limited_writes, trio.current_time()
         )
 
     def _has_room(self, binding: str) -> bool:
         """A queue fills neither the book nor its team's part of it: what is left waits at
         the broker."""
-        book, now = self._desk.book, trio.current_time()
-        if len(book.live) + len(book.waiting) >= self._jobs_most:
+        replica, now = self._context.replica, trio.current_time()
+        if len(replica.live) + len(replica.waiting) >= self._jobs_most:
             return False
-        if now > self._counted_at + self._desk.report_s / 4:
+        if now > self._counted_at + self._context.report_s / 4:
             self._counted_at = now
             self._open_jobs = Counter(
-                (job.spec.team, job.spec.job_class) for job in book.live.values() if not job.over
+                (job.spec.team, job.spec.job_class)
+                for job in replica.live.values()
+                if not job.is_terminal
             )
         team, job_class, most = self._limits[binding]
         if self._open_jobs[team, job_class] >= most:
@@ -172,7 +174,10 @@
         self, serving: Serving, delivery: Delivery, identity: str, spec: JobSpec
     ) -> None:
         debt = self._debt(serving.binding, delivery.properties, identity, spec.uid)
-        if value_bytes([put.value for put in debt]) > self._desk.settings.state_limits.value_bytes:
+        if (
+            value_bytes([put.value for put in debt])
+            > self._context.settings.state_limits.value_bytes
+        ):
             await self._refuse(serving, delivery, identity, "message_id or reply_to: too long")
             return
         acked = False
@@ -186,7 +191,7 @@
                 lambda: self._front.submit(spec, debt),
                 # Another consumer may have the message that it names, not yet recorded.
                 unknown_s=self._needs_s if spec.needs else 0.0,
-                give_back=not acked,
+                release_shard=not acked,
             )
             if reply is None:
                 serving.meter.fates["requeued"] += 1
@@ -196,7 +201,7 @@
                 why = reply.body.get("error", "") if isinstance(reply.body, dict) else ""
                 await self._refuse(serving, delivery, identity, why)
                 return
-            if (known := self._desk.book.jobs.get(spec.uid)) is not None and (
+            if (known := self._context.replica.jobs.get(spec.uid)) is not None and (
                 known.spec.team,
                 known.spec.job_class,
             ) != (spec.team, spec.job_class):
@@ -213,18 +218,18 @@
             "b": binding.name,
             "m": identity,
             "r": properties.reply_to,
-            "t": round(self._desk.wall(), 3),
+            "t": round(self._context.wall(), 3),
         }
         if properties.correlation_id:
             record["c"] = properties.correlation_id
-        return (Put(debt_key(uid), record),)
+        return (Put(pending_reply_key(uid), record),)
 
     async def _persist(
         self,
         serving: Serving,
         ask: Callable[[], Awaitable[Reply]],
         unknown_s: float = 0.0,
-        give_back: bool = True,
+        release_shard: bool = True,
     ) -> Reply | None:
         """Until it is answered for good; 422 counts as that only after `unknown_s`. The
         message stays with its broker meanwhile, and the broker gives us no more than the
@@ -244,12 +249,12 @@
                     serving.window.recorded()
                     return reply
                 after_s = reply.retry_after_s or 0.0
-            except (Unavailable, Unknown, Gone) as error:
+            except (Unavailable, OutcomeUnknown, Gone) as error:
                 log.debug("a message has to wait: %s", error)
             if refused:
                 serving.meter.retries += 1
                 serving.window.refused()
-                if give_back and trio.current_time() > began + unknown_s + self._needs_s:
+                if release_shard and trio.current_time() > began + unknown_s + self._needs_s:
                     return None
             await trio.sleep(max(after_s, pause_s * self._rng.uniform(0.75, 1.25)))
             pause_s = min(2 * pause_s, 8 * self._least_pause_s)
@@ -289,10 +294,10 @@
     rng: random.Random,
     connect: Connect = connect_tcp,
     meters: dict[str, Meter] | None = None,
-) -> Callable[[Desk, FrontDoor], Awaitable[None]]:
+) -> Callable[[NodeContext, JobApi], Awaitable[None]]:
     """What a controller runs beside its own loops."""
 
-    async def run(desk: Desk, front: FrontDoor) -> None:
-        await QueueFront(desk, front, queues, rng, connect, meters).run()
+    async def run(context: NodeContext, front: JobApi) -> None:
+        await QueueFront(context, front, queues, rng, connect, meters).run()
 
     return run
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -14,9 +14,9 @@
 import cbor2
 import zstandard
 
-from ryegauge.bookkeeping.jobbook import JobBook
+from ryegauge.bookkeeping.state_replica import StateReplica
 from ryegauge.config import Settings
-from ryegauge.rebuilding.records import Kept, Known
+from ryegauge.rebuilding.records import KnownRecord, KnownState
 
 MARK = b"ryegauge snapshot "
 FORMAT = 1
@@ -31,17 +31,17 @@
     """Cut off, changed, of another format or of another fleet; the message says which."""
 
 
-class About(NamedTuple):
+class SnapshotHeader(NamedTuple):
     fleet: str  # a digest of what makes the fleet this one
     node: str
     at: float  # time of day, in seconds
-    era: int
-    ledger: int
+    epoch: int
+    state_revision: int
 
 
 class Snapshot(NamedTuple):
-    about: About
-    kept: Kept
+    header: SnapshotHeader
+    known_state: KnownState
 
 
 def fleet_of(settings: Settings) -> str:
@@ -50,12 +50,12 @@
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-def name_of(about: About) -> str:
+def snapshot_name(header: SnapshotHeader) -> str:
     """File names in order of age."""
-    return f"{round(1000 * about.at):015d}-{about.node}{SUFFIX}"
+    return f"{round(1000 * header.at):015d}-{header.node}{SUFFIX}"
 
 
-def encoded(about: About, kept: Kept) -> Iterator[bytes]:
+def encode_snapshot(header: SnapshotHeader, known_state: KnownState) -> Iterator[bytes]:
     """The file in pieces, each the work of a few milliseconds."""
     digest = hashlib.sha256()
     compressor = zstandard.ZstdCompressor(level=3).compressobj()
@@ -65,17 +65,17 @@
         return data
 
     yield piece(MARK + bytes([FORMAT]))
-    yield piece(compressor.compress(cbor2.dumps(list(about))))
+    yield piece(compressor.compress(cbor2.dumps(list(header))))
     some: list[list[Any]] = []
-    for key, known in kept.records.items():
+    for key, known in known_state.records.items():
         some.append([key, *known])
         if len(some) == PIECE:
             yield piece(compressor.compress(cbor2.dumps(["records", some])))
             some = []
     yield piece(compressor.compress(cbor2.dumps(["records", some])))
-    finals = [[uid, *outcome] for uid, outcome in kept.finals.items()]
-    for first in range(0, len(finals), 10 * PIECE):
-        some = finals[first : first + 10 * PIECE]
+    final_outcomes = [[uid, *outcome] for uid, outcome in known_state.final_outcomes.items()]
+    for first in range(0, len(final_outcomes), 10 * PIECE):
+        some = final_outcomes[first : first + 10 * PIECE]
         yield piece(compressor.compress(cbor2.dumps(["finals", some])))
     yield piece(compressor.flush())
     yield digest.digest()
@@ -95,45 +95,51 @@
         raise Unusable("is cut off or changed: its digest is another")
     plain = io.BytesIO(zstandard.ZstdDecompressor().decompressobj().decompress(body[start:]))
     size = len(plain.getbuffer())
-    about = About(*cbor2.load(plain))
-    if fleet is not None and about.fleet != fleet:
-        raise Unusable(f"is of another fleet ({about.fleet}; this is {fleet})")
-    records: dict[str, Known] = {}
-    finals: dict[str, Any] = {}
+    header = SnapshotHeader(*cbor2.load(plain))
+    if fleet is not None and header.fleet != fleet:
+        raise Unusable(f"is of another fleet ({header.fleet}; this is {fleet})")
+    records: dict[str, KnownRecord] = {}
+    final_outcomes: dict[str, Any] = {}
     while plain.tell() < size:
         kind, entries = cbor2.load(plain)
         if kind == "records":
-            records.update((key, Known(value, era, v)) for key, value, era, v in entries)
+            records.update((key, KnownRecord(value, epoch, v)) for key, value, epoch, v in entries)
         elif kind == "finals":
-            finals.update((uid, (status, done)) for uid, status, done in entries)
-    return Snapshot(about, Kept(records, finals, False))
+            final_outcomes.update((uid, (status, done)) for uid, status, done in entries)
+    return Snapshot(header, KnownState(records, final_outcomes, False))
 
 
-def proof(snapshot: Snapshot, book: JobBook) -> str:
+def evidence_of_loss(snapshot: Snapshot, replica: StateReplica) -> str:
     """Why the book must have lost something that the snapshot has; empty if nothing says so.
     An older snapshot of a fleet that has lost nothing proves nothing."""
-    about = snapshot.about
-    if about.era > book.era:
-        return f"a snapshot is of era {about.era}"
-    if about.era < book.era:
+    header = snapshot.header
+    if header.epoch > replica.epoch:
+        return f"a snapshot is of era {header.epoch}"
+    if header.epoch < replica.epoch:
         return ""  # what came after it has been looked at when that era began
-    if about.ledger > book.ledger:
-        return f"a snapshot is of revision {about.ledger}, after {book.ledger}"
-    for key, known in snapshot.kept.records.items():
-        if not key.startswith("r/j/") or key.split("/")[2] not in book.jobs:
+    if header.state_revision > replica.state_revision:
+        return f"a snapshot is of revision {header.state_revision}, after {replica.state_revision}"
+    for key, known in snapshot.known_state.records.items():
+        if not key.startswith("r/j/") or key.split("/")[2] not in replica.jobs:
             continue
-        if known.era == book.era and (book.version_of(key) or 0) < known.version:
+        if known.epoch == replica.epoch and (replica.version_of(key) or 0) < known.version:
             return f"a snapshot has {key} of version {known.version}"
     return ""
 
 
-def unaccounted(snapshot: Snapshot, book: JobBook) -> Iterator[str]:
+def missing_jobs(snapshot: Snapshot, replica: StateReplica) -> Iterator[str]:
     """Jobs that are not in the book; unless they are over and have left it, they are lost."""
-    kept = snapshot.kept
-    jobs = (key[4:] for key in kept.records if key.startswith("r/j/") and key.count("/") == 2)
-    return (uid for uid in (*jobs, *kept.finals) if uid not in book.jobs and uid not in book.packed)
-
-
-def outdated(names: Iterable[str], kept: int) -> list[str]:
+    known_state = snapshot.known_state
+    jobs = (
+        key[4:] for key in known_state.records if key.startswith("r/j/") and key.count("/") == 2
+    )
+    return (
+        uid
+        for uid in (*jobs, *known_state.final_outcomes)
+        if uid not in replica.jobs and uid not in replica.restored_outcomes
+    )
+
+
+def snapshots_to_delete(names: Iterable[str], known_state: int) -> list[str]:
     """Files to be deleted: all of one controller but the newest."""
-    return sorted(name for name in names if name.endswith(SUFFIX))[:-kept]
+    return sorted(name for name in names if name.endswith(SUFFIX))[:-known_state]
--- a/ryegauge/scheduling/boots.py
+++ b/ryegauge/scheduling/boot_times.py
@@ -78,7 +78,7 @@
         self.at = now
 
 
-class Boots:
+class BootTimes:
     def __init__(self) -> None:
         self._seen: dict[Kind | tuple[str] | None, _Seen] = {}
         # (type, zone) -> when those that came up lately had been asked for.
@@ -88,7 +88,7 @@
         self._normals: dict[tuple[Kind, float], tuple[float, float]] = {}
         self._normals_at = -math.inf
 
-    def came_up(self, kind: Kind, nominal_s: float, took_s: float, now: float) -> None:
+    def record_boot(self, kind: Kind, nominal_s: float, took_s: float, now: float) -> None:
         value = math.log(max(took_s, 0.01 * nominal_s) / nominal_s)
         self._normals_at = -math.inf
         for group in (kind, (kind[0],), None):
--- a/ryegauge/scheduling/estimates.py
+++ b/ryegauge/scheduling/estimates.py
@@ -51,7 +51,7 @@
         own = max(0.0, squares - total * total / n) if n else 0.0
         return math.sqrt((own + self._prior * USUAL_SPREAD**2) / (n + self._prior))
 
-    def overdue_s(self, job_class: str, estimate_s: float) -> float:
+    def expected_overrun_s(self, job_class: str, estimate_s: float) -> float:
         """How long a task that has outlived its estimate will go on, as likely longer as
         shorter. With run times spread as they are (lognormal) that hardly changes with its
         age; it is not nought, as the estimate less the age would have it."""
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -14,7 +14,7 @@
     rank: int  # of its priority, the most urgent is 0
 
 
-def pass_back(
+def propagate_back(
     start: str,
     own: Callable[[str], Urgency],
     after: Callable[[str], Iterable[str]],
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -17,23 +17,23 @@
 
 EPSILON = 1e-6
 # Speeds of machines of a type differ by up to this share; less says nothing.
-ALIKE = 0.1
+SPEED_TOLERANCE = 0.1
 
 
 @dataclass(slots=True)
-class Room:
+class MachineCapacity:
     """A machine's free room; `ready_s` is 0 if it runs, else the time until it may."""
 
     name: str
     type: MachineType
     zone: str
     spot: bool
-    part: int
+    shard: int
     cpus: float
     memory_gb: float
     gpus: float
     images: set[str] = field(default_factory=set)
-    ready_s: float = 0.0
+    available_in_s: float = 0.0
     used: bool = False
     # What its tasks will free: (seconds until then, tasks, CPUs, GB, cards of each).
     busy: list[tuple[float, int, float, float, float]] = field(default_factory=list)
@@ -42,11 +42,11 @@
     # Free room now and what comes free soon, less what waits for it: (CPUs, GB, cards).
     soon: tuple[float, float, float] | None = None
 
-    def fits(self, need: "Need") -> int:
+    def fits(self, need: "Demand") -> int:
         """How many of the need's tasks still fit."""
         return _fit(need, self.cpus, self.memory_gb, self.gpus)
 
-    def take(self, need: "Need", count: int) -> None:
+    def take(self, need: "Demand", count: int) -> None:
         self.cpus -= need.cpus * count
         self.memory_gb -= need.memory_gb * count
         self.gpus -= need.gpus * count
@@ -58,12 +58,14 @@
         self.used = True
 
 
-def whole_room(type_: MachineType, name: str, zone: str, spot: bool, part: int = -1) -> Room:
-    return Room(name, type_, zone, spot, part, type_.cpus, type_.memory_gb, type_.gpus)
+def unused_capacity(
+    type_: MachineType, name: str, zone: str, spot: bool, shard: int = -1
+) -> MachineCapacity:
+    return MachineCapacity(name, type_, zone, spot, shard, type_.cpus, type_.memory_gb, type_.gpus)
 
 
 @dataclass(slots=True)
-class Need:
+class Demand:
     """Tasks of one job that wait for a place."""
 
     uid: str
@@ -73,7 +75,7 @@
     gpus: float
     image: str
     image_gb: float
-    spot_ok: bool
+    allows_spot: bool
     service: bool
     run_s: float
     # Latest finish, in the clock of `now`; infinite without any deadline.
@@ -86,14 +88,14 @@
     # Starts whole, on one pricing kind.
     gang: bool = False
     # Parts that hold tasks of the job already.
-    parts: frozenset[int] = frozenset()
+    shards: frozenset[int] = frozenset()
     # CPUs of larger tasks that are around, ascending: room that one of them fits into
     # is broken up last.
     larger: tuple[float, ...] = ()
     # If it finds no room, machines that come free within so long are held for it.
     hold_s: float = 0.0
     due: bool = False  # goes first for its age
-    rents: bool = True  # if not, it takes running room or comes again later
+    may_rent: bool = True  # if not, it takes running room or comes again later
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
         """The critical path on a type: the fetch and the longest remaining task."""
@@ -106,7 +108,7 @@
     uid: str
     count: int
     machine: str
-    part: int
+    shard: int
     zone: str
 
 
@@ -127,12 +129,12 @@
     # Machines that the plan counts on, starting ones included.
     used: set[str] = field(default_factory=set)
     # Of the unplaced tasks: those that wait for a busy machine, and for one that boots.
-    wait_busy: int = 0
-    wait_boots: int = 0
+    waiting_for_busy: int = 0
+    waiting_for_boot: int = 0
     ahead: int = 0  # machines rented for tasks that are most likely lost
 
 
-def _fit(need: Need, cpus: float, memory_gb: float, gpus: float) -> int:
+def _fit(need: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
     n = math.inf
     if need.cpus > 0:
         n = min(n, (cpus + EPSILON) // need.cpus)
@@ -143,21 +145,23 @@
     return int(min(n, need.count))
 
 
-def allowed(need: Need, type_name: str, zone: str, spot: bool) -> bool:
+def allowed(need: Demand, type_name: str, zone: str, spot: bool) -> bool:
     return (
         (need.types is None or type_name in need.types)
         and (need.zones is None or need.zones.get(zone, 0) > 0)
-        and (need.spot_ok or not spot)
+        and (need.allows_spot or not spot)
     )
 
 
-def latest_to_steady(need: Need, types: Iterable[MachineType]) -> float:
+def latest_on_demand_start(need: Demand, types: Iterable[MachineType]) -> float:
     """LTO = D - CP, with the path on the slowest allowed type (Algorithm 1, line 8)."""
     paths = [need.path_s(t) for t in types if need.types is None or t.name in need.types]
     return need.latest_finish - max(paths, default=need.run_s)
 
 
-def place(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
+def place(
+    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+) -> list[tuple[MachineCapacity, int]]:
     """Takes room for as much of the need as fits (FindFreeSlot and FindRunningVM).
 
     The earliest completion comes first. Machines of a type differ in speed by a tenth,
@@ -169,8 +173,8 @@
     """
     if need.count <= 0:
         return []
-    grain = ALIKE * need.run_s
-    taken: list[tuple[Room, int]] = []
+    grain = SPEED_TOLERANCE * need.run_s
+    taken: list[tuple[MachineCapacity, int]] = []
     cpus, run_s = need.cpus - EPSILON, need.run_s
     memory_gb = need.memory_gb - EPSILON
     fitting = [
@@ -179,21 +183,21 @@
         if room.cpus >= cpus
         and room.memory_gb >= memory_gb
         and run_s <= room.held_s
-        and not (steady_only and room.spot)
+        and not (on_demand_only and room.spot)
         and allowed(need, room.type.name, room.zone, room.spot)
         and room.fits(need) > 0
     ]
     if need.one_zone and fitting:
         zone = _best_zone(need, fitting)
         fitting = [room for room in fitting if room.zone == zone]
-    ranks = _part_ranks(need, fitting)
+    ranks = _shard_ranks(need, fitting)
     candidates = [
         (
             _completion(need, room, grain),
             not room.spot,
             need.image not in room.images,
             room.type.cpus,
-            ranks[room.part],
+            ranks[room.shard],
             room.cpus,
             i,
             room,
@@ -214,7 +218,7 @@
     return taken
 
 
-def _take(need: Need, room: Room, whole: float) -> int:
+def _take(need: Demand, room: MachineCapacity, whole: float) -> int:
     """Takes what fits; with `whole`, only what is left beside tasks of so many CPUs."""
     n = room.fits(need)
     if whole and need.cpus > 0:
@@ -233,41 +237,43 @@
     return n
 
 
-def _part_ranks(need: Need, rooms: list[Room]) -> dict[int, int]:
+def _shard_ranks(need: Demand, rooms: list[MachineCapacity]) -> dict[int, int]:
     """Parts in the order in which a need should take them, so that its job ends up in
     few: those that hold some of it, then the smallest that fits all, then the roomiest."""
     fitting: dict[int, int] = {}
     for room in rooms:
-        fitting[room.part] = fitting.get(room.part, 0) + room.fits(need)
+        fitting[room.shard] = fitting.get(room.shard, 0) + room.fits(need)
     ordered = sorted(
         fitting,
-        key=lambda part: (
-            part not in need.parts,
-            fitting[part] < need.count,
-            fitting[part] if fitting[part] >= need.count else -fitting[part],
-            part,
+        key=lambda shard: (
+            shard not in need.shards,
+            fitting[shard] < need.count,
+            fitting[shard] if fitting[shard] >= need.count else -fitting[shard],
+            shard,
         ),
     )
-    return {part: rank for rank, part in enumerate(ordered)}
+    return {shard: rank for rank, shard in enumerate(ordered)}
 
 
-def _completion(need: Need, room: Room, grain: float) -> float:
-    path = room.ready_s + need.path_s(room.type, need.image in room.images)
+def _completion(need: Demand, room: MachineCapacity, grain: float) -> float:
+    path = room.available_in_s + need.path_s(room.type, need.image in room.images)
     return path if grain <= 0 else path // grain
 
 
-def place_gang(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
+def place_gang(
+    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+) -> list[tuple[MachineCapacity, int]]:
     """All tasks at once on machines of one pricing kind, or none."""
-    for spot in (False,) if steady_only else (True, False):
+    for spot in (False,) if on_demand_only else (True, False):
         kind = [room for room in rooms if room.spot == spot]
         trial = replace(need, zones=None if need.zones is None else copy(need.zones))
-        place(trial, [replace(room) for room in kind], steady_only=False)
+        place(trial, [replace(room) for room in kind], on_demand_only=False)
         if trial.count <= 0:
-            return place(need, kind, steady_only=False)
+            return place(need, kind, on_demand_only=False)
     return []
 
 
-def _best_zone(need: Need, rooms: list[Room]) -> str:
+def _best_zone(need: Demand, rooms: list[MachineCapacity]) -> str:
     fitting: dict[str, int] = {}
     for room in rooms:
         fitting[room.zone] = fitting.get(room.zone, 0) + room.fits(need)
@@ -307,14 +313,14 @@
         )
 
 
-def standby_rule(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
+def needs_standby(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
     """EFT + one boot reaches LFT: there is no time for a new machine after a loss."""
     return now + run_left_s + boot_s >= latest_finish
 
 
-def hold_standbys(
-    critical: dict[str, list[Need]], running: list[Room], coming: list[Room]
-) -> list[Need]:
+def reserve_standbys(
+    critical: dict[str, list[Demand]], running: list[MachineCapacity], coming: list[MachineCapacity]
+) -> list[Demand]:
     """Holds room for the tasks without time for a new machine, on running machines that
     do not hold them, else on starting ones; returns what found none.
 
@@ -326,11 +332,11 @@
     name = max(sorted(critical), key=lambda m: sum(n.cpus * n.count for n in critical[m]))
     others = [room for room in (*running, *coming) if room.name != name]
     for need in critical[name]:
-        place(need, others, steady_only=False)
+        place(need, others, on_demand_only=False)
     return [need for need in critical[name] if need.count > 0]
 
 
-class Exhausted:
+class ExhaustedKinds:
     """Kinds of tasks for which a round has found no room left. Room only shrinks within
     a round, so what asks for as much and runs as long need not look again: with many
     jobs waiting for a full fleet, a round would else try every machine for each."""
@@ -339,19 +345,19 @@
         self._kinds: dict[tuple[object, ...], list[tuple[float, float, float, float]]] = {}
 
     @staticmethod
-    def _kind(need: Need, steady: bool) -> tuple[object, ...] | None:
+    def _kind(need: Demand, steady: bool) -> tuple[object, ...] | None:
         if need.gang or need.one_zone or need.zones is not None:
             return None  # limits of its own
-        return (steady, need.spot_ok, need.types)
+        return (steady, need.allows_spot, need.types)
 
-    def note(self, need: Need, steady: bool = False) -> None:
+    def note(self, need: Demand, steady: bool = False) -> None:
         """The need has just looked; if some of it is left, the room is used up."""
         kind = self._kind(need, steady)
         if kind is not None and need.count > 0:
             size = (need.cpus, need.memory_gb, need.gpus, need.run_s)
             self._kinds.setdefault(kind, []).append(size)
 
-    def covers(self, need: Need, steady: bool = False) -> bool:
+    def covers(self, need: Demand, steady: bool = False) -> bool:
         kind = self._kind(need, steady)
         return kind is not None and any(
             c <= need.cpus and m <= need.memory_gb and g <= need.gpus and r <= need.run_s
@@ -362,22 +368,22 @@
         self._kinds.clear()
 
 
-def _place_by_part(
-    needs: list[Need], running: list[Room], market: Market, now: float, result: Plan
+def _place_by_shard(
+    needs: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
 ) -> None:
     """Each need takes room in one part first, the one that can take the most of it: a part's
     share of a job is a record, and with many records to write for few tasks each, machines
     stand idle beside tasks that wait for being recorded."""
-    by_part: dict[int, list[Room]] = {}
+    by_shard: dict[int, list[MachineCapacity]] = {}
     for room in running:
         if room.cpus > EPSILON:
-            by_part.setdefault(room.part, []).append(room)
+            by_shard.setdefault(room.shard, []).append(room)
     for need in needs:
         if need.gang or need.service:
             continue
-        late = latest_to_steady(need, market.types.values()) <= now
+        late = latest_on_demand_start(need, market.types.values()) <= now
         best: tuple[int, bool, int] | None = None
-        for part, rooms in by_part.items():
+        for shard, rooms in by_shard.items():
             fits = sum(
                 room.fits(need)
                 for room in rooms
@@ -385,100 +391,102 @@
                 and allowed(need, room.type.name, room.zone, room.spot)
             )
             if fits > 0:
-                key = (min(fits, need.count), part in need.parts, -part)
+                key = (min(fits, need.count), shard in need.shards, -shard)
                 best = key if best is None else max(best, key)
         if best is None:
             continue
-        rooms = by_part[-best[2]]
-        taken = place(need, rooms, steady_only=True) if late else []
-        for room, count in taken + place(need, rooms, steady_only=False):
-            result.placements.append(Placement(need.uid, count, room.name, room.part, room.zone))
+        rooms = by_shard[-best[2]]
+        taken = place(need, rooms, on_demand_only=True) if late else []
+        for room, count in taken + place(need, rooms, on_demand_only=False):
+            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
 
 
 def plan(
-    needs: list[Need],
-    running: list[Room],
-    starting: list[Room],
+    needs: list[Demand],
+    running: list[MachineCapacity],
+    starting: list[MachineCapacity],
     market: Market,
     now: float,
-    critical: dict[str, list[Need]] | None = None,
-    missed: Iterable[Need] = (),
+    critical: dict[str, list[Demand]] | None = None,
+    missed: Iterable[Demand] = (),
 ) -> Plan:
     """One round, needs in their order of precedence. Of `missed`, tasks on machines that are
     most likely lost, nothing is placed: what they will need is rented ahead."""
     result = Plan()
     rented: dict[tuple[str, str, bool], int] = {}
     coming = list(starting)
-    now_full, soon_full, coming_full = Exhausted(), Exhausted(), Exhausted()
+    now_full, soon_full, coming_full = ExhaustedKinds(), ExhaustedKinds(), ExhaustedKinds()
     boot_s = market.longest_boot_s
     if market.backlog:
-        _place_by_part(needs, running, market, now, result)
+        _place_by_shard(needs, running, market, now, result)
     for need in needs:
         if need.count <= 0:
             continue
-        slack = latest_to_steady(need, market.types.values()) - now
+        slack = latest_on_demand_start(need, market.types.values()) - now
         ahead = slack > 0 and not need.service
         put = place_gang if need.gang else place
-        taken: list[tuple[Room, int]] = []
+        taken: list[tuple[MachineCapacity, int]] = []
         if not ahead and not now_full.covers(need, steady=True):
-            taken = put(need, running, steady_only=True)
+            taken = put(need, running, on_demand_only=True)
             now_full.note(need, steady=True)
         if need.count > 0 and not need.service and not now_full.covers(need):
             # Past the point this is the exception "late on spot": with no steady room
             # free, a running spot machine still finishes sooner than waiting for one.
-            taken += put(need, running, steady_only=False)
+            taken += put(need, running, on_demand_only=False)
             now_full.note(need)
         for room, count in taken:
-            result.placements.append(Placement(need.uid, count, room.name, room.part, room.zone))
-        if need.count <= 0 or not need.rents:
+            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
+        if need.count <= 0 or not need.may_rent:
             continue
         result.unplaced.append((need.uid, need.count))
         spot = (
             ahead
-            and need.spot_ok
+            and need.allows_spot
             and slack - boot_s > 0
             and market.takeback_share < market.takeback_threshold
         )
-        if not spot and need.spot_ok and not need.service and not _in_time(need, market, now):
+        if not spot and need.allows_spot and not need.service and not _in_time(need, market, now):
             # Exception "no type in time": no new machine of any type meets the deadline,
             # so a steady one would be dearer and no earlier.
             spot = market.takeback_share < market.takeback_threshold
         left = need.count
         if not soon_full.covers(need):
-            wait_for_room(need, running, market.patience * boot_s, steady_only=False)
+            queue_on_busy_machines(need, running, market.patience * boot_s, on_demand_only=False)
             soon_full.note(need)
-        result.wait_busy += left - need.count
+        result.waiting_for_busy += left - need.count
         left = need.count
         # What is on its way already is rented for someone; room that is left serves.
         if not coming_full.covers(need, steady=not spot):
-            put(need, coming, steady_only=not spot)
+            put(need, coming, on_demand_only=not spot)
             coming_full.note(need, steady=not spot)
-        result.wait_boots += left - need.count
+        result.waiting_for_boot += left - need.count
         if _rent(need, market, spot, now, coming, rented):
             coming_full.forget()
         if need.count > 0 and need.hold_s > 0:
-            hold_room(need, running, need.hold_s)
+            reserve_capacity(need, running, need.hold_s)
     for need in missed:
-        place(need, running, steady_only=False)
-        place(need, coming, steady_only=False)
+        place(need, running, on_demand_only=False)
+        place(need, coming, on_demand_only=False)
         before = sum(rented.values())
-        spot = need.spot_ok and market.takeback_share < market.takeback_threshold
+        spot = need.allows_spot and market.takeback_share < market.takeback_threshold
         _rent(need, market, spot, now, coming, rented)
         result.ahead += sum(rented.values()) - before
-    for need in hold_standbys(critical or {}, running, coming):
+    for need in reserve_standbys(critical or {}, running, coming):
         _rent(need, market, True, now, coming, rented)
     result.rentals = [Rental(t, z, s, n) for (t, z, s), n in rented.items()]
     result.used = {room.name for room in (*running, *coming) if room.used}
     return result
 
 
-def wait_for_room(need: Need, rooms: list[Room], horizon_s: float, *, steady_only: bool) -> None:
+def queue_on_busy_machines(
+    need: Demand, rooms: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
+) -> None:
     """FindRunningVM for machines that are busy now: tasks that a running machine can
     take before a rented one would be up wait for it instead. The machine is held for
     them: tasks that come later in the order may use it only if they end before."""
     if not need.count or need.gang:
         return
-    waits: list[tuple[float, int, Room]] = []
+    waits: list[tuple[float, int, MachineCapacity]] = []
     for i, room in enumerate(rooms):
         if not room.busy:
             continue
@@ -489,7 +497,7 @@
             room.soon[0] + EPSILON < need.cpus
             or room.soon[1] + EPSILON < need.memory_gb
             or room.soon[2] + EPSILON < need.gpus
-            or (steady_only and room.spot)
+            or (on_demand_only and room.spot)
             or not allowed(need, room.type.name, room.zone, room.spot)
         ):
             continue
@@ -516,12 +524,12 @@
         need.count -= 1
 
 
-def hold_room(need: Need, rooms: list[Room], horizon_s: float) -> None:
+def reserve_capacity(need: Demand, rooms: list[MachineCapacity], horizon_s: float) -> None:
     """Holds machines for tasks that no rental can help and that small ones would keep from
     ever fitting: those that have room for one earliest, by what their tasks are expected to
     take, within the horizon. Until then only what ends before runs there. A gang is held
     for whole or not at all."""
-    found: list[tuple[float, str, int, Room]] = []
+    found: list[tuple[float, str, int, MachineCapacity]] = []
     for room in rooms:
         if not allowed(need, room.type.name, room.zone, room.spot):
             continue
@@ -553,7 +561,7 @@
         need.count -= n
 
 
-def _soon(room: Room, horizon_s: float) -> tuple[float, float, float]:
+def _soon(room: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
     cpus, memory_gb, gpus = room.cpus, room.memory_gb, room.gpus
     for left_s, count, c, m, g in room.busy:
         if left_s > horizon_s:
@@ -562,7 +570,7 @@
     return cpus, memory_gb, gpus
 
 
-def _in_time(need: Need, market: Market, now: float) -> bool:
+def _in_time(need: Demand, market: Market, now: float) -> bool:
     """Whether some steady machine rented now would meet the deadline (Algorithm 3)."""
     return any(
         now + market.boot_s(t, z, False) + need.path_s(t) <= need.latest_finish
@@ -575,11 +583,11 @@
 
 
 def _rent(
-    need: Need,
+    need: Demand,
     market: Market,
     spot: bool,
     now: float,
-    coming: list[Room],
+    coming: list[MachineCapacity],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
     """New machines for what is left of a need; their spare room serves later needs.
@@ -595,15 +603,15 @@
         full = need.count // max(1, _fit(need, type_.cpus, type_.memory_gb, type_.gpus))
         for _ in range(max(1, full)):
             rented[key] = rented.get(key, 0) + 1
-            room = whole_room(type_, f"new-{len(coming)}", zone, spot)
-            room.ready_s = market.boot_s(type_, zone, spot)
+            room = unused_capacity(type_, f"new-{len(coming)}", zone, spot)
+            room.available_in_s = market.boot_s(type_, zone, spot)
             coming.append(room)
-            if not place(need, [room], steady_only=False):
+            if not place(need, [room], on_demand_only=False):
                 return True
     return len(coming) > before
 
 
-def _choose(need: Need, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
+def _choose(need: Demand, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
     """FindCostPerfEffectiveVM: of the types that meet the deadline (all, if none
     does), the lowest path time times price for all the tasks that wait."""
     best: tuple[tuple[bool, float, float, str, str], MachineType, str] | None = None
@@ -619,7 +627,7 @@
             path = market.boot_s(type_, zone, spot) + need.path_s(type_)
             late = now + path > need.latest_finish
             machines = math.ceil(need.count / n)
-            cost = machines * type_.price_of(spot) * path
+            cost = machines * type_.hourly_price(spot) * path
             key = (late, cost, path, type_.name, zone)
             if best is None or key < best[0]:
                 best = (key, type_, zone)
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 CHUNK = 16 * 1024
 # Connections are few once less than one in so many is left.
 FEW_LEFT = 4
@@ -30,15 +30,15 @@
     """No usable answer came; whether the request was executed is unknown."""
 
 
-class Refused(Unreachable):
+class ConnectionRefused(Unreachable):
     """The host answers; nobody listens at the port."""
 
 
-class Reset(Unreachable):
+class ConnectionReset(Unreachable):
     """The connection stood and ended without an answer that can be read."""
 
 
-class NoAnswer(Unreachable):
+class ResponseTimeout(Unreachable):
     """The connection stood, and nothing came in time."""
 
 
@@ -51,7 +51,7 @@
 Handler = Callable[[str, str, bytes], Awaitable[Reply]]
 
 
-class Caller(Protocol):
+class HttpClient(Protocol):
     """Whatever requests can be made with: a Client, or a stand-in."""
 
     async def request(
@@ -64,7 +64,7 @@
 class Network(Protocol):
     """Where calls go to and come from. Real sockets, or a simulation of them."""
 
-    def client(self, address: str, *, max_connections: int, idle_s: float) -> Caller: ...
+    def client(self, address: str, *, max_connections: int, idle_s: float) -> HttpClient: ...
 
     async def serve(
         self,
@@ -268,7 +268,7 @@
                 patience.deadline = trio.current_time() + self._request_s
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > BODY_LIMIT:
+                if size > MAX_BODY_BYTES:
                     return request, None
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -329,14 +329,14 @@
                 async with self._slots:
                     return await self._exchange(method, target, body, stood)
         except trio.TooSlowError as error:
-            kind = NoAnswer if stood else Unreachable
+            kind = ResponseTimeout if stood else Unreachable
             raise kind(type(error).__name__) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Reset(type(error).__name__) from None
+            raise ConnectionReset(type(error).__name__) from None
         except ConnectionRefusedError as error:
-            raise Refused(str(error)) from None
+            raise ConnectionRefused(str(error)) from None
         except (ConnectionResetError, h11.RemoteProtocolError, Malformed) as error:
-            raise Reset(str(error)) from None
+            raise ConnectionReset(str(error)) from None
         except OSError as error:
             raise Unreachable(str(error)) from None
 
--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -8,15 +8,15 @@
 import trio
 from conftest import job_body, settings_text
 from days import play
-from test_leader import NOW, Lead
-from test_part import UID, Part
+from test_leader import NOW, LeaderHarness
+from test_part import UID, ShardHarness
 
-from ryegauge.bookkeeping.jobbook import JobBook, job_key, job_record, share_key
 from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import StateReplica, assignment_key, job_key, job_record
 from ryegauge.config import Properties, Settings, load
 from ryegauge.emulator.fleet import FleetType
 from ryegauge.emulator.world import World
-from ryegauge.ordering import policy_of
+from ryegauge.ordering import create_policy
 from ryegauge.ordering.ageing import Ageing
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.scheduling.planner import Rental
@@ -30,21 +30,21 @@
 
 
 @pytest.fixture
-def lead(settings: Settings) -> Lead:
-    return Lead(with_ordering(settings, "ageing", ageing_patience_leases=1.0))
+def lead(settings: Settings) -> LeaderHarness:
+    return LeaderHarness(with_ordering(settings, "ageing", ageing_patience_leases=1.0))
 
 
-def flood(lead: Lead, first: int = 100, jobs: int = 10, **changes: object) -> None:
+def flood(lead: LeaderHarness, first: int = 100, jobs: int = 10, **changes: object) -> None:
     for n in range(jobs):
         lead.job(f"wk-{first + n:06d}", urgency="high", pieces=8, cpus=1.0, memoryGb=1.0, **changes)
 
 
-def old_job(lead: Lead, uid: str, age_s: float, **changes: object) -> None:
+def old_job(lead: LeaderHarness, uid: str, age_s: float, **changes: object) -> None:
     record = job_record(parse_job(job_body(uid, **changes)), lead.now - age_s, False)
     lead.put(job_key(uid), record)
 
 
-def test_an_old_archive_job_under_a_flood_of_urgent_picks(lead: Lead) -> None:
+def test_an_old_archive_job_under_a_flood_of_urgent_picks(lead: LeaderHarness) -> None:
     """It gets its first task although the urgent ones could take all; not more than that,
     and nothing before its patience is over."""
     for n in range(4):
@@ -62,14 +62,14 @@
     """Of the old order this was the fault: routine work within its team's guarantee went
     before urgent work that is beyond that of its own."""
     for ordering, first in (("settled", "wk-000001"), ("ageing", "wk-000002")):
-        lead = Lead(with_ordering(settings, ordering))
+        lead = LeaderHarness(with_ordering(settings, ordering))
         lead.machine("m-1")
         old_job(lead, "wk-000001", 5.0, crew="blue", pieces=4, cpus=2.0)
         lead.job("wk-000002", urgency="high", pieces=12, cpus=2.0)
         assert next(iter(lead.round())) == first, ordering
 
 
-def test_an_aged_job_of_a_team_at_its_limit_blocks_nobody(lead: Lead) -> None:
+def test_an_aged_job_of_a_team_at_its_limit_blocks_nobody(lead: LeaderHarness) -> None:
     for n in range(12):
         lead.machine(f"m-{n}")
     lead.job("wk-000001", pieces=16, cpus=2.0)  # all that red may use
@@ -83,13 +83,13 @@
     assert got["wk-000004"] == 4
 
 
-def busy(lead: Lead, name: str, index: int, left_s: float) -> None:
+def busy(lead: LeaderHarness, name: str, index: int, left_s: float) -> None:
     lead.machine(name, empty=False, tasks=[("wk-000001", [index, index + 1], left_s)])
 
 
 @pytest.mark.parametrize(("waited_s", "held"), [(165.0, True), (185.0, False)])
 def test_small_urgent_tasks_do_not_nibble_an_aged_ones_machine_away(
-    lead: Lead, waited_s: float, held: bool
+    lead: LeaderHarness, waited_s: float, held: bool
 ) -> None:
     """It needs a whole machine; each has three free CPUs, which is never enough. The one
     that is drained first is held for it, and what ends before may still run there. After
@@ -115,13 +115,13 @@
     assert lead.round()["wk-000004"] == 2
 
 
-def refuse_all(lead: Lead) -> None:
+def refuse_all(lead: LeaderHarness) -> None:
     for zone in ("a", "b"):
         for spot in (True, False):
-            lead.leader.fleet.refused(Rental("small", zone, spot, 1), lead.now)
+            lead.leader.fleet.on_rental_refused(Rental("small", zone, spot, 1), lead.now)
 
 
-def test_urgent_work_has_routine_work_stopped_but_not_aged_work(lead: Lead) -> None:
+def test_urgent_work_has_routine_work_stopped_but_not_aged_work(lead: LeaderHarness) -> None:
     lead.job("wk-000001", crew="blue", pieces=1, cpus=4.0)
     lead.allot("wk-000001", 0, [0])
     old_job(lead, "wk-000002", 65.0, crew="blue", pieces=1, cpus=4.0)
@@ -136,7 +136,7 @@
     assert lead.views() == [("m-1", "wk-000001", 1)]
 
 
-def test_several_small_tasks_make_room_for_a_large_urgent_one(lead: Lead) -> None:
+def test_several_small_tasks_make_room_for_a_large_urgent_one(lead: LeaderHarness) -> None:
     """Found by thinking: only tasks at least as large as the waiting one were stopped, so
     that it waited for all small ones on a machine to end by themselves. Of two machines the
     one that loses less is taken, and no more is stopped there than is needed."""
@@ -156,25 +156,27 @@
     """Of pipelines too: when a stage became ready stands in the record of the one before,
     so that a book that was read anew says the same as one that saw it happen."""
     wall = [NOW]
-    book = JobBook(lambda: wall[0])
+    replica = StateReplica(lambda: wall[0])
     records: dict[str, tuple[Any, int]] = {}
 
     def put(key: str, value: Any) -> None:
-        revision = book.ledger + 1
+        revision = replica.state_revision + 1
         records[key] = (value, revision)
-        book.apply([Event(key, value, revision)], revision)
+        replica.apply([Event(key, value, revision)], revision)
 
     for n, (at, needs) in enumerate(
         [(NOW - 900, []), (NOW - 900, ["wk-000000"]), (NOW - 400, []), (NOW - 300, ["wk-000000"])]
     ):
         spec = parse_job(job_body(f"wk-{n:06d}", awaits=needs))
         put(job_key(spec.uid), job_record(spec, at, False))
-    put(share_key("wk-000000", 0), {"t": {}, "d": [0, 3], "e": NOW - 250.0})
+    put(assignment_key("wk-000000", 0), {"t": {}, "d": [0, 3], "e": NOW - 250.0})
     wall[0] = NOW + 77.0  # this controller learns of it late
-    put(share_key("wk-000000", 1), {"t": {}, "d": [3, 4], "e": NOW - 200.0})
-    again = JobBook(lambda: NOW + 500.0)
-    again.replace([Event(k, v, version) for k, (v, version) in records.items()], book.ledger)
-    for each in (book, again):
+    put(assignment_key("wk-000000", 1), {"t": {}, "d": [3, 4], "e": NOW - 200.0})
+    again = StateReplica(lambda: NOW + 500.0)
+    again.replace(
+        [Event(k, v, version) for k, (v, version) in records.items()], replica.state_revision
+    )
+    for each in (replica, again):
         assert [each.jobs[f"wk-{n:06d}"].ready_at for n in (1, 2, 3)] == [
             NOW - 200.0,
             NOW - 400.0,
@@ -185,17 +187,17 @@
 def test_ends_are_dated_only_where_work_ages(settings: Settings) -> None:
     """Records stay as they were while nothing ages: no byte more is written."""
     for wall, expected in ((None, False), (NOW, True)):
-        part = Part(settings, [0, 1, 2, 3])
-        part.report(*((i, 1, "running") for i in range(4)))
-        part.report(*((i, 1, "ended") for i in range(4)))
-        (pending,) = part.owner.pending(wall)
+        shard = ShardHarness(settings, [0, 1, 2, 3])
+        shard.report(*((i, 1, "running") for i in range(4)))
+        shard.report(*((i, 1, "ended") for i in range(4)))
+        (pending,) = shard.owner.pending(wall)
         assert pending.uid == UID
-        assert ("e" in pending.share.to_record()) == expected
+        assert ("e" in pending.assignment.to_record()) == expected
 
 
 def test_properties_choose_the_policy(settings: Settings) -> None:
-    assert not policy_of(settings).ages
-    chosen = policy_of(with_ordering(settings, "ageing", ageing_rank_factor=3.0))
+    assert not create_policy(settings).uses_ageing
+    chosen = create_policy(with_ordering(settings, "ageing", ageing_rank_factor=3.0))
     assert isinstance(chosen, Ageing)
     assert chosen.patience_s(2) == 10.0 * settings.settings.workers.lease_s * 9
 
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -12,15 +12,15 @@
 
 import pytest
 from conftest import job_body
-from test_era_model import Chain, Model, book, data
+from test_era_model import Chain, Model, data, replica
 
-from ryegauge.bookkeeping.jobbook import job_key, job_record, outcome_key, share_key
 from ryegauge.bookkeeping.ranges import Ranges
-from ryegauge.bookkeeping.state import Conflict, Put, Unknown
+from ryegauge.bookkeeping.state import Conflict, OutcomeUnknown, Put
+from ryegauge.bookkeeping.state_replica import assignment_key, job_key, job_record, outcome_key
 from ryegauge.config import Settings
-from ryegauge.coordination import frontdoor
-from ryegauge.coordination.archive import move_out, to_move_out
-from ryegauge.coordination.frontdoor import FrontDoor
+from ryegauge.coordination import job_api
+from ryegauge.coordination.archive import archive_job, jobs_to_archive
+from ryegauge.coordination.job_api import JobApi
 from ryegauge.protocol.jobs import JobSpec, parse_job
 from ryegauge.transport.http import Reply
 
@@ -62,7 +62,7 @@
     async def commit(self, guards: Any, changes: Any, **_: Any) -> Any:
         return await Request("commit", guards, changes)
 
-    async def fresh(self) -> None:
+    async def wait_for_read(self) -> None:
         await Request("read")
 
     def known(self, uid: str) -> None:
@@ -72,7 +72,7 @@
         return await Request("find", uid)
 
 
-class Door(FrontDoor):
+class Door(JobApi):
     """Its book is exchanged with each read, so that each finds other objects."""
 
     def __init__(self, settings: Settings, fault: str) -> None:
@@ -80,23 +80,23 @@
         super().__init__(
             settings,
             out,
-            book(()),
+            replica(()),
             out,
             lambda: {"x": True},
             lambda n: None,  # type: ignore
             lambda n: None,
             lambda: 0.0,
         )
-        self._finals, self._fault, self.chain = out, fault, ()
+        self._final_outcomes, self._fault, self.chain = out, fault, ()
 
     def take_in(self, chain: Chain) -> None:
-        self._book, self.chain = book(chain), chain
+        self._replica, self.chain = replica(chain), chain
 
-    async def submit(self, spec: JobSpec, beside: tuple[Put, ...] = ()) -> Reply:
-        if self._fault == "from the book" and (job := self._book.jobs.get(spec.uid)):
+    async def submit(self, spec: JobSpec, extra_puts: tuple[Put, ...] = ()) -> Reply:
+        if self._fault == "from the book" and (job := self._replica.jobs.get(spec.uid)):
             await self._fresh()
-            return Reply(200, self._book.jobs.get(spec.uid, job).view())
-        return await super().submit(spec, beside)
+            return Reply(200, self._replica.jobs.get(spec.uid, job).view())
+        return await super().submit(spec, extra_puts)
 
     async def _fresh(self) -> None:
         if self._fault != "no read":
@@ -105,9 +105,9 @@
     async def _known(self, uid: str) -> dict[str, Any] | None:
         if self._fault != "looks up first":
             return await super()._known(uid)
-        record = await self._finals.find(uid)
+        record = await self._final_outcomes.find(uid)
         await self._fresh()
-        return self._by_book(uid) or (record and {"uid": uid, "status": record["st"]})
+        return self._by_replica(uid) or (record and {"uid": uid, "status": record["st"]})
 
     def _unfinished(self, job: Any) -> dict[str, int]:
         own = {job_key(job.spec.uid): job.version}
@@ -131,7 +131,7 @@
             )
         except StopIteration as stop:
             self.wants, self.reply = None, stop.value
-        except (frontdoor.Unavailable, Unknown):
+        except (job_api.Unavailable, OutcomeUnknown):
             self.wants, self.reply = None, Reply(503)
 
 
@@ -199,9 +199,9 @@
             elif outcome_key("wk-1") not in stands:
                 found.append(("look up", 1, ""))
         elif job_key("wk-2") in stands:
-            if share_key("wk-2", 0) not in stands:
+            if assignment_key("wk-2", 0) not in stands:
                 found.append(("end", 2, ""))
-            if to_move_out(book(self.chain), 0):
+            if jobs_to_archive(replica(self.chain), 0):
                 found.append(("move out", 2, ""))
         return found
 
@@ -219,11 +219,11 @@
             case "read":
                 self.doors[n].take_in(self.chain)
             case "move out":
-                self.write(*move_out(book(self.chain).jobs[f"wk-{n}"], 3))
+                self.write(*archive_job(replica(self.chain).jobs[f"wk-{n}"], 3))
             case "look up":
                 self.write({}, [Put(outcome_key("wk-1"), {"st": "cancelled"})])
             case "end":
-                self.write({}, [Put(share_key("wk-2", 0), DONE)])
+                self.write({}, [Put(assignment_key("wk-2", 0), DONE)])
 
     def _ask(self, n: int, what: str) -> None:
         door = self.doors[n]
@@ -254,7 +254,7 @@
         failed = [] if how == "late" else self.write(*thread.wants.about)
         if how != "answered":
             self.lost -= 1
-            self._go_on(thread, Unknown(how), how)
+            self._go_on(thread, OutcomeUnknown(how), how)
         else:
             self._go_on(thread, Conflict(failed) if failed else len(self.chain), str(failed))
 
@@ -348,7 +348,7 @@
 @pytest.fixture
 def played(settings: Settings, monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
     monkeypatch.setattr(
-        frontdoor,
+        job_api,
         "trio",
         SimpleNamespace(
             Event=Event,
@@ -356,7 +356,7 @@
             move_on_after=lambda s: contextlib.nullcontext(),
         ),
     )
-    monkeypatch.setattr(frontdoor, "never_runs", lambda *_: None)
+    monkeypatch.setattr(job_api, "unrunnable_reason", lambda *_: None)
     return lambda begins, fault, questions: explore(
         lambda: Play(settings, begins, fault, questions)
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -14,10 +14,16 @@
 from test_late_writes import KINDS, tiny
 from test_world import MIX, PIPES, some_controllers
 
-from ryegauge.bookkeeping.finals import Finals
-from ryegauge.bookkeeping.jobbook import JobBook, final_key, job_key, job_record, share_key
+from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
 from ryegauge.bookkeeping.ranges import Ranges
 from ryegauge.bookkeeping.state import Conflict, Event, Unavailable
+from ryegauge.bookkeeping.state_replica import (
+    StateReplica,
+    archive_key,
+    assignment_key,
+    job_key,
+    job_record,
+)
 from ryegauge.bookkeeping.syncer import Syncer
 from ryegauge.config import Settings
 from ryegauge.coordination.node import Node
@@ -26,17 +32,17 @@
 from ryegauge.transport.http import Reply, encode
 
 
-class Asked:
+class PendingRental:
     """A front door whose reads and look-ups the test answers."""
 
     def __init__(self, settings: Settings) -> None:
         luck = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        self.front, self.book = node._front, node._desk.book
+        self.front, self.replica = node._front, node._context.replica
         self.on_read: Callable[[], None] = lambda: None
         self.outcomes: dict[str, Any] = {}
-        node._desk.syncer.fresh = self._fresh  # type: ignore[method-assign]
-        node._front._finals.find_all = self._find_all  # type: ignore[method-assign]
+        node._context.syncer.wait_for_read = self._fresh  # type: ignore[method-assign]
+        node._front._final_outcomes.find_all = self._find_all  # type: ignore[method-assign]
 
     async def _fresh(self) -> None:
         self.on_read()
@@ -66,7 +72,7 @@
 
 
 def all_done(n: int, version: int) -> Event:
-    return Event(share_key(f"wk-{n}", 0), {"t": {}, "d": Ranges.up_to(4).flat()}, version)
+    return Event(assignment_key(f"wk-{n}", 0), {"t": {}, "d": Ranges.up_to(4).flat()}, version)
 
 
 def refuse() -> None:
@@ -77,11 +83,11 @@
     """Found by reading: a repeated submission was answered queued where a poll is refused."""
 
     async def scenario() -> None:
-        asked = Asked(settings)
-        asked.book.replace([record(2, "wk-1", version=3), record(3, "wk-2", version=4)], 4)
+        asked = PendingRental(settings)
+        asked.replica.replace([record(2, "wk-1", version=3), record(3, "wk-2", version=4)], 4)
         for uid in ("wk-2", "wk-3"):
             assert await asked.told(uid) == [503] * 4
-        asked.book.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
+        asked.replica.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
         asked.on_read = refuse
         for uid in ("wk-2", "wk-3"):
             assert await asked.told(uid) == ["cancelled"] * 4
@@ -94,21 +100,21 @@
     by a full read, which makes other objects of all jobs."""
 
     async def scenario(changes: bool) -> None:
-        asked = Asked(settings)
+        asked = PendingRental(settings)
         asked.outcomes["wk-1"] = {"st": "done", "d": 4}
 
         def archived() -> None:
             if changes:
-                asked.book.apply([Event(job_key("wk-1"), None, 7)], 7)
+                asked.replica.apply([Event(job_key("wk-1"), None, 7)], 7)
             else:
-                asked.book.replace([], 7)
+                asked.replica.replace([], 7)
 
         def ended() -> None:
-            asked.book.replace([record(1, version=3), all_done(1, 5)], 5)
+            asked.replica.replace([record(1, version=3), all_done(1, 5)], 5)
 
         for read in (archived, ended):
             for n in range(4):
-                asked.book.replace([record(1, version=3)], 3)
+                asked.replica.replace([record(1, version=3)], 3)
                 asked.on_read = read
                 assert await asked.asked("wk-1", n) == "done"
 
@@ -121,9 +127,9 @@
     submission as to a poll."""
 
     async def scenario() -> None:
-        asked = Asked(settings)
+        asked = PendingRental(settings)
         asked.on_read = refuse
-        asked.book.replace(
+        asked.replica.replace(
             [
                 record(1, version=3),
                 all_done(1, 5),
@@ -133,8 +139,8 @@
             ],
             6,
         )
-        asked.book.cancelled_ahead.add("wk-2")
-        asked.front._finals._known["wk-5"] = {"st": "done", "d": 4}
+        asked.replica.unsynced_cancellations.add("wk-2")
+        asked.front._final_outcomes._known["wk-5"] = {"st": "done", "d": 4}
         for uid, told in {
             "wk-1": "done",
             "wk-2": "cancelled",
@@ -152,11 +158,11 @@
     cancellation. By then the book may show it."""
 
     async def scenario() -> None:
-        asked = Asked(settings)
+        asked = PendingRental(settings)
         asked.front._types = lambda: {"small": None}  # type: ignore[dict-item, return-value]
 
         async def commit(*_: Any, **__: Any) -> int:
-            asked.book.apply([record(1, version=3), record(1, version=4, over=True)], 4)
+            asked.replica.apply([record(1, version=3), record(1, version=4, over=True)], 4)
             return 3
 
         asked.front._state.commit = commit  # type: ignore[method-assign]
@@ -167,7 +173,7 @@
         assert (reply.status, reply.body["status"]) == (201, "cancelled")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("ryegauge.coordination.frontdoor.never_runs", lambda *_: None)
+        patch.setattr("ryegauge.coordination.job_api.never_runs", lambda *_: None)
         trio.run(scenario)
 
 
@@ -175,18 +181,18 @@
     """Found by reading: 422, which is never repeated, where a poll for that need is refused."""
 
     async def scenario() -> None:
-        asked = Asked(settings)
-        lost: list[str] = []
-        asked.front.lost = lost.append
-        asked.front.unknown_before = trio.current_time() + 9.0
+        asked = PendingRental(settings)
+        on_record_missing: list[str] = []
+        asked.front.on_record_missing = on_record_missing.append
+        asked.front.not_found_after = trio.current_time() + 9.0
         with pytest.raises(Unavailable):
             await asked.front._unknown(("wk-7",), {})
-        asked.front.unknown_before = 0.0
+        asked.front.not_found_after = 0.0
         assert await asked.front._unknown(("wk-7",), {}) == "wk-7"
-        asked.book.finals["wk-7"] = ("done", 4)
+        asked.replica.final_outcomes["wk-7"] = ("done", 4)
         with pytest.raises(Unavailable):
             await asked.front._unknown(("wk-7",), {})
-        assert lost == [final_key("wk-7")]
+        assert on_record_missing == [archive_key("wk-7")]
 
     trio.run(scenario)
 
@@ -204,15 +210,15 @@
 
         async def get(self, key: str, **_: Any) -> Any:
             await trio.sleep(0.0)
-            return None if key == final_key(self.gone) else ({"st": "done", "d": 1}, 1)
+            return None if key == archive_key(self.gone) else ({"st": "done", "d": 1}, 1)
 
     async def scenario() -> None:
         service = Service()
-        finals = Finals(service, 48, 1)  # type: ignore[arg-type]
+        final_outcomes = FinalOutcomes(service, 48, 1)  # type: ignore[arg-type]
         found: list[set[str]] = []
 
         async def ask(*uids: str) -> None:
-            found.append(set(await finals.find_all(uids)))
+            found.append(set(await final_outcomes.find_all(uids)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, *(f"wk-{n}" for n in range(9)))
@@ -223,7 +229,7 @@
         assert sorted(map(len, found)) == [1, 1, 1, 9]
         service.gone = "wk-77"
         with pytest.raises(Unavailable):
-            await finals.find_all(["wk-77", "wk-78"])
+            await final_outcomes.find_all(["wk-77", "wk-78"])
 
     trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
 
@@ -241,7 +247,7 @@
             return [all_done(1, 5)], False, 5
 
         async def changes(self, prefix: str, since: int, **_: Any) -> Any:
-            seen.extend(job.status for job in book.jobs.values())
+            seen.extend(job.status for job in replica.jobs.values())
             return [record(1, version=4, over=True), all_done(1, 5)], 5
 
     async def scenario() -> None:
@@ -251,11 +257,11 @@
             nursery.cancel_scope.cancel()
 
     seen: list[str] = []
-    book, service = JobBook(), Service()
-    syncer = Syncer(service, book, lambda: 1.0, 1.0)  # type: ignore[arg-type]
+    replica, service = StateReplica(), Service()
+    syncer = Syncer(service, replica, lambda: 1.0, 1.0)  # type: ignore[arg-type]
     trio.run(scenario)
     assert "done" not in seen
-    assert (book.jobs["wk-1"].status, book.ledger) == ("cancelled", 5)
+    assert (replica.jobs["wk-1"].status, replica.state_revision) == ("cancelled", 5)
 
 
 def test_a_queue_is_told_of_an_outcome_that_was_put_back(settings: Settings) -> None:
@@ -265,9 +271,11 @@
 
     async def scenario() -> None:
         luck = random.Random(1)
-        desk = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)._desk
-        desk.book.replace([Event("r/k/x", {"cancelled": {"wk-4": 1}}, 6)], 6)
-        assert await Answers(desk, {}, {}, 9.0)._final("wk-4") == ("cancelled", 1)
+        node_context = Node(
+            settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck
+        )._context
+        node_context.replica.replace([Event("r/k/x", {"cancelled": {"wk-4": 1}}, 6)], 6)
+        assert await Answers(node_context, {}, {}, 9.0)._final("wk-4") == ("cancelled", 1)
 
     trio.run(scenario)
 
@@ -290,7 +298,7 @@
         world.crash(*numbers)
 
 
-def small_books(tmp_path: Path) -> list[Settings]:
+def small_replicas(tmp_path: Path) -> list[Settings]:
     """With room for two jobs: others have left the book by the second look."""
     return [tiny(each) for each in some_controllers(tmp_path, 3)]
 
@@ -304,7 +312,7 @@
             await ended(world)
             await trio.sleep(25.0)
 
-    world = play(small_books(tmp_path), 21, [*PIPES, *one_task_jobs(15)], script, 130.0)
+    world = play(small_replicas(tmp_path), 21, [*PIPES, *one_task_jobs(15)], script, 130.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -329,7 +337,7 @@
             await trio.sleep(10.0)
 
     jobs = [*PIPES[:5], *MIX[:4], *one_task_jobs(12, cancel_after=2.0)]
-    world = play(small_books(tmp_path), 31, jobs, script, 150.0)
+    world = play(small_replicas(tmp_path), 31, jobs, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert min(made.values()) > 3
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -5,7 +5,13 @@
 
 import pytest
 
-from ryegauge.detection.blame import SEVERAL, SHARED_OUTAGE, Blame, Failing, HeldBack
+from ryegauge.detection.fault_attribution import (
+    SEVERAL,
+    SHARED_OUTAGE,
+    FailingJob,
+    FaultAttribution,
+    RetryBackoff,
+)
 
 Event = tuple[str, int, str, bool, int]  # job, task, machine, done, machines of the task
 
@@ -57,7 +63,7 @@
     events: list[Event] = []
     done: set[str] = set()
     failed: dict[tuple[str, int], set[str]] = {}
-    blame = Blame(done.__contains__)
+    blame = FaultAttribution(done.__contains__)
     given_up: set[str] = set()
     elsewhere: set[str] = set()
     for _ in range(700):
@@ -88,7 +94,7 @@
 
 def test_one_task_that_has_nowhere_else_to_go_accuses_its_machine() -> None:
     """Found by days whose order hung on luck: the last task of a job was never done."""
-    blame = Blame({"wk-1"}.__contains__)
+    blame = FaultAttribution({"wk-1"}.__contains__)
     blame.failed("wk-1", "m-1", 1)
     assert blame.accused(1) == (set(), set())
     blame.failed("wk-1", "m-1", 1)
@@ -97,7 +103,7 @@
 
 def test_tries_of_jobs_that_fail_in_other_parts_accuse_no_machine() -> None:
     """One task each of two held-back jobs was tried here, on the same good machine."""
-    blame = Blame(set().__contains__)
+    blame = FaultAttribution(set().__contains__)
     assert blame.known({"wk-1", "wk-2"})
     blame.failed("wk-1", "m-1", 1)
     blame.failed("wk-2", "m-1", 1)
@@ -110,7 +116,7 @@
 
 def test_a_shared_outage_gives_no_machine_up() -> None:
     done = {f"wk-{n}" for n in range(5)}
-    blame = Blame(done.__contains__)
+    blame = FaultAttribution(done.__contains__)
     machines = [f"m-{n}" for n in range(10)]
     for n, machine in enumerate(machines):
         for _ in range(3):
@@ -122,7 +128,7 @@
 
 
 def test_a_task_that_fails_everywhere_in_a_job_that_is_partly_done() -> None:
-    blame = Blame({"wk-1"}.__contains__)
+    blame = FaultAttribution({"wk-1"}.__contains__)
     for n in range(12):
         blame.failed("wk-1", f"m-{n}", n + 1)
         blame.failed("wk-1", f"m-{n}", n + 1)
@@ -131,17 +137,17 @@
 
 
 def test_tries_of_a_job_that_is_held_back() -> None:
-    held = HeldBack(14.0, 112.0)
-    assert held.told([Failing("wk-1", 2, 5), Failing("wk-1", 1, 4)], 100.0) == [
-        Failing("wk-1", 3, 9)
+    held = RetryBackoff(14.0, 112.0)
+    assert held.told([FailingJob("wk-1", 2, 5), FailingJob("wk-1", 1, 4)], 100.0) == [
+        FailingJob("wk-1", 3, 9)
     ]
-    assert held.told([Failing("wk-1", 3, 9)], 110.0) == []
+    assert held.told([FailingJob("wk-1", 3, 9)], 110.0) == []
     now, tries = 100.0, []
     while now < 700.0:
         now += 0.5
         if held.wait_s("wk-1", now) <= 0:
             tries.append(now - 100.0)
-            held.tried("wk-1", now)
+            held.on_retry("wk-1", now)
     # Ever more seldom, and never not at all.
     assert tries[:4] == [14.0, 42.0, 98.0, 210.0]
     assert {b - a for a, b in pairwise(tries[3:])} == {112.0}
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -10,7 +10,7 @@
 from test_world import MIX, some_controllers
 
 from ryegauge.emulator.world import World
-from ryegauge.scheduling.boots import Boots, Kind, Pending
+from ryegauge.scheduling.boot_times import BootTimes, Kind, Pending
 
 NOMINAL_S = 25.0
 HERE: Kind = ("mid", "a", True)
@@ -23,7 +23,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.boots = Boots()
+        self.boots = BootTimes()
         self.up_at: dict[str, float] = {}
         self.asked: dict[str, tuple[Kind, float]] = {}
         self.given_up: dict[str, float] = {}  # name -> age at which it was given up
@@ -49,7 +49,7 @@
             pending = []
             for name, (kind, at) in list(self.asked.items()):
                 if self.up_at[name] <= now:
-                    self.boots.came_up(kind, NOMINAL_S, self.up_at[name] - at, now)
+                    self.boots.record_boot(kind, NOMINAL_S, self.up_at[name] - at, now)
                     del self.asked[name]
                 elif name in self.given_up:
                     del self.asked[name]
@@ -88,7 +88,7 @@
     assert rentals.boots.boot_s(HERE, NOMINAL_S, 300.0) > 2.5 * NOMINAL_S
     # It is over: soon nothing more is expected of it than usual.
     for n in range(20):
-        rentals.boots.came_up(HERE, NOMINAL_S, 25.0, 420.0 + 5 * n)
+        rentals.boots.record_boot(HERE, NOMINAL_S, 25.0, 420.0 + 5 * n)
     rentals.boots.look([], 520.0)
     assert rentals.boots.boot_s(HERE, NOMINAL_S, 520.0) < 1.5 * NOMINAL_S
 
@@ -108,15 +108,15 @@
     rentals.play({HERE: [(0.0, 0.05), (120.0, 1.0)]}, 0.0, 300.0)
     assert rentals.given_up == {}
     assert len(rentals.uncounted) <= 0.05 * len(rentals.up_at)
-    boots = Boots()
+    boots = BootTimes()
     for n in range(50):
-        boots.came_up(HERE, NOMINAL_S, 1.0, float(n))
+        boots.record_boot(HERE, NOMINAL_S, 1.0, float(n))
     assert boots.boot_s(HERE, NOMINAL_S, 50.0) == 0.5 * NOMINAL_S
 
 
 def test_what_is_left_is_never_nothing() -> None:
     """One that was overdue counted as about to come, for as long as three boots."""
-    boots = Boots()
+    boots = BootTimes()
     ages = [0.0, 10.0, 25.0, 40.0, 60.0, 100.0]
     left = [boots.look([Pending("m", HERE, NOMINAL_S, age)], 0.0)["m"].left_s for age in ages]
     assert left[0] == pytest.approx(NOMINAL_S)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -61,7 +61,7 @@
     path.write_text(settings_text())
     settings = load(path)
     w = settings.settings.workers
-    assert settings.term_s + w.lease_s + 2 * settings.report_gap_s < w.cancel_s
+    assert settings.controller_lease_s + w.lease_s + 2 * settings.report_gap_s < w.cancel_s
 
 
 def test_properties(tmp_path: Path) -> None:
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -9,32 +9,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryegauge.detection.hearing import Attention, Hearing, Overheard, is_deaf
-from ryegauge.detection.verdicts import (
+from ryegauge.detection.failure_diagnosis import (
     Cause,
+    DetectionLimits,
     Evidence,
-    Grade,
-    Limits,
-    Outcome,
-    Probe,
+    ProbeOutcome,
+    ProbeResult,
+    Severity,
     cut_zones,
-    judge,
+    diagnose,
+)
+from ryegauge.detection.last_heard import (
+    ForeignReports,
+    LastHeard,
+    StallDetector,
+    owner_unreachable,
 )
 
-LIMITS = Limits(gap_s=3.0, lease_s=14.0)
+LIMITS = DetectionLimits(gap_s=3.0, lease_s=14.0)
 NEVER = math.inf
 
 TRUTHS = ("dead", "cut_off", "hung", "taken", "owner_deaf", "owner_stood_still", "zone_cut")
 ENDED = {"dead", "taken"}
 # What may be said of a machine, by what is true of it; the first that applies.
 EXPLAINED = [
-    ("owner_stood_still", {Cause.OWNER_STOOD_STILL}),
-    ("zone_cut", {Cause.ZONE_CUT, Cause.TAKEN}),
-    ("taken", {Cause.TAKEN}),
+    ("owner_stood_still", {Cause.OWNER_STALLED}),
+    ("zone_cut", {Cause.ZONE_CUT, Cause.RECLAIMED}),
+    ("taken", {Cause.RECLAIMED}),
     ("cut_off", {Cause.DEAD_OR_CUT}),
     ("dead", {Cause.DEAD_OR_CUT}),
     ("hung", {Cause.HUNG}),
-    ("owner_deaf", {Cause.OWNER_DEAF}),
+    ("owner_deaf", {Cause.OWNER_UNREACHABLE}),
 ]
 
 
@@ -44,17 +49,17 @@
     stood = after_s - 1.0 if "owner_stood_still" in truth else 0.0
     gone = truth & {"dead", "cut_off", "taken", "zone_cut"}
 
-    def asked(by_owner: bool) -> Outcome:
+    def asked(by_owner: bool) -> ProbeOutcome:
         if gone or (by_owner and "owner_deaf" in truth):
-            return Outcome.NO_CONNECTION
-        return Outcome.NO_ANSWER if "hung" in truth else Outcome.ANSWERED
+            return ProbeOutcome.NO_CONNECTION
+        return ProbeOutcome.NO_ANSWER if "hung" in truth else ProbeOutcome.ANSWERED
 
     probes = []
     listened = after_s - stood
     if listened > 2 * LIMITS.gap_s:
-        probes = [Probe("owner", asked(True), 0.0)]
+        probes = [ProbeResult("owner", asked(True), 0.0)]
         if helpers:
-            probes.append(Probe("helper", asked(False), 0.0))
+            probes.append(ProbeResult("helper", asked(False), 0.0))
     # A live worker whose owner does not answer tries the next controller in five seconds.
     heard = "owner_deaf" in truth and not gone and "hung" not in truth and helpers
     return Evidence(
@@ -63,7 +68,7 @@
         elsewhere_s=1.0 if heard else NEVER,
         probes=probes,
         notice="taken" in truth,
-        stood_still_s=stood,
+        stalled_s=stood,
         heard_share=0.0 if truth & {"owner_deaf", "zone_cut"} else 0.9,
         zone_cut="zone_cut" in truth,
     )
@@ -79,7 +84,7 @@
     its own deafness, and says so."""
     table = Counter[str]()
     for truth in pairs():
-        cause = judge(evidence_of(truth, 11.0, helpers), LIMITS).cause
+        cause = diagnose(evidence_of(truth, 11.0, helpers), LIMITS).cause
         allowed = next(causes for name, causes in EXPLAINED if name in truth)
         undecided = cause in (Cause.UNDECIDED, Cause.NONE)
         table["right" if cause in allowed else "undecided" if undecided else "wrong"] += 1
@@ -91,20 +96,20 @@
 @pytest.mark.parametrize("truth", pairs())
 def test_nothing_is_called_lost_that_somebody_hears(truth: frozenset[str]) -> None:
     for after_s in range(1, 14):
-        grade = judge(evidence_of(truth, float(after_s)), LIMITS).grade
+        severity = diagnose(evidence_of(truth, float(after_s)), LIMITS).severity
         if not truth & {"dead", "cut_off", "taken"}:
-            assert grade < Grade.LOST, (after_s, truth)
+            assert severity < Severity.LOST, (after_s, truth)
         if truth <= ENDED | {"owner_deaf"} and truth & ENDED and after_s > 9:
-            assert grade == Grade.LOST, (after_s, truth)
+            assert severity == Severity.LOST, (after_s, truth)
 
 
-outcomes = st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(Outcome)), max_size=4)
+outcomes = st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(ProbeOutcome)), max_size=4)
 evidence = st.builds(
     lambda silent, stood, elsewhere, probes, notice, share, cut: Evidence(
         silent,
         silent + stood,
         elsewhere,
-        tuple(Probe(*p, 0.0) for p in probes),
+        tuple(ProbeResult(*p, 0.0) for p in probes),
         notice,
         stood,
         share,
@@ -118,21 +123,26 @@
     st.floats(0, 1),
     st.booleans(),
 )
-SIGNS_OF_LIFE = [Outcome.ANSWERED, Outcome.NO_ANSWER, Outcome.REFUSED, Outcome.RESET]
+SIGNS_OF_LIFE = [
+    ProbeOutcome.ANSWERED,
+    ProbeOutcome.NO_ANSWER,
+    ProbeOutcome.REFUSED,
+    ProbeOutcome.RESET,
+]
 
 
 @given(evidence, st.sampled_from(SIGNS_OF_LIFE))
-def test_a_sign_of_life_never_raises_the_grade(seen: Evidence, sign: Outcome) -> None:
-    before = judge(seen, LIMITS).grade
-    more = seen._replace(probes=(*seen.probes, Probe("d", sign, 0.0)))
-    assert judge(more, LIMITS).grade <= before
-    assert judge(seen._replace(elsewhere_s=0.0), LIMITS).grade <= before
+def test_a_sign_of_life_never_raises_the_grade(seen: Evidence, sign: ProbeOutcome) -> None:
+    before = diagnose(seen, LIMITS).severity
+    more = seen._replace(probes=(*seen.probes, ProbeResult("d", sign, 0.0)))
+    assert diagnose(more, LIMITS).severity <= before
+    assert diagnose(seen._replace(elsewhere_s=0.0), LIMITS).severity <= before
 
 
 @given(evidence, st.floats(0, 20))
 def test_longer_silence_never_lowers_the_grade(seen: Evidence, more_s: float) -> None:
     later = seen._replace(silent_s=seen.silent_s + more_s, waited_s=seen.waited_s + more_s)
-    assert judge(later, LIMITS).grade >= judge(seen, LIMITS).grade
+    assert diagnose(later, LIMITS).severity >= diagnose(seen, LIMITS).severity
 
 
 @given(evidence)
@@ -143,7 +153,7 @@
         probes=tuple(p for p in seen.probes if p.by == "a"), heard_share=0.5, notice=False
     )
     if alone.waited_s <= LIMITS.lease_s:
-        assert judge(alone, LIMITS).grade < Grade.LOST
+        assert diagnose(alone, LIMITS).severity < Severity.LOST
 
 
 def test_zones_are_cut_only_if_another_is_heard() -> None:
@@ -156,36 +166,38 @@
 def test_a_listener_that_stood_still_has_not_listened() -> None:
     """Found by simulated days with frozen controllers: all machines looked silent at once
     when it went on, with their reports waiting in its sockets."""
-    attention = Attention(2.5, 0.0)
-    hearing = Hearing(attention)
+    attention = StallDetector(2.5, 0.0)
+    hearing = LastHeard(attention)
     hearing.heard("m-1", 1.0)
     for at in (2.0, 3.0, 23.0):
         attention.look(at)
     assert hearing.silent_s("m-1", 23.0) == 4.5
-    assert attention.stood_still_s(1.0) == 17.5
-    assert attention.stood_still_s(23.0) == 0.0
+    assert attention.stalled_s(1.0) == 17.5
+    assert attention.stalled_s(23.0) == 0.0
     assert hearing.silent_s("m-2", 23.0) == NEVER
 
 
 def test_what_was_overheard_is_told_once_and_fades() -> None:
-    overheard = Overheard(28.0)
-    overheard.heard("m-1", 0, 1.0)
-    overheard.heard("m-2", 0, 2.0)
-    overheard.heard("m-1", 0, 5.0)
-    assert overheard.since(2.0, 6.0, 10) == [("m-1", 0, 1.0)]
-    assert overheard.since(0.0, 6.0, 10) == [("m-1", 0, 1.0), ("m-2", 0, 4.0)]
-    assert overheard.since(0.0, 6.0, 1) == [("m-1", 0, 1.0)]
-    overheard.heard("m-3", 0, 31.0)
-    assert overheard.since(0.0, 31.0, 10) == [("m-3", 0, 0.0), ("m-1", 0, 26.0)]
+    foreign_reports = ForeignReports(28.0)
+    foreign_reports.heard("m-1", 0, 1.0)
+    foreign_reports.heard("m-2", 0, 2.0)
+    foreign_reports.heard("m-1", 0, 5.0)
+    assert foreign_reports.since(2.0, 6.0, 10) == [("m-1", 0, 1.0)]
+    assert foreign_reports.since(0.0, 6.0, 10) == [("m-1", 0, 1.0), ("m-2", 0, 4.0)]
+    assert foreign_reports.since(0.0, 6.0, 1) == [("m-1", 0, 1.0)]
+    foreign_reports.heard("m-3", 0, 31.0)
+    assert foreign_reports.since(0.0, 31.0, 10) == [("m-3", 0, 0.0), ("m-1", 0, 26.0)]
 
 
 def test_an_owner_is_deaf_only_if_others_hear_its_machines() -> None:
     heard = {f"m-{n}": 90.0 for n in range(20)}
     elsewhere = {f"m-{n}": 96.0 for n in range(6)}
-    assert is_deaf(heard, elsewhere, 3.0, 97.0)
-    assert not is_deaf(heard, {}, 3.0, 97.0)  # nobody hears them: dead, or cut off
-    assert not is_deaf(heard, dict.fromkeys(list(elsewhere)[:4], 96.0), 3.0, 97.0)
-    assert not is_deaf(heard, elsewhere, 3.0, 103.0)  # too long ago
-    assert not is_deaf({**heard, "m-9": 95.0, "m-8": 95.0, "m-7": 96.0}, elsewhere, 3.0, 97.0)
-    assert not is_deaf({**heard, **dict.fromkeys(elsewhere, 96.5)}, elsewhere, 3.0, 97.0)
-    assert is_deaf({}, elsewhere, 3.0, 97.0)  # it took the part over and never heard any
+    assert owner_unreachable(heard, elsewhere, 3.0, 97.0)
+    assert not owner_unreachable(heard, {}, 3.0, 97.0)  # nobody hears them: dead, or cut off
+    assert not owner_unreachable(heard, dict.fromkeys(list(elsewhere)[:4], 96.0), 3.0, 97.0)
+    assert not owner_unreachable(heard, elsewhere, 3.0, 103.0)  # too long ago
+    assert not owner_unreachable(
+        {**heard, "m-9": 95.0, "m-8": 95.0, "m-7": 96.0}, elsewhere, 3.0, 97.0
+    )
+    assert not owner_unreachable({**heard, **dict.fromkeys(elsewhere, 96.5)}, elsewhere, 3.0, 97.0)
+    assert owner_unreachable({}, elsewhere, 3.0, 97.0)  # it took the part over and never heard any
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,7 @@
 from ryegauge.emulator.waiting import LOOK_S, Waiting
 from ryegauge.emulator.workers import Attempt
 from ryegauge.emulator.world import World
-from ryegauge.transport.http import NoAnswer, Reply, TcpNetwork, decode, encode
+from ryegauge.transport.http import Reply, ResponseTimeout, TcpNetwork, decode, encode
 
 
 def simulated(scenario: Callable[[], Awaitable[Any]]) -> Any:
@@ -261,7 +261,7 @@
         service = world.settings[0].outside.state
         write = {"if": [], "apply": [put("a/1", 1)]}
         with world.late_writes(1.0, at_once=True):
-            with pytest.raises(NoAnswer):
+            with pytest.raises(ResponseTimeout):
                 await world.network.call("10.0.0.1", service, "POST", "/multi", write, 0.1)
             assert world.state.data["a/1"][1] == 1
             answer = await world.network.call("10.0.0.2", service, "GET", "/kv/a/1", None, 0.1)
--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -13,21 +13,27 @@
 import pytest
 from conftest import job_body
 
-from ryegauge.bookkeeping.eras import (
-    ERA_KEY,
-    HOLDING,
-    PUTTING_BACK,
-    REBUILT,
-    era_in,
-    era_token,
-    version_in,
+from ryegauge.bookkeeping.epochs import (
+    EPOCH_KEY,
+    GRACE_PERIOD,
+    RECOVERED,
+    RESTORING,
+    epoch_of_token,
+    fencing_token,
+    version_of_token,
 )
-from ryegauge.bookkeeping.jobbook import JobBook, cancelled_record, job_key, job_record, share_key
 from ryegauge.bookkeeping.state import Delete, Event, Put
+from ryegauge.bookkeeping.state_replica import (
+    StateReplica,
+    assignment_key,
+    cancelled_record,
+    job_key,
+    job_record,
+)
 from ryegauge.protocol.jobs import parse_job
-from ryegauge.rebuilding.adopting import Stray, adopted
-from ryegauge.rebuilding.merging import Limits, to_put_back
-from ryegauge.rebuilding.records import Kept, keep
+from ryegauge.rebuilding.adopting import UnrecordedTask, adoption_writes
+from ryegauge.rebuilding.merging import Limits, restore_writes
+from ryegauge.rebuilding.records import KnownState, keep
 from ryegauge.rebuilding.stages import first_record, next_record
 
 JOB = "wk-1"
@@ -41,9 +47,9 @@
 
 class Controller(NamedTuple):
     read: Chain = ()  # what its book has
-    kept: int = 0  # what it kept when an era began: a number under which that is remembered
-    era: int = 0
-    back: int = 0  # the era in which it has put back
+    known_state: int = 0  # what it kept when an era began: a number under which that is remembered
+    epoch: int = 0
+    restored_nodes: int = 0  # the era in which it has put back
     warm: bool = True  # has read before
     anew: bool = False  # has started after the others ended
 
@@ -57,13 +63,13 @@
     ran: bool = False  # the task has ended as done
 
 
-KEPT: list[Kept | None] = [None]
+KEPT: list[KnownState | None] = [None]
 
 
-def remembered(kept: Kept) -> int:
-    if kept not in KEPT:
-        KEPT.append(kept)
-    return KEPT.index(kept)
+def remembered(known_state: KnownState) -> int:
+    if known_state not in KEPT:
+        KEPT.append(known_state)
+    return KEPT.index(known_state)
 
 
 @lru_cache(100_000)
@@ -79,9 +85,9 @@
 
 
 @lru_cache(100_000)
-def book(chain: Chain) -> JobBook:
-    result = JobBook()
-    result.keep_finals = 10
+def replica(chain: Chain) -> StateReplica:
+    result = StateReplica()
+    result.max_final_outcomes = 10
     result.replace([Event(k, *v) for k, v in sorted(data(chain).items())], len(chain))
     return result
 
@@ -99,7 +105,7 @@
     ) -> Chain | None:
         stands = data(chain)
         for key, version in guards.items():
-            if (stands[key][1] if key in stands else 0) != version_in(version):
+            if (stands[key][1] if key in stands else 0) != version_of_token(version):
                 return None
         return (
             *chain,
@@ -111,8 +117,8 @@
 
     def first(self) -> State:
         claims = [Put("r/l", {"o": "a", "i": "1"})]
-        for part, name in enumerate(NAMES):
-            claims += [Put(f"r/p/{part}", {"o": name, "i": "1"}), Put(f"r/n/{name}", {"i": "1"})]
+        for shard, name in enumerate(NAMES):
+            claims += [Put(f"r/p/{shard}", {"o": name, "i": "1"}), Put(f"r/n/{name}", {"i": "1"})]
         chain = self.commit((), {}, list(claims))
         assert chain is not None
         return State(chain, (Controller(chain), Controller(chain)))
@@ -155,48 +161,50 @@
         """A read and what it leads to."""
         c = s.controllers[n]
         if not c.warm:
-            return self._with(s, n, Controller(s.chain, era=book(s.chain).era, anew=True))
+            return self._with(s, n, Controller(s.chain, epoch=replica(s.chain).epoch, anew=True))
         if not self._good(s, n):
             if self.bug == "era not raised":
                 return self._with(s, n, c._replace(read=s.chain))
-            return self._begin_era(s, n, c.era, lived=True) or self._adopt(s, n, True)
+            return self._begin_epoch(s, n, c.epoch, saw_loss=True) or self._adopt(s, n, True)
         return self._adopt(s, n, False)
 
-    def _begin_era(self, s: State, n: int, known: int, lived: bool = False) -> State | None:
+    def _begin_epoch(self, s: State, n: int, known: int, saw_loss: bool = False) -> State | None:
         """After proof that data was lost; None if another has begun it."""
         if self.bug == "era not raised":
             return None
-        found = data(s.chain).get(ERA_KEY)
+        found = data(s.chain).get(EPOCH_KEY)
         if self.bug == "era reused":
             known = 0
         record = first_record(found and found[0], known, "history", NAMES[n])
         if record is None:
             return None
-        chain = self.commit(s.chain, {ERA_KEY: found[1] if found else 0}, [Put(ERA_KEY, record)])
+        chain = self.commit(
+            s.chain, {EPOCH_KEY: found[1] if found else 0}, [Put(EPOCH_KEY, record)]
+        )
         assert chain is not None
-        return self._adopt(s._replace(chain=chain), n, lived)
+        return self._adopt(s._replace(chain=chain), n, saw_loss)
 
-    def _adopt(self, s: State, n: int, lived: bool) -> State:
+    def _adopt(self, s: State, n: int, saw_loss: bool) -> State:
         c = s.controllers[n]
-        era, kept = book(s.chain).era, c.kept
-        if era > c.era:
-            kept = remembered(keep(book(c.read), lived).over(KEPT[c.kept]))
-        return self._with(s, n, c._replace(read=s.chain, kept=kept, era=era))
+        epoch, known_state = replica(s.chain).epoch, c.known_state
+        if epoch > c.epoch:
+            known_state = remembered(keep(replica(c.read), saw_loss).over(KEPT[c.known_state]))
+        return self._with(s, n, c._replace(read=s.chain, known_state=known_state, epoch=epoch))
 
     def _user(self, s: State) -> Iterator[State]:
         """Asks the first controller, which reads before it answers."""
         if not self._good(s, 0):
             return
         s = self._read(s, 0) or s
-        b = book(s.chain)
-        if b.era_stage == PUTTING_BACK and self.bug != "404 too early":
+        b = replica(s.chain)
+        if b.recovery_stage == RESTORING and self.bug != "404 too early":
             return
         job = b.jobs.get(JOB)
-        guard = {ERA_KEY: b.era_version}
+        guard = {EPOCH_KEY: b.epoch_version}
         if job is None:
-            if JOB in b.packed:
-                now = b.packed[JOB][0]
-            elif not b.era_complete and self.bug != "404 too early":
+            if JOB in b.restored_outcomes:
+                now = b.restored_outcomes[JOB][0]
+            elif not b.recovery_complete and self.bug != "404 too early":
                 return  # 503
             elif s.told:
                 raise Broken("forgotten")
@@ -225,7 +233,7 @@
         elif job is not None and not ended:
             changes = [Put(job_key(JOB), cancelled_record(SPEC, 1.0, 4096))]
             guards = {job_key(JOB): job.version, **guard}
-            guards.update((share_key(JOB, p), x.version) for p, x in job.shares.items())
+            guards.update((assignment_key(JOB, p), x.version) for p, x in job.assignments.items())
             chain = self.commit(s.chain, guards, list(changes))
             if chain is not None:
                 yield self._with(
@@ -242,12 +250,12 @@
                 yield read
             if not c.warm:
                 return
-        b = book(c.read)
-        guard = {ERA_KEY: b.era_version}
+        b = replica(c.read)
+        guard = {EPOCH_KEY: b.epoch_version}
         token = self._token(b, n)
         if token is None:
             stale = {k: b.stale.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
-            mark = {"b": [c.era, bool(KEPT[c.back])]} if c.back else {}
+            mark = {"b": [c.epoch, bool(KEPT[c.restored_nodes])]} if c.restored_nodes else {}
             record = {"o": NAMES[n], "i": "1"}
             chain = self.commit(
                 s.chain,
@@ -255,48 +263,54 @@
                 [*(Put(k, record) for k in stale), Put(f"r/n/{NAMES[n]}", {"i": "1", **mark})],
             )
             if chain is not None:
-                if era_token(b.era, len(chain)) >= s.workers[n][0]:
+                if fencing_token(b.epoch, len(chain)) >= s.workers[n][0]:
                     yield s._replace(chain=chain)
-                elif (accused := self._begin_era(s, n, era_in(s.workers[n][0]))) is not None:
+                elif (
+                    accused := self._begin_epoch(s, n, epoch_of_token(s.workers[n][0]))
+                ) is not None:
                     yield accused
                 else:
                     raise Broken("the rightful owner is refused")
             return
-        if b.era_stage == PUTTING_BACK and c.back != c.era:
-            kept = KEPT[c.kept]
-            writes = [] if kept is None else to_put_back(kept, b, LIMITS, NAMES[n])
+        if b.recovery_stage == RESTORING and c.restored_nodes != c.epoch:
+            known_state = KEPT[c.known_state]
+            writes = [] if known_state is None else restore_writes(known_state, b, LIMITS, NAMES[n])
             if writes:
                 chain = self.commit(s.chain, {**writes[0].guards, **guard}, writes[0].changes)
             else:
-                lived = kept is not None and kept.lived
+                saw_loss = known_state is not None and known_state.saw_loss
                 chain = self.commit(
-                    s.chain, guard, [Put(f"r/n/{NAMES[n]}", {"i": "1", "b": [c.era, lived]})]
+                    s.chain, guard, [Put(f"r/n/{NAMES[n]}", {"i": "1", "b": [c.epoch, saw_loss]})]
                 )
-                c = c._replace(back=c.era)
+                c = c._replace(restored_nodes=c.epoch)
             if chain is not None:
                 yield self._with(s, n, c, chain=chain)
             return
         if n == 0:
             yield from self._leader(s, b, guard)
-        if b.era_stage == HOLDING and s.workers[n][1] and self.bug != "adopted not counted":
-            for write in adopted(b, n, 2, [Stray(JOB, 0, "", False)]):
+        if (
+            b.recovery_stage == GRACE_PERIOD
+            and s.workers[n][1]
+            and self.bug != "adopted not counted"
+        ):
+            for write in adoption_writes(b, n, 2, [UnrecordedTask(JOB, 0, "", False)]):
                 if chain := self.commit(s.chain, {**write.guards, **guard}, write.changes):
                     yield s._replace(chain=chain)
 
-    def _token(self, b: JobBook, n: int) -> int | None:
-        owner = b.parts.get(n)
+    def _token(self, b: StateReplica, n: int) -> int | None:
+        owner = b.shards.get(n)
         return owner.token if owner is not None and owner.node == NAMES[n] else None
 
-    def _leader(self, s: State, b: JobBook, guard: dict[str, int]) -> Iterator[State]:
+    def _leader(self, s: State, b: StateReplica, guard: dict[str, int]) -> Iterator[State]:
         if b.leader is None:
             return
         guard = {**guard, "r/l": b.leader.token}
-        if b.era_stage != REBUILT:
+        if b.recovery_stage != RECOVERED:
             # Time is not modelled: a stage lasts until all that runs has been reported.
             unknown = any(
                 run
                 and self._held(b) != p
-                and b.era_stage == HOLDING
+                and b.recovery_stage == GRACE_PERIOD
                 and JOB in b.jobs
                 and not b.jobs[JOB].over
                 and self.bug != "adopted not counted"
@@ -304,25 +318,29 @@
             )
             record = next_record(b, NAMES, 99.0, 99.0, 15.0, 5.0)
             if record is not None and not unknown:
-                chain = self.commit(s.chain, guard, [Put(ERA_KEY, record)])
+                chain = self.commit(s.chain, guard, [Put(EPOCH_KEY, record)])
                 if chain is not None:
                     yield s._replace(chain=chain)
             return
         job = b.jobs.get(JOB)
-        if job is None or job.over or job.allotted_count:
+        if job is None or job.over or job.assigned_count:
             return
-        if s.controllers[0].anew and not b.era and any(run for _, run in s.workers):
+        if s.controllers[0].anew and not b.epoch and any(run for _, run in s.workers):
             return  # it waits for two reports, which show that
-        for part in range(2):
-            share = job.shares.get(part)
-            key = share_key(JOB, part)
-            guards = {**guard, job_key(JOB): job.version, key: share.version if share else 0}
+        for shard in range(2):
+            assignment = job.assignments.get(shard)
+            key = assignment_key(JOB, shard)
+            guards = {
+                **guard,
+                job_key(JOB): job.version,
+                key: assignment.version if assignment else 0,
+            }
             chain = self.commit(s.chain, guards, [Put(key, {"t": {"": [0, 1]}, "d": []})])
             if chain is not None:
                 # It reads before it decides again.
                 yield self._with(s, 0, s.controllers[0]._replace(read=chain), chain=chain)
 
-    def _held(self, b: JobBook) -> int | None:
+    def _held(self, b: StateReplica) -> int | None:
         job = b.jobs.get(JOB)
         return next(iter(job.held), None) if job is not None else None
 
@@ -331,7 +349,7 @@
         c = s.controllers[n]
         if not c.warm:
             return
-        b = book(c.read)
+        b = replica(c.read)
         token = self._token(b, n)
         seen, run = s.workers[n]
         if token is None or token < seen:
@@ -339,33 +357,40 @@
         job = b.jobs.get(JOB)
         mine = self._held(b) == n
         if run and not mine:
-            lost = job is None or not (job.over or job.allotted_count)
-            if b.era_stage == REBUILT and lost and run != token and era_in(run) == b.era:
-                if (accused := self._begin_era(s, n, b.era)) is not None:
+            lost = job is None or not (job.over or job.assigned_count)
+            if (
+                b.recovery_stage == RECOVERED
+                and lost
+                and run != token
+                and epoch_of_token(run) == b.epoch
+            ):
+                if (accused := self._begin_epoch(s, n, b.epoch)) is not None:
                     yield accused
-            elif b.era_stage == REBUILT or (b.era_stage == HOLDING and job is None):
+            elif b.recovery_stage == RECOVERED or (
+                b.recovery_stage == GRACE_PERIOD and job is None
+            ):
                 yield self._run(s, n, token, 0)
         elif run and job is not None and job.cancelled:
             yield self._run(s, n, token, 0)
-        elif mine and job is not None and not job.cancelled and b.era_stage == REBUILT:
+        elif mine and job is not None and not job.cancelled and b.recovery_stage == RECOVERED:
             if not run:
                 # Unseen, if it was allotted before the rebuilding ended, until both have
                 # reported under the tokens of this era; else free at once.
                 other = s.workers[1 - n]
-                unseen = job.shares[n].version < b.era_version
-                if other[1] and unseen and other[0] < era_token(b.era, 0):
+                unseen = job.assignments[n].version < b.epoch_version
+                if other[1] and unseen and other[0] < fencing_token(b.epoch, 0):
                     return
                 if other[1]:
                     raise Broken("ran twice")
                 yield self._run(s, n, token, token)
             else:
                 guard = {
-                    ERA_KEY: b.era_version,
+                    EPOCH_KEY: b.epoch_version,
                     f"r/p/{n}": token,
-                    share_key(JOB, n): job.shares[n].version,
+                    assignment_key(JOB, n): job.assignments[n].version,
                 }
                 chain = self.commit(
-                    s.chain, guard, [Put(share_key(JOB, n), {"t": {}, "d": [0, 1]})]
+                    s.chain, guard, [Put(assignment_key(JOB, n), {"t": {}, "d": [0, 1]})]
                 )
                 if chain is not None:
                     yield self._run(s._replace(chain=chain, ran=True), n, token, 0)
