--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,20 +15,25 @@
 from days import Day, play
 from test_world import some_controllers
 
-from ryegauge.bookkeeping.ahead import Ahead
-from ryegauge.bookkeeping.jobbook import JobBook, job_record
 from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import StateReplica, job_record
+from ryegauge.bookkeeping.unsynced_cancellations import UnsyncedCancellations
 from ryegauge.config import Settings
-from ryegauge.coordination import mesh
-from ryegauge.coordination.desk import Desk
+from ryegauge.coordination import peer_messaging
 from ryegauge.coordination.node import Node
-from ryegauge.coordination.part import PartOwner
+from ryegauge.coordination.node_context import NodeContext
+from ryegauge.coordination.shard_owner import ShardOwner
 from ryegauge.emulator.network import SimulatedNetwork
 from ryegauge.emulator.world import World
 from ryegauge.protocol.jobs import parse_job
-from ryegauge.protocol.peers import Promise, PromiseAnswer, parse_message, to_wire
-
-Answer = PromiseAnswer | None
+from ryegauge.protocol.peers import (
+    LeaseExtensionAnswer,
+    LeaseExtensionRequest,
+    parse_message,
+    to_wire,
+)
+
+Answer = LeaseExtensionAnswer | None
 # More for a longer look: RYEGAUGE_SEEDS=10 pytest tests/test_gap.py
 SEEDS = range(1, 1 + int(os.environ.get("RYEGAUGE_SEEDS", "1")))
 OUTAGE_S = 50.0
@@ -130,66 +135,66 @@
 
 def test_what_is_named_holds_for_what_is_read_later(settings: Settings) -> None:
     """A share that is read, or a part that is taken, after a peer has named the job."""
-    book = JobBook()
-    book.apply([job_event("wk-1", 3, False)], 3)
-    ahead = Ahead(book)
-    owner = PartOwner(0, 2, book, settings, dict, 10.0)
-    book.on_job.append(owner.on_job)
+    replica = StateReplica()
+    replica.apply([job_event("wk-1", 3, False)], 3)
+    ahead = UnsyncedCancellations(replica)
+    owner = ShardOwner(0, 2, replica, settings, dict, 10.0)
+    replica.on_job.append(owner.on_job)
     assert ahead.learn(["wk-1"], now=11.0) == ["wk-1"]
     assert ahead.learn(["wk-1"], now=12.0) == []
-    book.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 4)], 4)
-    late = PartOwner(0, 9, book, settings, dict, 13.0)
-    for part in (owner, late):
-        assert [task.withdrawn for task in part.tasks.values()] == [True] * 4
+    replica.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 4)], 4)
+    late = ShardOwner(0, 9, replica, settings, dict, 13.0)
+    for shard in (owner, late):
+        assert [task.withdrawn for task in shard.tasks.values()] == [True] * 4
     # A read that began before proves nothing; one that began after has it in the book.
     ahead.read(11.5)
-    assert book.is_cancelled("wk-1")
+    assert replica.is_cancelled("wk-1")
     ahead.read(12.5)
-    assert not book.is_cancelled("wk-1")
+    assert not replica.is_cancelled("wk-1")
 
 
 def test_names_are_those_that_a_book_may_lack() -> None:
     """Compared with a plain model: each revision cancels one job; whatever the asker has read,
     what it lacks is named."""
-    book = JobBook()
-    book.apply([job_event(f"wk-{n}", n, n % 3 == 0) for n in range(1, 30)], 29)
-    ahead = Ahead(book)
+    replica = StateReplica()
+    replica.apply([job_event(f"wk-{n}", n, n % 3 == 0) for n in range(1, 30)], 29)
+    ahead = UnsyncedCancellations(replica)
     ahead.learn(["wk-50"], now=1.0)  # by a write of ours that no read has shown yet
-    for ledger in range(30):
-        lacks = {f"wk-{n}" for n in range(ledger + 1, 30) if n % 3 == 0} | {"wk-50"}
-        assert set(ahead.beyond(ledger)) == lacks
+    for state_revision in range(30):
+        lacks = {f"wk-{n}" for n in range(state_revision + 1, 30) if n % 3 == 0} | {"wk-50"}
+        assert set(ahead.beyond(state_revision)) == lacks
 
 
 def test_who_cannot_name_all_gives_no_promise(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Too many for a message; started anew and not read since; a peer of a version before."""
-    answers: list[PromiseAnswer] = []
+    answers: list[LeaseExtensionAnswer] = []
 
     luck = random.Random(1)
 
     async def scenario() -> None:
-        desk = Desk(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
+        context = NodeContext(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
         front = type("Front", (), {})()
-        one = mesh.Mesh(desk, front)
-        desk.book.apply([job_event(f"wk-{n}", n, True) for n in range(1, 9)], 8)
-        desk.book.nodes["node-1"] = "i"
-        desk.state.failing_since = 0.0
-        desk.syncer.began_at = 0.0
+        one = peer_messaging.PeerMessenger(context, front)
+        context.replica.apply([job_event(f"wk-{n}", n, True) for n in range(1, 9)], 8)
+        context.replica.nodes["node-1"] = "i"
+        context.state.failing_since = 0.0
+        context.syncer.began_at = 0.0
 
-        async def promise(ledger: int) -> None:
-            asked = to_wire(Promise("node-1", "i", [], ledger))
-            answers.append(one._give_promise(parse_message(asked)))  # type: ignore[arg-type]
+        async def promise(state_revision: int) -> None:
+            asked = to_wire(LeaseExtensionRequest("node-1", "i", [], state_revision))
+            answers.append(one._grant_extension(parse_message(asked)))  # type: ignore[arg-type]
 
         await promise(6)  # not read yet
-        desk.syncer.ready.set()
+        context.syncer.ready.set()
         await promise(6)
-        monkeypatch.setattr(mesh, "NAMED_BYTES", 25)
+        monkeypatch.setattr(peer_messaging, "NAMED_BYTES", 25)
         await promise(6)
         await promise(0)
 
     trio.run(scenario)
-    assert [(a.given, a.whole) for a in answers] == [
+    assert [(a.granted, a.complete) for a in answers] == [
         (False, False),
         (True, True),
         (True, True),
@@ -197,9 +202,9 @@
     ]
     assert [len(a.cancelled) for a in answers] == [2, 2, 2, 3]
     before = parse_message(["vowed", True, "i", ["wk-1"]])
-    assert isinstance(before, PromiseAnswer)
-    assert not before.whole
-    assert parse_message(["vow", "node-1", "i", []]) == Promise("node-1", "i", [], 0)
+    assert isinstance(before, LeaseExtensionAnswer)
+    assert not before.complete
+    assert parse_message(["vow", "node-1", "i", []]) == LeaseExtensionRequest("node-1", "i", [], 0)
 
 
 class Counted(Exception):
@@ -213,33 +218,33 @@
     counted: list[dict[str, str]] = []
 
     async def scenario(answers: dict[str, Answer]) -> None:
-        desk = Desk(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        one = mesh.Mesh(desk, type("Front", (), {})())
-        desk.book.apply([job_event("wk-1", 3, False), job_event("wk-2", 4, False)], 4)
-        desk.book.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 5)], 5)
-        owner = desk.owned[0] = PartOwner(0, 2, desk.book, settings, dict, 0.0)
+        context = NodeContext(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
+        one = peer_messaging.PeerMessenger(context, type("Front", (), {})())
+        context.replica.apply([job_event("wk-1", 3, False), job_event("wk-2", 4, False)], 4)
+        context.replica.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 5)], 5)
+        owner = context.owned[0] = ShardOwner(0, 2, context.replica, settings, dict, 0.0)
 
         async def ask(name: str, message: object) -> Answer:
-            assert message.ledger == 5  # type: ignore[attr-defined]
+            assert message.state_revision == 5  # type: ignore[attr-defined]
             return answers[name]
 
-        def promised(asked_at: float, voters: dict[str, str], now: float) -> None:
+        def on_extensions_granted(asked_at: float, voters: dict[str, str], now: float) -> None:
             assert all(task.withdrawn for task in owner.tasks.values())
             counted.append(voters)
             raise Counted
 
         one.ask = ask  # type: ignore[assignment, method-assign]
-        desk.term.needs_promises = lambda now: True  # type: ignore[method-assign]
-        desk.term.promised = promised  # type: ignore[method-assign]
+        context.controller_lease.needs_lease_extensions = lambda now: True  # type: ignore[method-assign]
+        context.controller_lease.on_extensions_granted = on_extensions_granted  # type: ignore[method-assign]
         with pytest.raises(Counted):
-            await one.ask_promises()
+            await one.request_lease_extensions()
 
-    names = PromiseAnswer(True, "a", ["wk-1"], True)
+    names = LeaseExtensionAnswer(True, "a", ["wk-1"], True)
     others: list[Answer] = [
-        PromiseAnswer(True, "b", [], True),
-        PromiseAnswer(True, "b", []),
+        LeaseExtensionAnswer(True, "b", [], True),
+        LeaseExtensionAnswer(True, "b", []),
         None,
-        PromiseAnswer(False, "b", [], True),
+        LeaseExtensionAnswer(False, "b", [], True),
     ]
     for other in others:
         clock = trio.testing.MockClock(autojump_threshold=0)
@@ -253,16 +258,16 @@
 
     async def scenario() -> None:
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        desk = node._desk
-        desk.book.apply([job_event("wk-1", 3, False)], 3)
-        desk.book.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 5)], 5)
-        owner = desk.owned[0] = PartOwner(0, 2, desk.book, settings, dict, 0.0)
+        context = node._context
+        context.replica.apply([job_event("wk-1", 3, False)], 3)
+        context.replica.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 5)], 5)
+        owner = context.owned[0] = ShardOwner(0, 2, context.replica, settings, dict, 0.0)
 
         async def nothing(*_: object, **__: object) -> int:
             return 9
 
-        desk.syncer.fresh = nothing  # type: ignore[assignment, method-assign]
-        desk.state.commit = nothing  # type: ignore[method-assign]
+        context.syncer.fresh = nothing  # type: ignore[assignment, method-assign]
+        context.state.commit = nothing  # type: ignore[method-assign]
         reply = await node._front.cancel("wk-1")
         assert reply.body == {"uid": "wk-1", "status": "cancelled"}
         assert [task.withdrawn for task in owner.tasks.values()] == [True] * 4
@@ -280,11 +285,11 @@
         await trio.sleep(30.0)
         world.crash(1)
         await trio.sleep(20.0)
-        before = world.nodes[1]._desk.term.incarnation
+        before = world.nodes[1]._context.controller_lease.incarnation
         with world.cut_from_state_and_peers(1, hold=False):
             await trio.sleep(20.0)
         await trio.sleep(10.0)
-        lapsed.append(world.nodes[1]._desk.term.incarnation != before)
+        lapsed.append(world.nodes[1]._context.controller_lease.incarnation != before)
         world.note("outage")
         world.state.outage = True
         await trio.sleep(30.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,13 +12,13 @@
 import trio
 from conftest import job_body
 from days import Day, play
-from test_part import TOKEN, TYPES, UID, Part, part
+from test_part import TOKEN, TYPES, UID, ShardHarness, shard
 from test_world import some_controllers
 
-from ryegauge.bookkeeping.jobbook import job_key, job_record, share_key
+from ryegauge.bookkeeping.state_replica import assignment_key, job_key, job_record
 from ryegauge.config import Settings
-from ryegauge.coordination.part import PartOwner
-from ryegauge.coordination.parting import Parting
+from ryegauge.coordination.shard_owner import ShardOwner
+from ryegauge.coordination.sharding import ShardMap
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.protocol.workers import Command, Kill, Report, Run, TaskReport
 
@@ -31,53 +31,53 @@
 # -- late reports ---------------------------------------------------------------------------
 
 
-def looking(part: Part, settings: Settings, authority_ended_at: float) -> None:
+def looking(shard: ShardHarness, settings: Settings, authority_ended_at: float) -> None:
     """With an owner that looks for tasks whose records were lost."""
-    part.owner = PartOwner(
-        0, TOKEN, part.book, settings, lambda: TYPES, part.now, authority_ended_at, True
+    shard.owner = ShardOwner(
+        0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, authority_ended_at, True
     )
-    part.book.on_job.append(part.owner.on_job)
+    shard.replica.on_job.append(shard.owner.on_job)
 
 
 def test_a_report_held_for_longer_than_its_lease(settings: Settings) -> None:
     """Found by reading: a machine was answered once and shown our token, and its next report was
     held until its lease had surely run out. The machine counted as there again, and its task, long
     handed back, as one whose record the state service had lost: a new era began."""
-    part = Part(settings, [0])
-    looking(part, settings, part.now)
-    part.report((0, BEFORE, "running"), token=EARLIER, seq=1)
-    part.tick(11.0)
-    assert part.phase(0) == "leaving"
-    part.allot([])
-    part.report((0, BEFORE, "running"), seq=2)
-    assert part.owner.machines == {}
-    assert part.owner.strays == {}
-    part.report(session=2, seq=3)
-    assert part.owner.machines["m-1"].trusted
+    shard = ShardHarness(settings, [0])
+    looking(shard, settings, shard.now)
+    shard.report((0, BEFORE, "running"), token=EARLIER, seq=1)
+    shard.tick(11.0)
+    assert shard.phase(0) == "leaving"
+    shard.allot([])
+    shard.report((0, BEFORE, "running"), seq=2)
+    assert shard.owner.machines == {}
+    assert shard.owner.unrecorded == {}
+    shard.report(session=2, seq=3)
+    assert shard.owner.machines["m-1"].trusted
 
 
 def test_a_lease_that_others_may_have_renewed(settings: Settings) -> None:
     """An authority before ours may answer until it has ended: what we did not hear meanwhile
     proves nothing."""
-    part = Part(settings, [0])
-    looking(part, settings, part.now + 20.0)
-    part.report((0, BEFORE, "running"), token=EARLIER, seq=1)
-    part.tick(11.0)
-    part.report((0, BEFORE, "running"), seq=2)
-    assert part.phase(0) == "seen"
+    shard = ShardHarness(settings, [0])
+    looking(shard, settings, shard.now + 20.0)
+    shard.report((0, BEFORE, "running"), token=EARLIER, seq=1)
+    shard.tick(11.0)
+    shard.report((0, BEFORE, "running"), seq=2)
+    assert shard.phase(0) == "seen"
 
 
 @pytest.mark.parametrize("state", ["fetching", "running", "ended"])
 def test_old_reports_prove_nothing_to_a_new_owner(settings: Settings, state: str) -> None:
     """Of a machine that was released, of an earlier session and of an earlier attempt; before the
     first report under our token and after it."""
-    part = Part(settings, [0, 1, 2, 3])
-    part.report((0, 7, state), machine="m-9", token=EARLIER, seq=3)
-    part.report((1, 6, state), (2, 5, state), machine="m-2", token=EARLIER, seq=9)
-    assert [part.phase(i) for i in range(4)] == ["unseen"] * 4
-    part.report((1, 8, "running"), machine="m-2", session=2, seq=50)
+    shard = ShardHarness(settings, [0, 1, 2, 3])
+    shard.report((0, 7, state), machine="m-9", token=EARLIER, seq=3)
+    shard.report((1, 6, state), (2, 5, state), machine="m-2", token=EARLIER, seq=9)
+    assert [shard.phase(i) for i in range(4)] == ["unseen"] * 4
+    shard.report((1, 8, "running"), machine="m-2", session=2, seq=50)
     for session, seq, token in ((1, 10, EARLIER), (1, 48, TOKEN), (2, 49, EARLIER), (2, 49, TOKEN)):
-        old = part.report(
+        old = shard.report(
             (1, 6, state),
             (1, 8, state),
             (2, 5, state),
@@ -87,45 +87,45 @@
             token=token,
         )
         assert old == []
-    assert [part.phase(i) for i in range(4)] == ["unseen", "seen", "unseen", "unseen"]
-    assert part.owner.tasks[UID, 1].attempt == 8
+    assert [shard.phase(i) for i in range(4)] == ["unseen", "seen", "unseen", "unseen"]
+    assert shard.owner.tasks[UID, 1].attempt == 8
     # The released machine holds the barrier for a lease at most, however often its copies come.
     for n in range(12):
-        part.tick(1.0)
-        part.report((1, 8, "running"), machine="m-2", session=2, seq=51 + n)
-        part.report((0, 7, state), machine="m-9", token=EARLIER, seq=3 - n % 3)
-    assert "m-9" not in part.owner.machines
-    assert part.phase(1) == "seen"
-    assert "unseen" not in [part.phase(i) for i in range(4)]
+        shard.tick(1.0)
+        shard.report((1, 8, "running"), machine="m-2", session=2, seq=51 + n)
+        shard.report((0, 7, state), machine="m-9", token=EARLIER, seq=3 - n % 3)
+    assert "m-9" not in shard.owner.machines
+    assert shard.phase(1) == "seen"
+    assert "unseen" not in [shard.phase(i) for i in range(4)]
 
 
 def test_a_start_without_an_answer_is_settled_beside_long_tasks(settings: Settings) -> None:
     """Found by reading: a start was lost on its way and its job cancelled. Only the end of the
     session or the machine's return proved that it would not begin, and neither comes while a
     service runs there: the task counted against its team for good."""
-    part = Part(settings, [])
-    service = part.start(3)
-    part.report((3, service, "running"))
-    part.allot([0, 3])
-    part.tick()
-    ((_, _, _, (run,)),) = part.owner.to_push(part.now, 10)
+    shard = ShardHarness(settings, [])
+    service = shard.start(3)
+    shard.report((3, service, "running"))
+    shard.allot([0, 3])
+    shard.tick()
+    ((_, _, _, (run,)),) = shard.owner.to_push(shard.now, 10)
     assert isinstance(run, Run)
-    task = part.owner.tasks[UID, 0]
+    task = shard.owner.tasks[UID, 0]
     task.withdrawn = True  # only this one, as when it is stopped for others
-    commands = part.report((3, service, "running"))
+    commands = shard.report((3, service, "running"))
     # In order: known to the worker from then on, and over before it can begin.
     assert commands == [Run(task.key, run.attempt), Kill(task.key, run.attempt, 0.0)]
-    assert part.report((3, service, "running")) == commands  # the answer may be lost
-    part.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped")
-    assert part.phase(0) == "leaving"
+    assert shard.report((3, service, "running")) == commands  # the answer may be lost
+    shard.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped")
+    assert shard.phase(0) == "leaving"
     # It stays known there, so that the start that was held up changes nothing.
-    assert part.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped") == []
+    assert shard.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped") == []
 
 
 def test_a_cancelled_start_without_an_answer_is_never_begun(settings: Settings) -> None:
     """Not even to be ended at once: its machine is returned, and a service there moves."""
-    part = Part(settings, [])
-    part.put(
+    shard = ShardHarness(settings, [])
+    shard.put(
         job_key("wk-000002"),
         job_record(
             parse_job(job_body("wk-000002", shape="standing", crew="red", cpus=1.0, memoryGb=1.0)),
@@ -133,22 +133,22 @@
             False,
         ),
     )
-    part.put(share_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
+    shard.put(assignment_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
 
     def told(*tasks: TaskReport) -> list[Command]:
-        part.seq += 1
-        report = Report("m-1", "small", "a", True, 1, part.seq, TOKEN, "m:1", None, list(tasks))
-        return part.owner.on_report(report, part.now)
+        shard.seq += 1
+        report = Report("m-1", "small", "a", True, 1, shard.seq, TOKEN, "m:1", None, list(tasks))
+        return shard.owner.on_report(report, shard.now)
 
     told()
-    part.tick()
+    shard.tick()
     (service,) = told()
     running = TaskReport("wk-000002/0", service.attempt, "running")
     assert told(running) == []
-    part.allot([0])
-    part.tick()
-    ((_, _, _, (run,)),) = part.owner.to_push(part.now, 10)
-    part.cancel()
+    shard.allot([0])
+    shard.tick()
+    ((_, _, _, (run,)),) = shard.owner.to_push(shard.now, 10)
+    shard.cancel()
     assert run.task == (UID, 0)
     for _ in range(2):
         commands = told(running)
@@ -156,57 +156,59 @@
     assert commands == [Kill(service.task, service.attempt, 0.0)]
     told(TaskReport("wk-000002/0", service.attempt, "ended", "stopped"))
     told()
-    assert part.owner.view("n", 1, part.now).machines[0].empty
+    assert shard.owner.view("n", 1, shard.now).machines[0].empty
 
 
-def test_an_owner_is_not_deaf_before_workers_can_have_come(part: Part) -> None:
+def test_an_owner_is_not_deaf_before_workers_can_have_come(shard: ShardHarness) -> None:
     """Found by days at the limit: no machine had reported here within half a second of the claim,
     while three had just been sent on by others; the part was given up at once."""
     for age_s, deaf in ((0.5, False), (1.2, False), (1.4, True)):
-        now = part.now + age_s
+        now = shard.now + age_s
         for name in ("m-1", "m-2", "m-3"):
-            part.owner.heard_elsewhere(name, now - 0.3)
-        part.owner.tick(now, now)
-        assert part.owner.deaf(now) == deaf
-    part.now += 2.0
+            shard.owner.on_heard_elsewhere(name, now - 0.3)
+        shard.owner.tick(now, now)
+        assert shard.owner.deaf(now) == deaf
+    shard.now += 2.0
     for name in ("m-1", "m-2", "m-3"):
-        part.report(machine=name)
-    assert not part.owner.deaf(part.now)
+        shard.report(machine=name)
+    assert not shard.owner.deaf(shard.now)
 
 
 def test_a_cancelled_start_that_may_be_held_up_empties_its_machine(settings: Settings) -> None:
     """Found by reading: beside tasks that go on the machine was returned only after them, and the
     start could arrive later than `cancel_s`. An answer in time changes nothing for them."""
     for answered in (True, False):
-        part = Part(settings, [])
-        part.put(
+        shard = ShardHarness(settings, [])
+        shard.put(
             job_key("wk-000002"),
             job_record(
                 parse_job(job_body("wk-000002", crew="red", cpus=1.0, memoryGb=1.0)), 0.0, False
             ),
         )
-        part.put(share_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
+        shard.put(assignment_key("wk-000002", 0), {"t": {"": [0, 1]}, "d": []})
         message = Report("m-1", "small", "a", True, 1, 0, TOKEN, "m:1")
 
-        def told(*tasks: TaskReport, part: Part = part, message: Report = message) -> list[Command]:
-            part.seq += 1
-            report = msgspec.structs.replace(message, seq=part.seq, tasks=list(tasks))
-            return part.owner.on_report(report, part.now)
+        def told(
+            *tasks: TaskReport, shard: ShardHarness = shard, message: Report = message
+        ) -> list[Command]:
+            shard.seq += 1
+            report = msgspec.structs.replace(message, seq=shard.seq, tasks=list(tasks))
+            return shard.owner.on_report(report, shard.now)
 
         told()
-        part.tick()
+        shard.tick()
         (other,) = told()
         running = TaskReport("wk-000002/0", other.attempt, "running")
         told(running)
-        part.allot([0])
-        part.tick()
-        ((name, _, session, commands),) = part.owner.to_push(part.now, 10)
-        part.cancel()
+        shard.allot([0])
+        shard.tick()
+        ((name, _, session, commands),) = shard.owner.to_push(shard.now, 10)
+        shard.cancel()
         kills = []
         for n in range(12):
-            part.now += 1.0
+            shard.now += 1.0
             if answered and n == 3:
-                part.owner.pushed(name, session, commands)
+                shard.owner.pushed(name, session, commands)
             kills.append(told(running))
         first = next((n for n, some in enumerate(kills) if some), None)
         assert first == (None if answered else 6)
@@ -251,12 +253,12 @@
 
 def busiest(world: Day) -> int:
     """The controller that owns the part with most tasks on its machines."""
-    parting = Parting(world.settings[0])
+    parting = ShardMap(world.settings[0])
     tasks: Counter[int] = Counter()
     for worker in world.workers.values():
-        tasks[parting.part_of(worker.name, worker.zone)] += len(worker.on_machine())
-    part, _ = tasks.most_common(1)[0]
-    return world.names.index(world.state.data[f"r/p/{part}"][0]["o"])
+        tasks[parting.shard_of(worker.name, worker.zone)] += len(worker.on_machine())
+    shard, _ = tasks.most_common(1)[0]
+    return world.names.index(world.state.data[f"r/p/{shard}"][0]["o"])
 
 
 # What becomes of an owner, how soon it is started again, and how often.
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -7,8 +7,13 @@
 import trio.testing
 
 from ryegauge.config import Peer, Settings
-from ryegauge.coordination.sockets import CLOUD, PER_PEER, STATE, sockets_of
-from ryegauge.transport.http import BODY_LIMIT, Reply, Server, decode, encode
+from ryegauge.coordination.connection_limits import (
+    CLOUD,
+    MAX_CONNECTIONS_PER_PEER,
+    STATE,
+    divide_connections,
+)
+from ryegauge.transport.http import MAX_BODY_BYTES, Reply, Server, decode, encode
 
 
 async def _echo(method: str, target: str, body: bytes) -> Reply:
@@ -85,7 +90,7 @@
         (b"nonsense\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\n" + b"x" * 40_000, 431),
         (post(b"\xff\xff"), 400),
-        (post(b"x" * (BODY_LIMIT + 1)), 400),
+        (post(b"x" * (MAX_BODY_BYTES + 1)), 400),
         (post(b"", "/fail"), 503),
         (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: -4\r\n\r\n", 400),
     ],
@@ -162,14 +167,14 @@
 ) -> None:
     quota = msgspec.structs.replace(settings.settings.quota, max_connections=most)
     known = [Peer(f"node-{n}", "a", f"10.0.0.{n}:8081") for n in range(peers)]
-    got = sockets_of(
+    got = divide_connections(
         msgspec.structs.replace(
             settings, known=known, settings=msgspec.structs.replace(settings.settings, quota=quota)
         )
     )
-    ours = STATE + CLOUD + PER_PEER * peers
+    ours = STATE + CLOUD + MAX_CONNECTIONS_PER_PEER * peers
     assert got.public >= most // 2
     if most >= 600:
-        assert got.public + got.mesh + 2 * got.commands + got.probes + ours < most
-        assert got.mesh >= PER_PEER * peers
+        assert got.public + got.inbound_peers + 2 * got.commands + got.probes + ours < most
+        assert got.inbound_peers >= MAX_CONNECTIONS_PER_PEER * peers
         assert got.public > 0.7 * most
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -16,8 +16,8 @@
 from test_rebuilding_days import rebuilding
 from test_world import MIX, PIPES, some_controllers
 
-from ryegauge.bookkeeping.jobbook import job_record
 from ryegauge.bookkeeping.state import Event, Unavailable
+from ryegauge.bookkeeping.state_replica import job_record
 from ryegauge.config import Settings
 from ryegauge.coordination.node import Node
 from ryegauge.emulator.network import SimulatedNetwork
@@ -132,23 +132,23 @@
     async def scenario() -> None:
         luck = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        book, front = node._desk.book, node._front
+        replica, front = node._context.replica, node._front
 
-        async def fresh() -> None:
+        async def wait_for_read() -> None:
             return
 
-        node._desk.syncer.fresh = fresh  # type: ignore[method-assign]
+        node._context.syncer.wait_for_read = wait_for_read  # type: ignore[method-assign]
 
         def job(n: int, *awaits: str, version: int) -> Event:
             spec = parse_job(job_body(f"wk-{n}", awaits=list(awaits) or None))
             return Event(f"r/j/wk-{n}", job_record(spec, 0.0, False), version)
 
-        book.replace([job(2, "wk-1", version=3), job(3, "wk-2", version=4)], 4)
+        replica.replace([job(2, "wk-1", version=3), job(3, "wk-2", version=4)], 4)
         for uid in ("wk-2", "wk-3"):
             with pytest.raises(Unavailable):
                 await front._known(uid)
         # The leader has found how it ended.
-        book.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
+        replica.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
         for uid in ("wk-2", "wk-3"):
             assert (await front._known(uid) or {})["status"] == "cancelled"
 
@@ -162,16 +162,16 @@
     async def scenario() -> None:
         luck = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        desk = node._desk
-        desk.syncer.ready.set()
-        desk.state.failing_since = 0.0
-        desk.book.nodes["node-1"] = "i"
-        desk.syncer.began_at = now = trio.current_time()
-        assert desk.term.give_promise("node-1", "i", now)
-        role = {"o": settings.node_name, "i": desk.term.incarnation}
-        desk.book.apply([Event("r/p/0", role, 9)], 9)
+        context = node._context
+        context.syncer.ready.set()
+        context.state.failing_since = 0.0
+        context.replica.nodes["node-1"] = "i"
+        context.syncer.began_at = now = trio.current_time()
+        assert context.controller_lease.grant_extension("node-1", "i", now)
+        role = {"o": settings.node_name, "i": context.controller_lease.incarnation}
+        context.replica.apply([Event("r/p/0", role, 9)], 9)
         node._on_sync()
-        barrier_at = desk.owned[0]._barrier_at
-        assert barrier_at >= now + settings.term_s + settings.sure_lease_s
+        barrier_at = context.owned[0]._barrier_at
+        assert barrier_at >= now + settings.controller_lease_s + settings.max_lease_s
 
     trio.run(scenario)
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -8,11 +8,11 @@
 import trio
 from conftest import job_body
 from days import Day, play
-from test_leader import Lead, listed
-from test_part import TOKEN, UID, Part
+from test_leader import LeaderHarness, listed
+from test_part import TOKEN, UID, ShardHarness
 from test_world import some_controllers
 
-from ryegauge.bookkeeping.jobbook import job_key, job_record
+from ryegauge.bookkeeping.state_replica import job_key, job_record
 from ryegauge.config import Settings
 from ryegauge.emulator.workers import Worker
 from ryegauge.protocol.jobs import parse_job
@@ -31,24 +31,24 @@
     settings: Settings,
 ) -> None:
     """Its answer, and answers to all that follows, renew nothing; it takes no more tasks."""
-    part = Part(settings, [])
-    part.report()
-    part.allot([0])
-    part.tick(1.0)
-    ((name, _, session, commands),) = part.owner.to_push(part.now, 10)
+    shard = ShardHarness(settings, [])
+    shard.report()
+    shard.allot([0])
+    shard.tick(1.0)
+    ((name, _, session, commands),) = shard.owner.to_push(shard.now, 10)
     (run,) = commands
     assert isinstance(run, Run)
-    part.owner.pushed(name, session, commands)
+    shard.owner.pushed(name, session, commands)
     for n in range(4):
-        part.report((0, run.attempt, "running"), checkin=False)
-        part.allot([0, *range(1, n)])
-        part.tick(2.0)
-        assert part.owner.to_push(part.now, 10) == []
-    part.report(machine="m-2", seq=part.seq + 1)
-    part.tick(0.5)
-    assert part.owner.tasks[UID, 0].machine == "m-1"
-    part.tick(1.0)
-    assert part.owner.tasks[UID, 0].machine != "m-1"
+        shard.report((0, run.attempt, "running"), checkin=False)
+        shard.allot([0, *range(1, n)])
+        shard.tick(2.0)
+        assert shard.owner.to_push(shard.now, 10) == []
+    shard.report(machine="m-2", seq=shard.seq + 1)
+    shard.tick(0.5)
+    assert shard.owner.tasks[UID, 0].machine == "m-1"
+    shard.tick(1.0)
+    assert shard.owner.tasks[UID, 0].machine != "m-1"
 
 
 @pytest.mark.parametrize("who", ["nobody", "leader", "owner"])
@@ -88,11 +88,11 @@
 def test_a_machine_alone_in_its_silence_is_given_up_in_the_end(settings: Settings) -> None:
     """It answers when it is asked and reports to nobody: it was charged and of no use for as
     long as that lasted. Many at once are waited for, they come back together."""
-    lead = Lead(settings)
-    names = [f"m-{i}" for i in range(60) if lead.part_of(f"m-{i}") == 0][:12]
+    lead = LeaderHarness(settings)
+    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
     for name in names:
         lead.machine(name, empty=False)
-        lead.asked[name] = "answered"
+        lead.probe_outcomes[name] = "answered"
     lead.round()
 
     def silent(count: int, seconds: float) -> list[str]:
@@ -101,7 +101,7 @@
             silent_s = lead.machines[name].silent_s + seconds
             lead.machine(name, empty=False, open=False, silent_s=silent_s)
         lead.round()
-        return lead.last.releases
+        return lead.last_result.releases
 
     assert silent(1, 11.0) == []
     assert silent(1, 19.0) == []
@@ -114,35 +114,35 @@
 ) -> None:
     """Found by a day with mute machines: what had become of asking it was forgotten at the end
     of its lease, until it was asked again; where no more were to be had it was returned."""
-    lead = Lead(settings)
-    lead.leader.on_list([listed("m-1")], lead.now)
+    lead = LeaderHarness(settings)
+    lead.leader.on_machine_list([listed("m-1")], lead.now)
     for silent_s in (0.0, 9.5):
         lead.machine("m-1", empty=False, silent_s=silent_s)
         lead.round()
-        lead.asked["m-1"] = "answered"
+        lead.probe_outcomes["m-1"] = "answered"
         lead.now += 1.5 if silent_s else 11.0
-    lead.leader.fleet.refused(Rental("small", "a", True, 1), lead.now)
+    lead.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), lead.now)
     del lead.machines["m-1"]
     lead.round()
-    assert lead.last.releases == []
+    assert lead.last_result.releases == []
     lead.now += 3.0  # asked again, and no answer
     lead.round()
-    assert lead.last.releases == ["m-1"]
+    assert lead.last_result.releases == ["m-1"]
 
 
 def test_an_answer_that_renews_a_lease_ends_what_was_cancelled(settings: Settings) -> None:
     """Also to a report of which nothing else is taken in: one from before the machine saw the
     token, and one behind the answer to a direct command."""
-    part = Part(settings, [0, 1])
-    part.put(job_key("wk-000002"), job_record(parse_job(job_body("wk-000002")), 0.0, False))
-    assert part.report((0, 7, "running"), token=TOKEN - 1) == []
-    part.cancel()
+    shard = ShardHarness(settings, [0, 1])
+    shard.put(job_key("wk-000002"), job_record(parse_job(job_body("wk-000002")), 0.0, False))
+    assert shard.report((0, 7, "running"), token=TOKEN - 1) == []
+    shard.cancel()
     kill = Kill((UID, 0), 7, 0.0)
-    assert part.report((0, 7, "running"), (1, 8, "ended"), token=TOKEN - 1) == [kill]
-    assert part.phase(0) == "unseen"  # nothing is concluded
-    assert part.report((0, 7, "running")) == [kill]
-    part.report((0, 7, "running"), seq=part.seq + 2, checkin=False)
-    assert part.report((0, 7, "running"), seq=part.seq + 1) == [kill]
+    assert shard.report((0, 7, "running"), (1, 8, "ended"), token=TOKEN - 1) == [kill]
+    assert shard.phase(0) == "unseen"  # nothing is concluded
+    assert shard.report((0, 7, "running")) == [kill]
+    shard.report((0, 7, "running"), seq=shard.seq + 2, checkin=False)
+    assert shard.report((0, 7, "running"), seq=shard.seq + 1) == [kill]
 
 
 def test_a_machine_that_hangs_after_each_answer_keeps_nothing_cancelled(tmp_path: Path) -> None:
--- a/tests/test_noticing.py
+++ b/tests/test_noticing.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryegauge.bookkeeping.eras import ERA_KEY
-from ryegauge.bookkeeping.jobbook import JobBook, job_key, job_record
+from ryegauge.bookkeeping.epochs import EPOCH_KEY
 from ryegauge.bookkeeping.state import Event, Gone, Put, Unavailable
+from ryegauge.bookkeeping.state_replica import StateReplica, job_key, job_record
 from ryegauge.protocol.jobs import parse_job
-from ryegauge.rebuilding.noticing import Doubt, Noticing
+from ryegauge.rebuilding.loss_detection import ContradictoryAnswer, LossDetector
 
 
 def record(n: int) -> dict[str, Any]:
@@ -23,8 +23,8 @@
 
     def __init__(self) -> None:
         self.history: list[Event] = []
-        self.book = JobBook()
-        self.noticing = Noticing(self.book)
+        self.replica = StateReplica()
+        self.loss_detector = LossDetector(self.replica)
         self.reread()
 
     def write(self, n: int) -> int:
@@ -36,14 +36,14 @@
         return [e for e in self.history[:upto] if e.version > since], upto
 
     def read(self) -> None:
-        events, ledger = self.answer(self.noticing.begin())
-        self.book.apply(self.noticing.read(events, ledger), ledger)
+        events, state_revision = self.answer(self.loss_detector.begin())
+        self.replica.apply(self.loss_detector.read(events, state_revision), state_revision)
 
     def reread(self) -> None:
-        self.noticing.begin()
+        self.loss_detector.begin()
         last = {event.key: event for event in self.history}
-        self.noticing.reread(sorted(last.values()), len(self.history))
-        self.book.replace(sorted(last.values()), len(self.history))
+        self.loss_detector.reread(sorted(last.values()), len(self.history))
+        self.replica.replace(sorted(last.values()), len(self.history))
 
 
 @given(
@@ -61,22 +61,22 @@
         if step == "write":
             unconfirmed.append(w.write(len(w.history)))
         elif step == "begin" and open_ is None:
-            open_ = (w.noticing.begin(), len(w.history))
+            open_ = (w.loss_detector.begin(), len(w.history))
         elif step == "answer" and open_ is not None:
-            events, ledger = w.answer(*open_)
-            w.book.apply(w.noticing.read(events, ledger), ledger)
+            events, state_revision = w.answer(*open_)
+            w.replica.apply(w.loss_detector.read(events, state_revision), state_revision)
             open_ = None
         elif step == "fails":
             open_ = None
         elif step == "confirm" and unconfirmed:
             revision = unconfirmed.pop(0)
-            w.noticing.confirmed(revision, [Put(w.history[revision - 1].key, None)])
+            w.loss_detector.on_committed(revision, [Put(w.history[revision - 1].key, None)])
         elif step == "reread" and open_ is None:
             w.reread()
     w.read()
     w.read()
-    assert w.noticing.suspicions == 0
-    assert w.noticing.verdict is None
+    assert w.loss_detector.suspicions == 0
+    assert w.loss_detector.verdict is None
 
 
 @given(before=st.integers(2, 12), back=st.integers(1, 12), after=st.integers(0, 15))
@@ -86,27 +86,27 @@
     for n in range(before):
         w.write(n)
         w.read()
-    known = dict(w.book.jobs)
+    known = dict(w.replica.jobs)
     del w.history[max(0, before - back) :]
     for n in range(after):
         w.write(100 + n)
-    with pytest.raises(Doubt):
+    with pytest.raises(ContradictoryAnswer):
         w.read()
-    assert w.noticing.verdict is None
-    with pytest.raises(Doubt):
+    assert w.loss_detector.verdict is None
+    with pytest.raises(ContradictoryAnswer):
         w.read()
-    assert w.noticing.verdict is not None
-    assert w.noticing.verdict.kind == "history"
-    assert w.book.jobs == known
+    assert w.loss_detector.verdict is not None
+    assert w.loss_detector.verdict.kind == "history"
+    assert w.replica.jobs == known
     # Until an era begins nothing else is read, whatever the service shows.
-    with pytest.raises(Doubt):
+    with pytest.raises(ContradictoryAnswer):
         w.reread()
-    w.history.append(Event(ERA_KEY, {"e": 1, "s": 0, "k": "history"}, len(w.history) + 1))
+    w.history.append(Event(EPOCH_KEY, {"e": 1, "s": 0, "k": "history"}, len(w.history) + 1))
     w.reread()
-    assert w.noticing.verdict is None
-    assert w.noticing.kept is not None
-    assert w.noticing.kept.lived
-    assert set(w.noticing.kept.records) == {job_key(uid) for uid in known}
+    assert w.loss_detector.verdict is None
+    assert w.loss_detector.known_state is not None
+    assert w.loss_detector.known_state.saw_loss
+    assert set(w.loss_detector.known_state.records) == {job_key(uid) for uid in known}
 
 
 def test_a_loss_behind_what_was_read_is_found_by_what_was_confirmed() -> None:
@@ -115,18 +115,18 @@
     w.write(1)
     w.read()
     revision = w.write(2)
-    w.noticing.confirmed(revision, [Put(job_key("wk-000002"), record(2))])
+    w.loss_detector.on_committed(revision, [Put(job_key("wk-000002"), record(2))])
     del w.history[-1]
     w.write(3)
     w.write(4)
     for _ in range(2):
-        with pytest.raises(Doubt):
+        with pytest.raises(ContradictoryAnswer):
             w.read()
-    assert w.noticing.verdict is not None
-    w.history.append(Event(ERA_KEY, {"e": 1, "s": 0}, len(w.history) + 1))
+    assert w.loss_detector.verdict is not None
+    w.history.append(Event(EPOCH_KEY, {"e": 1, "s": 0}, len(w.history) + 1))
     w.reread()
-    assert w.noticing.kept is not None
-    assert job_key("wk-000002") in w.noticing.kept.records
+    assert w.loss_detector.known_state is not None
+    assert job_key("wk-000002") in w.loss_detector.known_state.records
 
 
 def test_one_odd_answer_is_no_verdict() -> None:
@@ -134,13 +134,13 @@
     for n in range(3):
         w.write(n)
         w.read()
-    w.noticing.begin()
+    w.loss_detector.begin()
     with pytest.raises(Unavailable):
-        w.noticing.read([], 1)  # of another service, or minutes old
-    assert w.noticing.suspicion
+        w.loss_detector.read([], 1)  # of another service, or minutes old
+    assert w.loss_detector.suspicion
     w.read()
-    assert not w.noticing.suspicion
-    assert w.noticing.verdict is None
+    assert not w.loss_detector.suspicion
+    assert w.loss_detector.verdict is None
 
 
 def test_a_record_that_went_without_an_event() -> None:
@@ -151,32 +151,32 @@
     key = job_key("wk-000001")
 
     def doubt() -> None:
-        w.noticing.conflicted({key: 1}, [key])
-        with pytest.raises(Doubt):
+        w.loss_detector.on_conflict({key: 1}, [key])
+        with pytest.raises(ContradictoryAnswer):
             w.read()
-        assert w.noticing.to_look == [key]
-        with pytest.raises(Doubt):
+        assert w.loss_detector.to_look == [key]
+        with pytest.raises(ContradictoryAnswer):
             w.read()  # not decided before it was looked at
-        assert w.noticing.verdict is None
+        assert w.loss_detector.verdict is None
 
     doubt()
-    w.noticing.looked(key, 1)  # it is there: the conflict's answer was odd
+    w.loss_detector.looked(key, 1)  # it is there: the conflict's answer was odd
     w.read()
-    assert not w.noticing.suspicion
+    assert not w.loss_detector.suspicion
     doubt()
-    w.noticing.looked(key, 0)
-    with pytest.raises(Doubt):
+    w.loss_detector.looked(key, 0)
+    with pytest.raises(ContradictoryAnswer):
         w.read()
-    assert w.noticing.verdict is not None
-    assert w.noticing.verdict.kind == "records"
+    assert w.loss_detector.verdict is not None
+    assert w.loss_detector.verdict.kind == "records"
     # One that has changed since is explained by the read.
     w = Watched()
     w.write(1)
     w.read()
-    w.noticing.conflicted({key: 1}, [key])
+    w.loss_detector.on_conflict({key: 1}, [key])
     w.write(1)
     w.read()
-    assert not w.noticing.suspicion
+    assert not w.loss_detector.suspicion
 
 
 def test_a_page_is_held_against_the_book() -> None:
@@ -185,24 +185,24 @@
         w.write(n)
     w.read()
     page = list(w.history)
-    assert w.noticing.odd(page, None, None, 4) == []
-    assert w.noticing.odd(page[1:], None, None, 4) == [page[0].key]
-    assert w.noticing.odd(page[1:], page[0].key, None, 4) == []
-    assert w.noticing.odd(page[:2], None, page[1].key, 4) == []
+    assert w.loss_detector.odd(page, None, None, 4) == []
+    assert w.loss_detector.odd(page[1:], None, None, 4) == [page[0].key]
+    assert w.loss_detector.odd(page[1:], page[0].key, None, 4) == []
+    assert w.loss_detector.odd(page[:2], None, page[1].key, 4) == []
     # What came after the page says nothing of it.
-    assert w.noticing.odd(page[:3], None, None, 3) == []
+    assert w.loss_detector.odd(page[:3], None, None, 3) == []
     older = page[0]._replace(version=0)
-    assert w.noticing.odd([older, *page[1:]], None, None, 4) == [page[0].key]
+    assert w.loss_detector.odd([older, *page[1:]], None, None, 4) == [page[0].key]
 
 
 def test_an_era_is_read_anew_and_what_was_known_is_kept() -> None:
     w = Watched()
     w.write(1)
     w.read()
-    w.history.append(Event(ERA_KEY, {"e": 1, "s": 0, "k": "records"}, 2))
+    w.history.append(Event(EPOCH_KEY, {"e": 1, "s": 0, "k": "records"}, 2))
     with pytest.raises(Gone):
         w.read()
     w.reread()
-    assert w.noticing.kept is not None
-    assert not w.noticing.kept.lived  # another has seen it
-    assert w.book.era == 1
+    assert w.loss_detector.known_state is not None
+    assert not w.loss_detector.known_state.saw_loss  # another has seen it
+    assert w.replica.epoch == 1
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -119,7 +119,7 @@
     started = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
     delays = sorted(started[uid] - at for uid, at in urgent.items())
     # As on a day without a cut: the fleet is full. One that is silent has to be missed first.
-    assert delays[-1] < 13.0 + (world.settings[0].term_s if "from all" in kind else 0.0)
+    assert delays[-1] < 13.0 + (world.settings[0].controller_lease_s if "from all" in kind else 0.0)
     assert sum(delays) / len(delays) < 8.0
     began, ended = cut
     during = Counter(key for at, key in changes if began < at < ended)
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -7,8 +7,15 @@
 from hypothesis import strategies as st
 
 from ryegauge.ordering.ageing import Ageing
-from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
-from ryegauge.ordering.settled import Settled
+from ryegauge.ordering.guarantee_first import GuaranteeFirst
+from ryegauge.ordering.model import (
+    AssignedTasks,
+    PreemptionRequest,
+    QueueEntry,
+    RunningTasks,
+    TeamHeadroom,
+    WaitingJob,
+)
 
 NOW = 100_000.0
 P, FACTOR, FLOOR, CEILING = 100.0, 2.0, 0.1, 0.3
@@ -20,7 +27,7 @@
     )
 
 
-def job(uid: str, rank: int = 2, age: float = 0.0, **changes: object) -> Waiting:
+def job(uid: str, rank: int = 2, age: float = 0.0, **changes: object) -> WaitingJob:
     fields: dict[str, object] = {
         "uid": uid,
         "team": "red",
@@ -35,7 +42,7 @@
         "cpus": 1.0,
         "gpus": 0.0,
     }
-    return Waiting(**{**fields, **changes})  # type: ignore[arg-type]
+    return WaitingJob(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 jobs_strategy = st.lists(
@@ -63,36 +70,49 @@
     ),
     max_size=4,
 )
-SPARE = {"red": Spare(8.0, 0.0), "blue": Spare(3.0, 0.0), "full": Spare(0.0, 0.0)}
+SPARE = {
+    "red": TeamHeadroom(8.0, 0.0),
+    "blue": TeamHeadroom(3.0, 0.0),
+    "full": TeamHeadroom(0.0, 0.0),
+}
 
 
-def waiting_of(drawn: list[tuple]) -> list[Waiting]:
+def waiting_of(drawn: list[tuple]) -> list[WaitingJob]:
     return [
         job(
             f"wk-{n:03d}",
             rank,
             age,
-            open=count,
+            open_task_count=count,
             served=served,
             weight=weight,
             team=team,
-            within=within,
+            within_guarantee=within_guarantee,
             whole=whole and not served,
             zoned=zoned,
             finish=finish,
         )
-        for n, (rank, age, count, served, weight, team, within, whole, zoned, finish) in enumerate(
-            drawn
-        )
+        for n, (
+            rank,
+            age,
+            count,
+            served,
+            weight,
+            team,
+            within_guarantee,
+            whole,
+            zoned,
+            finish,
+        ) in enumerate(drawn)
     ]
 
 
-def holding_of(drawn: list[tuple]) -> list[Holding]:
-    return [Holding(rank, NOW - age, done, held, w) for rank, age, done, held, w in drawn]
+def holding_of(drawn: list[tuple]) -> list[AssignedTasks]:
+    return [AssignedTasks(rank, NOW - age, done, held, w) for rank, age, done, held, w in drawn]
 
 
 def plain_order(
-    waiting: list[Waiting], holding: list[Holding], spare: dict[str, Spare]
+    waiting: list[WaitingJob], holding: list[AssignedTasks], spare: dict[str, TeamHeadroom]
 ) -> list[tuple[str, int | None]]:
     """By the definition: every single due task is looked at anew for each turn."""
     patience = {rank: P * FACTOR**rank for rank in range(4)}
@@ -100,9 +120,13 @@
     def tag(ready_at: float, rank: int, n: int) -> float:
         return ready_at + patience[rank] * (n + 1)
 
-    able = [j for j in waiting if spare[j.team].cpus + 1e-6 >= j.cpus * (j.open if j.whole else 1)]
+    able = [
+        j
+        for j in waiting
+        if spare[j.team].cpus + 1e-6 >= j.cpus * (j.open_task_count if j.whole else 1)
+    ]
     top = min((j.rank for j in able), default=0)
-    burst = sum(j.weight * j.open for j in able if j.rank <= 1) >= CEILING
+    burst = sum(j.weight * j.open_task_count for j in able if j.rank <= 1) >= CEILING
     held = [
         (tag(h.ready_at, h.rank, h.done + i), h.weight)
         for h in holding
@@ -119,7 +143,7 @@
         for j in waiting:
             n = given.get(j.uid, 0)
             t = tag(j.ready_at, j.rank, j.served + n)
-            if t <= NOW and n < j.open and j.uid not in stuck:
+            if t <= NOW and n < j.open_task_count and j.uid not in stuck:
                 due.append((t, j.uid, j))
         if not due:
             break
@@ -127,7 +151,7 @@
         if burst and j.rank > top and NOW - t < patience[j.rank]:
             stuck.add(uid)
             continue
-        tasks = j.open if j.whole else 1
+        tasks = j.open_task_count if j.whole else 1
         if room[j.team] + 1e-6 < j.cpus * tasks:
             stuck.add(uid)
             continue
@@ -141,7 +165,11 @@
         room[j.team] -= j.cpus * tasks
         given[uid] = given.get(uid, 0) + tasks
     turns: list[tuple[str, int | None]] = list(given.items())
-    rest = [j for j in waiting if given.get(j.uid, 0) < j.open and not (j.zoned and j.uid in given)]
+    rest = [
+        j
+        for j in waiting
+        if given.get(j.uid, 0) < j.open_task_count and not (j.zoned and j.uid in given)
+    ]
     while rest:
         first = rest[0]
         for j in rest[1:]:
@@ -152,11 +180,11 @@
     return turns
 
 
-def before(a: Waiting, b: Waiting) -> bool:
+def before(a: WaitingJob, b: WaitingJob) -> bool:
     if a.rank != b.rank:
         return a.rank < b.rank
-    if a.within != b.within:
-        return a.within
+    if a.within_guarantee != b.within_guarantee:
+        return a.within_guarantee
     if a.finish != b.finish:
         return a.finish < b.finish
     if a.ready_at != b.ready_at:
@@ -166,9 +194,9 @@
 
 def turns(
     policy: Ageing,
-    waiting: list[Waiting],
-    holding: list[Holding],
-    spare: dict[str, Spare] = SPARE,
+    waiting: list[WaitingJob],
+    holding: list[AssignedTasks],
+    spare: dict[str, TeamHeadroom] = SPARE,
     now: float = NOW,
 ) -> list[tuple[str, int | None]]:
     return [(e.uid, e.most) for e in policy.order(waiting, holding, spare, now)]
@@ -201,12 +229,12 @@
         (
             j.rank
             for j in waiting
-            if j.team != "full" and SPARE[j.team].fits(j, j.open if j.whole else 1)
+            if j.team != "full" and SPARE[j.team].fits(j, j.open_task_count if j.whole else 1)
         ),
         default=0,
     )
     first = [(j, most) for j, most in first if j.rank > top]
-    units = [j.weight * j.open if j.whole else j.weight for j, _ in first]
+    units = [j.weight * j.open_task_count if j.whole else j.weight for j, _ in first]
     assert sum(j.weight * most for j, most in first) <= max([CEILING, *units[:1]]) + 1e-6
     for j, _ in first:
         assert j.ready_at + P * FACTOR**j.rank * (1 + j.served) <= NOW
@@ -222,7 +250,7 @@
     chosen = waiting[which % len(waiting)]
     older = [j._replace(ready_at=j.ready_at - longer) if j is chosen else j for j in waiting]
 
-    def place(some: list[Waiting]) -> int:
+    def place(some: list[WaitingJob]) -> int:
         order = list(dict.fromkeys(uid for uid, _ in turns(ageing(), some, holding)))
         return order.index(chosen.uid)
 
@@ -297,22 +325,22 @@
                 if uid in low:
                     done[uid] += 1
         waiting = [
-            job(uid, rank, ready_at=ready, served=served[uid], open=50, weight=1 / slots)
+            job(uid, rank, ready_at=ready, served=served[uid], open_task_count=50, weight=1 / slots)
             for uid, ready in low.items()
             if ready <= now
         ]
         waiting += [
-            job(f"wk-9{n:06d}", 0, ready_at=now, open=50, weight=1 / slots)
+            job(f"wk-9{n:06d}", 0, ready_at=now, open_task_count=50, weight=1 / slots)
             for n in range(urgent, urgent + 3)
         ]
         urgent += 3
         holding = [
-            Holding(rank, low[uid], done[uid], served[uid] - done[uid], 1 / slots)
+            AssignedTasks(rank, low[uid], done[uid], served[uid] - done[uid], 1 / slots)
             for uid in low
             if served[uid] > done[uid]
         ]
         free = slots - len(running)
-        for uid, most, _ in policy.order(waiting, holding, {"red": Spare(1e6, 0.0)}, now):
+        for uid, most, _ in policy.order(waiting, holding, {"red": TeamHeadroom(1e6, 0.0)}, now):
             for _ in range(min(free, 50 if most is None else most)):
                 running.append((now + run_s, uid))
                 free -= 1
@@ -342,7 +370,7 @@
         job(f"wk-{n:05d}", rng.randrange(4), rng.uniform(0.0, 4000.0), weight=0.001)
         for n in range(20_000)
     ]
-    got = policy.order(waiting, [], {"red": Spare(1e6, 0.0)}, NOW)
+    got = policy.order(waiting, [], {"red": TeamHeadroom(1e6, 0.0)}, NOW)
     first = sum(e.most or 0 for e in got)
     by_uid = {j.uid: j.rank for j in waiting}
     counted = sum(e.most or 0 for e in got if by_uid[e.uid] > 0)
@@ -366,7 +394,7 @@
 # -- stops ---------------------------------------------------------------------------------
 
 
-def running(**changes: object) -> Running:
+def running(**changes: object) -> RunningTasks:
     fields: dict[str, object] = {
         "team": "blue",
         "rank": 2,
@@ -376,35 +404,35 @@
         "elapsed_s": 20.0,
         "left_s": 30.0,
     }
-    return Running(**{**fields, **changes})  # type: ignore[arg-type]
+    return RunningTasks(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def test_urgent_work_stops_lower_work_that_was_not_given_its_room_for_its_age() -> None:
     policy = ageing()
-    claim = Claim("red", 1, False, 5.0)
-    assert policy.claims(claim, 2)
-    assert policy.may_stop(claim, running())
-    assert policy.may_stop(claim, running(within=True))
-    assert not policy.may_stop(claim, running(aged=True))
-    assert not policy.may_stop(claim, running(rank=1))
-    assert not policy.may_stop(claim, running(left_s=0.5))
-    assert not policy.claims(claim._replace(waited_s=0.5), 2)
-    assert not policy.claims(claim._replace(rank=2), 3)
+    claim = PreemptionRequest("red", 1, False, 5.0)
+    assert policy.may_request_preemption(claim, 2)
+    assert policy.may_preempt(claim, running())
+    assert policy.may_preempt(claim, running(within_guarantee=True))
+    assert not policy.may_preempt(claim, running(is_protected_by_age=True))
+    assert not policy.may_preempt(claim, running(rank=1))
+    assert not policy.may_preempt(claim, running(left_s=0.5))
+    assert not policy.may_request_preemption(claim._replace(waited_s=0.5), 2)
+    assert not policy.may_request_preemption(claim._replace(rank=2), 3)
     # A guarantee stops nothing of a higher rank: the room would go back to that at once.
-    owed = Claim("red", 2, True, 500.0)
+    owed = PreemptionRequest("red", 2, True, 500.0)
     beyond = running(beyond=True, recent=True)
-    assert policy.may_stop(owed, beyond)
-    assert not policy.may_stop(owed, beyond._replace(rank=1))
-    assert not policy.may_stop(owed, beyond._replace(team="red"))
+    assert policy.may_preempt(owed, beyond)
+    assert not policy.may_preempt(owed, beyond._replace(rank=1))
+    assert not policy.may_preempt(owed, beyond._replace(team="red"))
 
 
 def test_aged_means_that_a_job_holds_no_more_than_its_age_gives_it() -> None:
     policy = ageing()
     two = 2 * policy.patience_s(2) + 1.0
-    assert policy.aged(Holding(2, NOW - two, 0, 2, 0.1), NOW)
-    assert policy.aged(Holding(2, NOW - two, 1, 1, 0.1), NOW)
-    assert not policy.aged(Holding(2, NOW - two, 1, 2, 0.1), NOW)
-    assert not policy.aged(Holding(2, NOW - 10.0, 0, 1, 0.1), NOW)
+    assert policy.is_protected_by_age(AssignedTasks(2, NOW - two, 0, 2, 0.1), NOW)
+    assert policy.is_protected_by_age(AssignedTasks(2, NOW - two, 1, 1, 0.1), NOW)
+    assert not policy.is_protected_by_age(AssignedTasks(2, NOW - two, 1, 2, 0.1), NOW)
+    assert not policy.is_protected_by_age(AssignedTasks(2, NOW - 10.0, 0, 1, 0.1), NOW)
 
 
 # -- the order of old ----------------------------------------------------------------------
@@ -414,18 +442,18 @@
 def test_the_settled_order_is_the_one_of_old(drawn: list[tuple]) -> None:
     waiting = waiting_of(drawn)
     expected = sorted(
-        waiting, key=lambda j: (not j.within, j.rank, j.finish, j.submitted_at, j.uid)
+        waiting, key=lambda j: (not j.within_guarantee, j.rank, j.finish, j.submitted_at, j.uid)
     )
-    got = Settled().order(waiting, [], SPARE, NOW)
-    assert got == [Entry(j.uid) for j in expected]
+    got = GuaranteeFirst().order(waiting, [], SPARE, NOW)
+    assert got == [QueueEntry(j.uid) for j in expected]
 
 
 def test_settled_stops_only_what_has_just_begun_from_two_steps_down() -> None:
-    policy = Settled()
-    urgent = Claim("red", 0, False, 0.0)
-    assert policy.claims(urgent, 2)
-    assert not policy.claims(urgent, 1)
-    assert policy.may_stop(urgent, running(rank=2))
-    assert not policy.may_stop(urgent, running(rank=1))
-    assert not policy.may_stop(urgent, running(rank=3, within=True))
-    assert not policy.stops_any
+    policy = GuaranteeFirst()
+    urgent = PreemptionRequest("red", 0, False, 0.0)
+    assert policy.may_request_preemption(urgent, 2)
+    assert not policy.may_request_preemption(urgent, 1)
+    assert policy.may_preempt(urgent, running(rank=2))
+    assert not policy.may_preempt(urgent, running(rank=1))
+    assert not policy.may_preempt(urgent, running(rank=3, within_guarantee=True))
+    assert not policy.preempts_long_running
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -4,20 +4,20 @@
 import pytest
 from conftest import job_body
 
-from ryegauge.bookkeeping.jobbook import (
-    JobBook,
-    Share,
+from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import (
+    Assignment,
+    StateReplica,
+    assignment_key,
     cancelled_record,
     job_key,
     job_record,
-    page_key,
-    share_key,
+    overflow_page_key,
     value_bytes,
 )
-from ryegauge.bookkeeping.state import Event
 from ryegauge.config import NextState, Settings
-from ryegauge.coordination.part import PartOwner
-from ryegauge.detection.verdicts import Outcome, Probe
+from ryegauge.coordination.shard_owner import ShardOwner
+from ryegauge.detection.failure_diagnosis import ProbeOutcome, ProbeResult
 from ryegauge.protocol.cloud import MachineType
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.protocol.workers import Command, Forget, Kill, Report, Run, TaskReport
@@ -27,27 +27,27 @@
 TOKEN = 50
 
 
-class Part:
+class ShardHarness:
     """An owner with its book, a clock and one job of four tasks of two CPUs."""
 
     def __init__(self, settings: Settings, before: list[int]) -> None:
-        self.book = JobBook()
+        self.replica = StateReplica()
         self.revision = 10
         self.now = 100.0
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, False))
         self.allot(before)
-        self.owner = PartOwner(0, TOKEN, self.book, settings, lambda: TYPES, self.now)
-        self.book.on_job.append(self.owner.on_job)
+        self.owner = ShardOwner(0, TOKEN, self.replica, settings, lambda: TYPES, self.now)
+        self.replica.on_job.append(self.owner.on_job)
         self.seq = 0
 
     def put(self, key: str, value: object) -> None:
         self.revision += 1
-        self.book.apply([Event(key, value, self.revision)], self.revision)
+        self.replica.apply([Event(key, value, self.revision)], self.revision)
 
     def allot(self, tasks: list[int], done: list[int] | None = None) -> None:
         flat = [bound for i in tasks for bound in (i, i + 1)]
         finished = [bound for i in done or [] for bound in (i, i + 1)]
-        self.put(share_key(UID, 0), {"t": {"": flat}, "d": finished})
+        self.put(assignment_key(UID, 0), {"t": {"": flat}, "d": finished})
 
     def cancel(self) -> None:
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, True))
@@ -76,8 +76,8 @@
         self.now += seconds
         self.owner.tick(self.now, self.now)
 
-    def pending(self) -> dict[str, Share]:
-        return {entry.uid: entry.share for entry in self.owner.pending()}
+    def pending(self) -> dict[str, Assignment]:
+        return {entry.uid: entry.assignment for entry in self.owner.pending()}
 
     def phase(self, task: int) -> str:
         return self.owner.tasks[(UID, task)].phase
@@ -93,298 +93,298 @@
 
 
 @pytest.fixture
-def part(settings: Settings) -> Part:
-    return Part(settings, [])
+def shard(settings: Settings) -> ShardHarness:
+    return ShardHarness(settings, [])
 
 
 def test_tasks_of_an_earlier_token_wait_for_the_barrier(settings: Settings) -> None:
-    part = Part(settings, [0, 1])
-    part.report()
+    shard = ShardHarness(settings, [0, 1])
+    shard.report()
     for _ in range(9):
-        part.tick(1.0)
-        part.report()
-    assert [part.phase(0), part.phase(1)] == ["unseen", "unseen"]
-    part.report((1, 7, "running"))
-    assert part.phase(1) == "seen"
-    part.tick(1.5)
-    assert part.phase(0) == "placed"
+        shard.tick(1.0)
+        shard.report()
+    assert [shard.phase(0), shard.phase(1)] == ["unseen", "unseen"]
+    shard.report((1, 7, "running"))
+    assert shard.phase(1) == "seen"
+    shard.tick(1.5)
+    assert shard.phase(0) == "placed"
     # What came after the token was never anywhere.
-    part.allot([0, 1, 2])
-    part.tick()
-    assert part.phase(2) != "unseen"
+    shard.allot([0, 1, 2])
+    shard.tick()
+    assert shard.phase(2) != "unseen"
 
 
 def test_an_answered_machine_that_has_not_seen_the_token_holds_the_barrier(
     settings: Settings,
 ) -> None:
     """Its lease was renewed by the answer, with whatever it runs."""
-    part = Part(settings, [0])
-    part.report(machine="m-2")
-    part.tick(9.0)
-    assert part.report((0, 3, "running"), token=TOKEN - 1) == []
-    part.report(machine="m-2")
-    part.tick(2.0)
-    part.report(machine="m-2")
-    part.tick()
-    assert part.phase(0) == "unseen"
-    part.tick(8.5)
-    assert part.phase(0) != "unseen"
+    shard = ShardHarness(settings, [0])
+    shard.report(machine="m-2")
+    shard.tick(9.0)
+    assert shard.report((0, 3, "running"), token=TOKEN - 1) == []
+    shard.report(machine="m-2")
+    shard.tick(2.0)
+    shard.report(machine="m-2")
+    shard.tick()
+    assert shard.phase(0) == "unseen"
+    shard.tick(8.5)
+    assert shard.phase(0) != "unseen"
 
 
-def test_a_lost_answer_repeats_the_same_attempt(part: Part) -> None:
-    attempt = part.start(0)
-    assert part.report() == [Run((UID, 0), attempt)]
-    assert part.report((0, attempt, "running")) == []
+def test_a_lost_answer_repeats_the_same_attempt(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    assert shard.report() == [Run((UID, 0), attempt)]
+    assert shard.report((0, attempt, "running")) == []
 
 
-def test_old_reports_change_nothing(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
-    assert part.report(seq=1) == []
-    assert part.phase(0) == "seen"
+def test_old_reports_change_nothing(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
+    assert shard.report(seq=1) == []
+    assert shard.phase(0) == "seen"
 
 
-def test_late_copies_renew_nothing(part: Part) -> None:
+def test_late_copies_renew_nothing(shard: ShardHarness) -> None:
     """Of a machine that has died: its tasks start elsewhere a lease after its last report."""
-    attempt = part.start(0)
-    part.report((0, attempt, "running"), seq=20)
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"), seq=20)
     for _ in range(4):
-        part.tick(2.6)
-        assert part.report((0, attempt, "running"), seq=12) == []
-    assert part.phase(0) != "seen"
-    assert "m-1" not in part.owner.machines
+        shard.tick(2.6)
+        assert shard.report((0, attempt, "running"), seq=12) == []
+    assert shard.phase(0) != "seen"
+    assert "m-1" not in shard.owner.machines
     # Copies of any age change nothing either: ended, of an earlier session, of another attempt.
-    before = {key: task.phase for key, task in part.owner.tasks.items()}
+    before = {key: task.phase for key, task in shard.owner.tasks.items()}
     for copy in ((0, attempt, "ended"), (0, attempt - 1, "ended"), (0, attempt, "running")):
-        assert part.report(copy, seq=13) == []
-        assert part.report(copy, seq=14, why="stopped") == []
-    assert {key: task.phase for key, task in part.owner.tasks.items()} == before
+        assert shard.report(copy, seq=13) == []
+        assert shard.report(copy, seq=14, why="stopped") == []
+    assert {key: task.phase for key, task in shard.owner.tasks.items()} == before
 
 
-def test_a_report_behind_a_direct_answer_still_renews(part: Part) -> None:
+def test_a_report_behind_a_direct_answer_still_renews(shard: ShardHarness) -> None:
     """The answer to direct commands is newer than the check-in under way beside it; that one is
     answered, and the worker's lease counts from when it was sent."""
-    attempt = part.start(0)
-    part.tick(8.0)
-    part.report((0, attempt, "running"), seq=31, checkin=False)
-    part.report((0, attempt, "running"), seq=30)
-    part.tick(8.0)
-    assert part.phase(0) == "seen"
+    attempt = shard.start(0)
+    shard.tick(8.0)
+    shard.report((0, attempt, "running"), seq=31, checkin=False)
+    shard.report((0, attempt, "running"), seq=30)
+    shard.tick(8.0)
+    assert shard.phase(0) == "seen"
 
 
-def test_a_machine_that_does_not_hear_gets_no_tasks(part: Part) -> None:
+def test_a_machine_that_does_not_hear_gets_no_tasks(shard: ShardHarness) -> None:
     """Its reports arrive and are answered, and its lease runs out all the same."""
-    attempt = part.start(0)
+    attempt = shard.start(0)
     for _ in range(9):
-        part.report((0, attempt, "running"))
-        part.tick(1.0)
-    part.report(session=2, seq=1)
-    assert part.phase(0) == "free"
-    part.tick(1.0)
-    assert part.phase(0) == "leaving"  # no room after all: handed back
+        shard.report((0, attempt, "running"))
+        shard.tick(1.0)
+    shard.report(session=2, seq=1)
+    assert shard.phase(0) == "free"
+    shard.tick(1.0)
+    assert shard.phase(0) == "leaving"  # no room after all: handed back
     for seq in range(2, 14):
-        part.tick(1.0)
-        part.report(session=2, seq=seq)
-    assert part.owner._takes_tasks(part.owner.machines["m-1"], part.now)  # a whole session
+        shard.tick(1.0)
+        shard.report(session=2, seq=seq)
+    assert shard.owner._takes_tasks(shard.owner.machines["m-1"], shard.now)  # a whole session
 
 
 def test_a_machine_that_never_shows_the_token_is_returned(settings: Settings) -> None:
     """It holds the barrier for all unseen tasks; only its release proves that they ended. Not
     where most are so."""
-    part = Part(settings, before=[0])
+    shard = ShardHarness(settings, before=[0])
     for seq in range(1, 25):
-        part.tick(1.0)
-        part.report(machine="m-1", token=TOKEN - 1, seq=seq)
+        shard.tick(1.0)
+        shard.report(machine="m-1", token=TOKEN - 1, seq=seq)
         if seq > 22:
-            part.report(machine="m-2", seq=seq)
-        shown = part.owner._describe(part.owner.machines["m-1"], part.now)
-        part.tick()
+            shard.report(machine="m-2", seq=seq)
+        shown = shard.owner._describe(shard.owner.machines["m-1"], shard.now)
+        shard.tick()
         assert (shown.empty and shown.retiring) == (seq == 24)
-    assert part.phase(0) == "unseen"
-    part.owner.gone(["m-1"])
-    part.tick(1.0)
-    assert part.phase(0) != "unseen"
+    assert shard.phase(0) == "unseen"
+    shard.owner.gone(["m-1"])
+    shard.tick(1.0)
+    assert shard.phase(0) != "unseen"
 
 
 def test_an_unseen_machine_that_is_to_be_returned_is_not_empty(settings: Settings) -> None:
     """The leader's order may follow from what an earlier owner said of it."""
-    part = Part(settings, before=[0])
-    part.report(token=TOKEN - 1)
-    part.owner.retire(["m-1"])
-    shown = part.owner._describe(part.owner.machines["m-1"], part.now)
+    shard = ShardHarness(settings, before=[0])
+    shard.report(token=TOKEN - 1)
+    shard.owner.retire(["m-1"])
+    shown = shard.owner._describe(shard.owner.machines["m-1"], shard.now)
     assert (shown.retiring, shown.empty) == (True, False)
 
 
-def test_a_withdrawn_start_without_an_answer_lets_its_machine_go(part: Part) -> None:
+def test_a_withdrawn_start_without_an_answer_lets_its_machine_go(shard: ShardHarness) -> None:
     """Found by reading: the machine that was to be returned, since the start may be carried out
     late, never counted as empty."""
-    part.report()
-    part.allot([0])
-    part.tick()
-    ((name, _, _, _),) = part.owner.to_push(part.now, 10)
-    part.cancel()
-    part.report()
-    shown = part.owner._describe(part.owner.machines[name], part.now)
+    shard.report()
+    shard.allot([0])
+    shard.tick()
+    ((name, _, _, _),) = shard.owner.to_push(shard.now, 10)
+    shard.cancel()
+    shard.report()
+    shown = shard.owner._describe(shard.owner.machines[name], shard.now)
     assert (shown.retiring, shown.empty) == (True, True)
-    attempt = part.owner.tasks[UID, 0].attempt
-    assert part.report((0, attempt, "running")) == [Kill((UID, 0), attempt, 0.0)]
-    assert not part.owner._describe(part.owner.machines[name], part.now).empty
+    attempt = shard.owner.tasks[UID, 0].attempt
+    assert shard.report((0, attempt, "running")) == [Kill((UID, 0), attempt, 0.0)]
+    assert not shard.owner._describe(shard.owner.machines[name], shard.now).empty
 
 
-def test_forget_waits_until_the_outcome_is_in_the_book(part: Part) -> None:
-    attempt = part.start(0)
-    assert part.report((0, attempt, "ended")) == []
-    assert part.pending()[UID].done.flat() == [0, 1]
-    assert part.report((0, attempt, "ended")) == []
-    part.allot([], done=[0])
-    assert part.report((0, attempt, "ended")) == [Forget((UID, 0), attempt)]
+def test_forget_waits_until_the_outcome_is_in_the_book(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    assert shard.report((0, attempt, "ended")) == []
+    assert shard.pending()[UID].done.flat() == [0, 1]
+    assert shard.report((0, attempt, "ended")) == []
+    shard.allot([], done=[0])
+    assert shard.report((0, attempt, "ended")) == [Forget((UID, 0), attempt)]
 
 
-def test_a_silent_machines_tasks_wait_for_its_lease(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
+def test_a_silent_machines_tasks_wait_for_its_lease(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
     for _ in range(10):
-        part.tick(1.0)
-        part.report(machine="m-2", seq=part.seq + 1)
-        part.seq += 1
-    assert part.owner.tasks[(UID, 0)].machine == "m-1"
-    part.tick(0.5)
-    assert part.owner.tasks[(UID, 0)].machine == "m-2"
+        shard.tick(1.0)
+        shard.report(machine="m-2", seq=shard.seq + 1)
+        shard.seq += 1
+    assert shard.owner.tasks[(UID, 0)].machine == "m-1"
+    shard.tick(0.5)
+    assert shard.owner.tasks[(UID, 0)].machine == "m-2"
     # Its late report, sent in the session that has ended, brings nothing back.
-    assert part.report((0, attempt, "running"), seq=900) == []
-    assert part.owner.tasks[(UID, 0)].machine == "m-2"
+    assert shard.report((0, attempt, "running"), seq=900) == []
+    assert shard.owner.tasks[(UID, 0)].machine == "m-2"
 
 
-def test_silent_machines_are_asked_and_what_came_of_it_is_shown(part: Part) -> None:
+def test_silent_machines_are_asked_and_what_came_of_it_is_shown(shard: ShardHarness) -> None:
     """By its owner and by others; a report that came meanwhile says more."""
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
     for _ in range(3):
-        part.tick(1.0)
-    assert part.owner.to_probe(part.now) == [("m-1", "m:1")]
-    part.owner.unheard([("m-7", "m:7"), ("m-1", "m:1")])
-    assert part.owner.to_probe(part.now) == [("m-1", "m:1"), ("m-7", "m:7")]
+        shard.tick(1.0)
+    assert shard.owner.to_probe(shard.now) == [("m-1", "m:1")]
+    shard.owner.unreported([("m-7", "m:7"), ("m-1", "m:1")])
+    assert shard.owner.to_probe(shard.now) == [("m-1", "m:1"), ("m-7", "m:7")]
     for by in ("node-0", "node-1"):
-        part.owner.probed("m-1", Probe(by, Outcome.NO_CONNECTION, part.now))
-        part.owner.probed("m-7", Probe(by, Outcome.REFUSED, part.now))
-    assert part.owner.to_probe(part.now) == []
-    view = part.owner.view("node-0", 9, part.now)
+        shard.owner.probed("m-1", ProbeResult(by, ProbeOutcome.NO_CONNECTION, shard.now))
+        shard.owner.probed("m-7", ProbeResult(by, ProbeOutcome.REFUSED, shard.now))
+    assert shard.owner.to_probe(shard.now) == []
+    view = shard.owner.view("node-0", 9, shard.now)
     asked = {name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences}
     assert asked == {"m-1": {"no_connection"}, "m-7": {"refused"}}
-    part.tick(1.0)
-    part.report((0, attempt, "running"))
-    part.owner.probed("m-1", Probe("node-2", Outcome.NO_CONNECTION, part.now - 0.5))
-    part.report(machine="m-7", seq=1)
-    part.owner.unheard([])
-    assert part.owner.view("node-0", 9, part.now).silences == []
+    shard.tick(1.0)
+    shard.report((0, attempt, "running"))
+    shard.owner.probed("m-1", ProbeResult("node-2", ProbeOutcome.NO_CONNECTION, shard.now - 0.5))
+    shard.report(machine="m-7", seq=1)
+    shard.owner.unreported([])
+    assert shard.owner.view("node-0", 9, shard.now).silences == []
 
 
-def test_a_release_frees_the_tasks_at_once(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
-    part.report(machine="m-2")
-    part.owner.gone(["m-1"])
-    part.tick()
-    assert part.owner.tasks[(UID, 0)].machine == "m-2"
-    assert part.owner.tasks[(UID, 0)].attempt != attempt
+def test_a_release_frees_the_tasks_at_once(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
+    shard.report(machine="m-2")
+    shard.owner.gone(["m-1"])
+    shard.tick()
+    assert shard.owner.tasks[(UID, 0)].machine == "m-2"
+    assert shard.owner.tasks[(UID, 0)].attempt != attempt
 
 
-def test_a_later_session_frees_the_tasks(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
-    part.report(session=2)
-    part.tick()
-    assert part.owner.tasks[(UID, 0)].attempt != attempt
+def test_a_later_session_frees_the_tasks(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
+    shard.report(session=2)
+    shard.tick()
+    assert shard.owner.tasks[(UID, 0)].attempt != attempt
 
 
-def test_handing_back_is_final(part: Part) -> None:
+def test_handing_back_is_final(shard: ShardHarness) -> None:
     """A removal may be executed late, and then others have the task."""
-    part.report()
-    part.allot([0, 1, 2, 3])
-    part.tick()
-    assert sorted(part.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
-    part.report(machine="m-2")
-    part.tick(1.0)
-    assert sorted(part.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
-
-
-def test_cancelled_tasks_leave_only_when_surely_gone(part: Part) -> None:
-    attempt = part.start(0)
-    part.cancel()
-    assert part.pending() == {}
+    shard.report()
+    shard.allot([0, 1, 2, 3])
+    shard.tick()
+    assert sorted(shard.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
+    shard.report(machine="m-2")
+    shard.tick(1.0)
+    assert sorted(shard.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
+
+
+def test_cancelled_tasks_leave_only_when_surely_gone(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.cancel()
+    assert shard.pending() == {}
     # The `run` may have been executed after this report was sent... it is newer.
-    assert part.report((0, attempt, "fetching")) == [Kill((UID, 0), attempt, 0.0)]
-    assert part.pending() == {}
-    part.report((0, attempt, "ended"), why="stopped")
-    assert part.pending()[UID].tasks.flat() == []
+    assert shard.report((0, attempt, "fetching")) == [Kill((UID, 0), attempt, 0.0)]
+    assert shard.pending() == {}
+    shard.report((0, attempt, "ended"), why="stopped")
+    assert shard.pending()[UID].tasks.flat() == []
 
 
-def test_an_unanswered_direct_start_is_in_flight_for_the_session(part: Part) -> None:
+def test_an_unanswered_direct_start_is_in_flight_for_the_session(shard: ShardHarness) -> None:
     """Packets held by a cut are delivered minutes later: reports that do not list the
     attempt prove nothing, and forgetting it would let a late `run` start it again."""
-    part.report()
-    part.allot([0])
-    part.tick()
-    assert part.owner.to_push(part.now, 0) == []  # no socket left: with the next check-in
-    ((name, _, session, commands),) = part.owner.to_push(part.now, 1)
+    shard.report()
+    shard.allot([0])
+    shard.tick()
+    assert shard.owner.to_push(shard.now, 0) == []  # no socket left: with the next check-in
+    ((name, _, session, commands),) = shard.owner.to_push(shard.now, 1)
     attempt = commands[0].attempt
-    part.cancel()
-    part.report()
-    assert part.pending() == {}
-    assert part.owner.machines["m-1"].retiring
-    part.report((0, attempt, "ended"), why="stopped")
-    assert part.pending()[UID].tasks.flat() == []
-    part.allot([])
-    assert part.report((0, attempt, "ended"), why="stopped") == []
-    part.owner.pushed(name, session, commands)
-    assert part.report((0, attempt, "ended"), why="stopped") == [Forget((UID, 0), attempt)]
-
-
-def test_a_direct_answer_renews_no_lease(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "running"))
-    part.now += 6.0
-    part.report((0, attempt, "running"), checkin=False)
-    part.tick(4.5)
-    assert part.owner.tasks[(UID, 0)].machine is None
-
-
-def test_a_job_that_fails_everywhere_is_handed_back(part: Part) -> None:
+    shard.cancel()
+    shard.report()
+    assert shard.pending() == {}
+    assert shard.owner.machines["m-1"].retiring
+    shard.report((0, attempt, "ended"), why="stopped")
+    assert shard.pending()[UID].tasks.flat() == []
+    shard.allot([])
+    assert shard.report((0, attempt, "ended"), why="stopped") == []
+    shard.owner.pushed(name, session, commands)
+    assert shard.report((0, attempt, "ended"), why="stopped") == [Forget((UID, 0), attempt)]
+
+
+def test_a_direct_answer_renews_no_lease(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "running"))
+    shard.now += 6.0
+    shard.report((0, attempt, "running"), checkin=False)
+    shard.tick(4.5)
+    assert shard.owner.tasks[(UID, 0)].machine is None
+
+
+def test_a_job_that_fails_everywhere_is_handed_back(shard: ShardHarness) -> None:
     """One that fails on several machines is held back and brings down none of them; what is
     given for a try is tried once."""
-    attempt = part.start(0)
-    part.report((0, attempt, "ended"), why="error")
-    assert part.phase(0) == "free"
-    part.now += 61.0
-    part.report(machine="m-2")
-    part.tick()
-    task = part.owner.tasks[(UID, 0)]
+    attempt = shard.start(0)
+    shard.report((0, attempt, "ended"), why="error")
+    assert shard.phase(0) == "free"
+    shard.now += 61.0
+    shard.report(machine="m-2")
+    shard.tick()
+    task = shard.owner.tasks[(UID, 0)]
     assert task.machine == "m-2"  # and not where it failed
-    part.allot([0, 1, 2])
-    part.report((0, task.attempt, "ended"), machine="m-2", why="error")
-    assert [part.phase(i) for i in (0, 1, 2)] == ["leaving"] * 3
-    view = part.owner.view("node-0", 1, part.now)
+    shard.allot([0, 1, 2])
+    shard.report((0, task.attempt, "ended"), machine="m-2", why="error")
+    assert [shard.phase(i) for i in (0, 1, 2)] == ["leaving"] * 3
+    view = shard.owner.view("node-0", 1, shard.now)
     assert view.failing == [(UID, 2, 2)]
     assert all(machine.open for machine in view.machines)
-    part.allot([])
-    part.allot([3])
-    part.tick()
-    part.report(machine="m-2")
-    task = part.owner.tasks[(UID, 3)]
+    shard.allot([])
+    shard.allot([3])
+    shard.tick()
+    shard.report(machine="m-2")
+    task = shard.owner.tasks[(UID, 3)]
     assert task.phase == "placed"
-    part.report((3, task.attempt, "ended"), machine=task.machine or "", why="error")
+    shard.report((3, task.attempt, "ended"), machine=task.machine or "", why="error")
     assert task.phase == "leaving"
 
 
-def test_a_machine_that_fails_what_runs_elsewhere_is_given_up(part: Part) -> None:
-    attempt = part.start(0)
-    part.report((0, attempt, "ended"), why="done")
-    part.allot([1, 2], done=[0])
-    part.tick()
-    runs = [c for c in part.report() if isinstance(c, Run)]
+def test_a_machine_that_fails_what_runs_elsewhere_is_given_up(shard: ShardHarness) -> None:
+    attempt = shard.start(0)
+    shard.report((0, attempt, "ended"), why="done")
+    shard.allot([1, 2], done=[0])
+    shard.tick()
+    runs = [c for c in shard.report() if isinstance(c, Run)]
     assert len(runs) == 2
-    part.report(*((run.task[1], run.attempt, "ended") for run in runs), why="error")
-    (machine,) = part.owner.view("node-0", 1, part.now).machines
+    shard.report(*((run.task[1], run.attempt, "ended") for run in runs), why="error")
+    (machine,) = shard.owner.view("node-0", 1, shard.now).machines
     assert machine.retiring
     assert not machine.open
 
@@ -398,36 +398,36 @@
     shared = msgspec.structs.replace(settings.settings, state=state)
     settings = msgspec.structs.replace(settings, settings=shared)
     limit = settings.state_limits.value_bytes
-    part = Part(settings, [])
+    shard = ShardHarness(settings, [])
     spec = parse_job(job_body(pieces=100_000))
-    part.put(job_key(UID), None)
-    part.put(job_key(UID), job_record(spec, 0.0, False))
-    part.allot([99_999], list(range(0, 2400, 2)))
-    job = part.book.jobs[UID]
-    assert value_bytes({"d": job.shares[0].done.flat()}) > 4 * limit
+    shard.put(job_key(UID), None)
+    shard.put(job_key(UID), job_record(spec, 0.0, False))
+    shard.allot([99_999], list(range(0, 2400, 2)))
+    job = shard.replica.jobs[UID]
+    assert value_bytes({"d": job.assignments[0].done.flat()}) > 4 * limit
     written = 0
-    while (entry := part.owner.pending()[0]).pages:
+    while (entry := shard.owner.pending()[0]).pages:
         assert job.done_count == 1200
         for page in entry.pages[:4]:
             assert value_bytes({"d": page.flat()}) <= limit
-            part.put(page_key(UID, 0, written), {"d": page.flat()})
+            shard.put(overflow_page_key(UID, 0, written), {"d": page.flat()})
             written += 1
     assert written > 4
     assert job.done_count == 1200
-    assert value_bytes(entry.share.to_record()) <= limit
-    part.put(share_key(UID, 0), entry.share.to_record())
+    assert value_bytes(entry.assignment.to_record()) <= limit
+    shard.put(assignment_key(UID, 0), entry.assignment.to_record())
     assert job.done_count == 1200
     assert 99_999 not in job.open_tasks
     assert 1 in job.open_tasks
     assert 2 not in job.open_tasks
-    assert part.pending() == {}
-    again = JobBook()
+    assert shard.pending() == {}
+    again = StateReplica()
     again.replace(
         [
             Event(job_key(UID), job_record(spec, 0.0, False), 1),
             *(
-                Event(page_key(UID, p, n), {"d": tasks.flat()}, 1)
-                for (p, n), tasks in job.sealed.items()
+                Event(overflow_page_key(UID, p, n), {"d": tasks.flat()}, 1)
+                for (p, n), tasks in job.overflow_pages.items()
             ),
         ],
         2,
@@ -452,45 +452,45 @@
 def test_what_was_handed_back_is_no_sign_of_lost_data(settings: Settings, why: str) -> None:
     """A task of an authority before ours is stopped for others and handed back; the worker
     shows it until it has heard `forget`, while the book has the task open again."""
-    part = Part(settings, [1])
-    part.owner = PartOwner(
-        0, TOKEN, part.book, settings, lambda: TYPES, part.now, looks_for_strays=True
+    shard = ShardHarness(settings, [1])
+    shard.owner = ShardOwner(
+        0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
     )
-    part.book.on_job.append(part.owner.on_job)
+    shard.replica.on_job.append(shard.owner.on_job)
     before = ((TOKEN - 9) << 20) + 1
-    part.report((1, before, "running"))
-    part.owner.evict("m-1", UID, 1)
-    part.report((1, before, "ended"), why=why)
-    part.allot([])
-    assert part.report((1, before, "ended"), why=why) == [Forget((UID, 1), before)]
-    assert part.owner.strays == {}
+    shard.report((1, before, "running"))
+    shard.owner.evict("m-1", UID, 1)
+    shard.report((1, before, "ended"), why=why)
+    shard.allot([])
+    assert shard.report((1, before, "ended"), why=why) == [Forget((UID, 1), before)]
+    assert shard.owner.unrecorded == {}
     # One that runs and that no share holds is.
-    part.report((1, before, "running"))
-    assert set(part.owner.strays) == {((UID, 1), before)}
+    shard.report((1, before, "running"))
+    assert set(shard.owner.unrecorded) == {((UID, 1), before)}
 
 
 def test_a_report_that_was_not_taken_in_does_not_count(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An error of ours in the midst of a report: tasks further on in it are still there."""
-    part = Part(settings, [0, 1])
+    shard = ShardHarness(settings, [0, 1])
     before = ((TOKEN - 9) << 20) + 1
 
     def fail(*_: object) -> None:
         raise RuntimeError("an error of ours")
 
     with monkeypatch.context() as patch:
-        patch.setattr(part.owner, "_reported", fail)
+        patch.setattr(shard.owner, "_reported", fail)
         with pytest.raises(RuntimeError):
-            part.report((0, before, "running"))
+            shard.report((0, before, "running"))
     for _ in range(3):
-        part.tick(5.0)
-        assert part.phase(0) == "unseen"
+        shard.tick(5.0)
+        assert shard.phase(0) == "unseen"
         with monkeypatch.context() as patch:
-            patch.setattr(part.owner, "_reported", fail)
+            patch.setattr(shard.owner, "_reported", fail)
             with pytest.raises(RuntimeError):
-                part.report((0, before, "running"))
-    part.report((0, before, "running"))
-    part.tick()
-    assert part.phase(0) == "seen"
-    assert part.phase(1) == "placed"
+                shard.report((0, before, "running"))
+    shard.report((0, before, "running"))
+    shard.tick()
+    assert shard.phase(0) == "seen"
+    assert shard.phase(1) == "placed"
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -10,7 +10,7 @@
 
 from ryegauge.bookkeeping.ranges import Ranges
 from ryegauge.protocol.jobs import parse_job
-from ryegauge.scheduling.takeback import TakebackShare
+from ryegauge.scheduling.takeback_share import TakebackShare
 from ryegauge.transport.http import Malformed, decode, encode
 
 numbers = st.sets(st.integers(0, 40))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -8,21 +8,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryegauge.bookkeeping.jobbook import (
-    JobBook,
-    final_key,
+from ryegauge.bookkeeping.state import Delete, Event, Put
+from ryegauge.bookkeeping.state_replica import (
+    StateReplica,
+    archive_key,
+    assignment_key,
     job_key,
     job_record,
-    need_pieces,
+    needs_piece_key,
     outcome_key,
-    piece_key,
-    share_key,
+    split_needs,
     value_bytes,
 )
-from ryegauge.bookkeeping.state import Delete, Event, Put
-from ryegauge.coordination.archive import move_out, to_clear, to_move_out
+from ryegauge.coordination.archive import archive_job, jobs_to_archive, records_to_delete
 from ryegauge.protocol.jobs import parse_job
-from ryegauge.scheduling.pipelines import Urgency, pass_back
+from ryegauge.scheduling.pipelines import Urgency, propagate_back
 from ryegauge.transport.http import Malformed
 
 # -- deadlines and priorities ----------------------------------------------------------
@@ -61,7 +61,7 @@
             ),
             min(jobs[int(path[-1])][1] for path in paths(str(n))),
         )
-        found = pass_back(
+        found = propagate_back(
             str(n),
             lambda uid: Urgency(jobs[int(uid)][2], jobs[int(uid)][1]),
             after.__getitem__,
@@ -73,7 +73,7 @@
 
 def test_a_pipeline_longer_than_the_stack() -> None:
     length = 20_000
-    found = pass_back(
+    found = propagate_back(
         "0",
         lambda uid: Urgency(1e6 if int(uid) == length else math.inf, 3),
         lambda uid: [str(int(uid) + 1)] if int(uid) < length else [],
@@ -113,13 +113,15 @@
     return f"wk-{n:06d}"
 
 
-def write(book: JobBook, records: dict[str, tuple[object, int]], key: str, value: object) -> None:
-    revision = book.ledger + 1
+def write(
+    replica: StateReplica, records: dict[str, tuple[object, int]], key: str, value: object
+) -> None:
+    revision = replica.state_revision + 1
     if value is None:
         records.pop(key, None)
     else:
         records[key] = (value, revision)
-    book.apply([Event(key, value, revision)], revision)
+    replica.apply([Event(key, value, revision)], revision)
 
 
 @given(st.integers(0, 10_000))
@@ -127,7 +129,7 @@
     """Submissions, allotments, ends and cancellations as luck has it; after each, and
     after reading everything anew in any order, the book says what the plain model says."""
     rng = random.Random(seed)
-    book, plain = JobBook(), Plain()
+    replica, plain = StateReplica(), Plain()
     records: dict[str, tuple[object, int]] = {}
     for _ in range(30):
         uids = list(plain.needs)
@@ -139,39 +141,39 @@
             names = tuple(sorted(needs))
             spec = parse_job(job_body(uid, awaits=list(names)))
             if names and rng.random() < 0.3:
-                digest, pieces = need_pieces(names, 16)
+                digest, pieces = split_needs(names, 16)
                 for n, piece in enumerate(pieces):
-                    write(book, records, piece_key(uid, digest, n), {"n": piece})
+                    write(replica, records, needs_piece_key(uid, digest, n), {"n": piece})
                 record = job_record(spec, 0.0, False, (digest, len(pieces)))
             else:
                 record = job_record(spec, 0.0, False)
-            write(book, records, job_key(uid), record)
+            write(replica, records, job_key(uid), record)
         elif what < 0.6:
             uid = rng.choice(uids)
             if plain.status(uid) == "queued" and plain.ready(uid):
                 plain.holding.add(uid)
-                write(book, records, share_key(uid, 1), {"t": {"": [0, 4]}, "d": []})
+                write(replica, records, assignment_key(uid, 1), {"t": {"": [0, 4]}, "d": []})
         elif what < 0.85 and plain.holding:
             uid = rng.choice(sorted(plain.holding))
             plain.holding.discard(uid)
             if not plain.cancelled(uid):
                 plain.finished.add(uid)
-                write(book, records, share_key(uid, 1), {"t": {}, "d": [0, 4]})
+                write(replica, records, assignment_key(uid, 1), {"t": {}, "d": [0, 4]})
             else:
-                write(book, records, share_key(uid, 1), {"t": {}, "d": []})
+                write(replica, records, assignment_key(uid, 1), {"t": {}, "d": []})
         else:
             uid = rng.choice(uids)
             if plain.status(uid) != "done":
                 plain.flagged.add(uid)
                 spec = parse_job(job_body(uid))
-                write(book, records, job_key(uid), job_record(spec, 0.0, True))
-        again = JobBook()
+                write(replica, records, job_key(uid), job_record(spec, 0.0, True))
+        again = StateReplica()
         shuffled = [Event(key, value, version) for key, (value, version) in records.items()]
         rng.shuffle(shuffled)
         # Shares follow their job in the order of keys; nothing else follows anything.
         shuffled.sort(key=lambda event: event.key.count("/") == 3 and "r/j/" in event.key)
-        again.replace(shuffled, book.ledger)
-        for each in (book, again):
+        again.replace(shuffled, replica.state_revision)
+        for each in (replica, again):
             for uid in plain.needs:
                 job = each.jobs[uid]
                 assert job.status == plain.status(uid)
@@ -182,32 +184,34 @@
 
 
 def test_one_record_cancels_a_pipeline_of_any_length() -> None:
-    book = JobBook()
+    replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     for n in range(5000):
         needs = [uid_of(n - 1)] if n else None
         spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(book, records, job_key(uid_of(n)), job_record(spec, 0.0, False))
-    write(book, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True))
-    assert {job.status for job in book.jobs.values()} == {"cancelled"}
-    assert not book.live
-    assert not book.waiting
+        write(replica, records, job_key(uid_of(n)), job_record(spec, 0.0, False))
+    write(
+        replica, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True)
+    )
+    assert {job.status for job in replica.jobs.values()} == {"cancelled"}
+    assert not replica.live
+    assert not replica.waiting
 
 
 def test_waiting_jobs_become_ready_when_the_last_need_is_done() -> None:
     """The other times of a job count from then, as the controller has seen it."""
     now = 100.0
-    book = JobBook(lambda: now)
+    replica = StateReplica(lambda: now)
     records: dict[str, tuple[object, int]] = {}
     for n, needs in enumerate(([], [], [uid_of(0), uid_of(1)])):
         spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(book, records, job_key(uid_of(n)), job_record(spec, 50.0, False))
-    job = book.jobs[uid_of(2)]
+        write(replica, records, job_key(uid_of(n)), job_record(spec, 50.0, False))
+    job = replica.jobs[uid_of(2)]
     assert job.view()["awaits"] == [uid_of(0), uid_of(1)]
-    write(book, records, share_key(uid_of(0), 0), {"t": {}, "d": [0, 4]})
+    write(replica, records, assignment_key(uid_of(0), 0), {"t": {}, "d": [0, 4]})
     assert not job.ready
     now = 120.0
-    write(book, records, share_key(uid_of(1), 2), {"t": {}, "d": [0, 4]})
+    write(replica, records, assignment_key(uid_of(1), 2), {"t": {}, "d": [0, 4]})
     assert job.ready
     assert job.ready_at == 120.0
     assert "awaits" not in job.view()
@@ -217,33 +221,35 @@
 
 
 def test_what_others_need_leaves_the_book_after_them() -> None:
-    book = JobBook()
+    replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     for n in range(3):
         needs = [uid_of(n - 1)] if n else None
         spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(book, records, job_key(uid_of(n)), job_record(spec, float(n), False))
-    write(book, records, share_key(uid_of(0), 1), {"t": {"": [0, 4]}, "d": []})
-    write(book, records, share_key(uid_of(0), 1), {"t": {}, "d": []})
-    write(book, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True))
+        write(replica, records, job_key(uid_of(n)), job_record(spec, float(n), False))
+    write(replica, records, assignment_key(uid_of(0), 1), {"t": {"": [0, 4]}, "d": []})
+    write(replica, records, assignment_key(uid_of(0), 1), {"t": {}, "d": []})
+    write(
+        replica, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True)
+    )
     left: list[str] = []
     finals: dict[str, object] = {}
-    while book.jobs:
-        (job,) = to_move_out(book, 0)  # the others are needed
-        guards, changes = move_out(job, 5)
+    while replica.jobs:
+        (job,) = jobs_to_archive(replica, 0)  # the others are needed
+        guards, changes = archive_job(job, 5)
         assert len(guards) == 6
         assert len(changes) == 2
         for change in changes:
             if isinstance(change, Put):
                 finals[change.key] = change.value
             else:
-                write(book, records, change.key, None)
+                write(replica, records, change.key, None)
         left.append(job.spec.uid)
     assert left == [uid_of(2), uid_of(1), uid_of(0)]
-    assert finals == {final_key(uid): {"st": "cancelled", "d": 0} for uid in left}
-    assert to_clear(book, 4) == [Delete(share_key(uid_of(0), 1))]
-    write(book, records, share_key(uid_of(0), 1), None)
-    assert to_clear(book, 4) == []
+    assert finals == {archive_key(uid): {"st": "cancelled", "d": 0} for uid in left}
+    assert records_to_delete(replica, 4) == [Delete(assignment_key(uid_of(0), 1))]
+    write(replica, records, assignment_key(uid_of(0), 1), None)
+    assert records_to_delete(replica, 4) == []
     assert records == {}
 
 
@@ -251,19 +257,19 @@
 def test_a_job_recorded_after_one_that_it_needs_was_archived(outcome: str) -> None:
     """Its submission was on its way for so long: the outcome has to be looked up, since
     whoever reads the book alone would let it wait forever."""
-    book = JobBook()
+    replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     spec = parse_job(job_body(uid_of(2), awaits=[uid_of(1)]))
-    write(book, records, job_key(uid_of(2)), job_record(spec, 0.0, False))
-    assert book.lost == {uid_of(1)}
-    assert uid_of(2) in book.waiting
-    write(book, records, outcome_key(uid_of(1)), {"st": outcome})
-    assert book.lost == set()
-    assert book.jobs[uid_of(2)].ready == (outcome == "done")
-    assert book.jobs[uid_of(2)].cancelled == (outcome == "cancelled")
-    assert to_clear(book, 4) == []
-    write(book, records, job_key(uid_of(2)), None)
-    assert to_clear(book, 4) == [Delete(outcome_key(uid_of(1)))]
+    write(replica, records, job_key(uid_of(2)), job_record(spec, 0.0, False))
+    assert replica.unresolved_needs == {uid_of(1)}
+    assert uid_of(2) in replica.waiting
+    write(replica, records, outcome_key(uid_of(1)), {"st": outcome})
+    assert replica.unresolved_needs == set()
+    assert replica.jobs[uid_of(2)].ready == (outcome == "done")
+    assert replica.jobs[uid_of(2)].cancelled == (outcome == "cancelled")
+    assert records_to_delete(replica, 4) == []
+    write(replica, records, job_key(uid_of(2)), None)
+    assert records_to_delete(replica, 4) == [Delete(outcome_key(uid_of(1)))]
 
 
 # -- submissions ---------------------------------------------------------------------------
@@ -289,8 +295,8 @@
 
 def test_pieces_hold_all_names_within_the_limit() -> None:
     names = tuple(f"wk-{n:032d}" for n in range(700))
-    digest, pieces = need_pieces(names, 1900)
+    digest, pieces = split_needs(names, 1900)
     assert [name for piece in pieces for name in piece] == list(names)
     assert all(value_bytes({"n": piece}) <= 1945 for piece in pieces)
-    assert need_pieces(names, 1900) == (digest, pieces)
-    assert need_pieces(names[1:], 1900)[0] != digest
+    assert split_needs(names, 1900) == (digest, pieces)
+    assert split_needs(names[1:], 1900)[0] != digest
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,14 +8,22 @@
 from hypothesis import strategies as st
 
 from ryegauge.protocol.cloud import MachineType
-from ryegauge.scheduling.planner import Exhausted, Market, Need, Room, place, plan, whole_room
+from ryegauge.scheduling.planner import (
+    Demand,
+    ExhaustedKinds,
+    MachineCapacity,
+    Market,
+    place,
+    plan,
+    unused_capacity,
+)
 
 SMALL = MachineType("small", 4.0, 16.0, 0.4, 20.0, ["a", "b"], spot_price=0.1, fetch_gb_per_s=0.5)
 LARGE = MachineType("large", 16.0, 64.0, 1.2, 40.0, ["a"], spot_price=0.5, fetch_gb_per_s=0.5)
 TYPES = {"small": SMALL, "large": LARGE}
 
 
-def need(count: int = 1, **changes: object) -> Need:
+def need(count: int = 1, **changes: object) -> Demand:
     fields: dict[str, object] = {
         "uid": "wk-1",
         "count": count,
@@ -29,7 +37,7 @@
         "run_s": 30.0,
         "latest_finish": 1000.0,
     }
-    return Need(**{**fields, **changes})  # type: ignore[arg-type]
+    return Demand(**{**fields, **changes})  # type: ignore[arg-type]
 
 
 def market(**changes: object) -> Market:
@@ -42,8 +50,10 @@
     return Market(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def room(name: str, type_: MachineType = SMALL, zone: str = "a", spot: bool = True) -> Room:
-    return whole_room(type_, name, zone, spot, 0)
+def room(
+    name: str, type_: MachineType = SMALL, zone: str = "a", spot: bool = True
+) -> MachineCapacity:
+    return unused_capacity(type_, name, zone, spot, 0)
 
 
 rooms_strategy = st.lists(
@@ -86,18 +96,18 @@
             r.images.add("i")
         rooms.append(r)
     plain = [[r.cpus, r.memory_gb, r.type, r.zone, r.spot, "i" in r.images] for r in rooms]
-    for count, cpus, memory, spot_ok, zone, steady, sizes in wants:
+    for count, cpus, memory, allows_spot, zone, steady, sizes in wants:
         larger = tuple(size for size in sizes if size > cpus)
         n = need(
             count,
             cpus=cpus,
             memory_gb=memory,
-            spot_ok=spot_ok,
+            allows_spot=allows_spot,
             larger=larger,
             zones=None if zone is None else {zone: count},
         )
         got: dict[str, int] = {}
-        for r, k in place(n, rooms, steady_only=steady):
+        for r, k in place(n, rooms, on_demand_only=steady):
             got[r.name] = got.get(r.name, 0) + k
         level = [
             ((30.0 if p[5] else 30.0 + 1.0 / p[2].fetch_gb_per_s) // 3.0, not p[4]) for p in plain
@@ -114,7 +124,7 @@
                 for step, whole in enumerate((*larger, math.inf))
                 if free >= cpus
                 and mem >= memory
-                and (spot_ok or not spot)
+                and (allows_spot or not spot)
                 and not (steady and spot)
                 and zone in (None, where)
                 and free % whole >= cpus
@@ -149,9 +159,9 @@
             r.cpus -= count * size
             r.memory_gb -= count * size
             r.busy = [(rng.uniform(0.0, 60.0), 1, size, size, 0.0) for _ in range(count)]
-            r.part = i % 5
+            r.shard = i % 5
             if rng.random() < 0.1:
-                r.busy, r.ready_s = [], 12.0
+                r.busy, r.available_in_s = [], 12.0
                 starting.append(r)
             else:
                 running.append(r)
@@ -162,7 +172,7 @@
                 cpus=rng.choice([1.0, 2.0, 4.0, 8.0]),
                 memory_gb=rng.choice([1.0, 8.0]),
                 run_s=rng.choice([20.0, 30.0, 90.0]),
-                spot_ok=rng.random() < 0.8,
+                allows_spot=rng.random() < 0.8,
                 latest_finish=rng.uniform(20.0, 400.0),
                 larger=rng.choice([(), (8.0,)]),
             )
@@ -173,7 +183,7 @@
         return result.placements, result.rentals, result.unplaced, result.used
 
     decided = a_round()
-    monkeypatch.setattr(Exhausted, "covers", lambda *_, **__: False)
+    monkeypatch.setattr(ExhaustedKinds, "covers", lambda *_, **__: False)
     assert a_round() == decided
 
 
@@ -181,9 +191,9 @@
     """Found by measurement: with hundreds of CPUs free in pieces, tasks of 16 waited."""
     rooms = [room("m1", LARGE), room("m2", LARGE)]
     rooms[1].cpus = 14.0
-    place(need(6, cpus=1.0, larger=(8.0,)), rooms, steady_only=False)
+    place(need(6, cpus=1.0, larger=(8.0,)), rooms, on_demand_only=False)
     assert [r.cpus for r in rooms] == [16.0, 8.0]
-    place(need(10, cpus=1.0, larger=(8.0,)), rooms, steady_only=False)
+    place(need(10, cpus=1.0, larger=(8.0,)), rooms, on_demand_only=False)
     assert [r.cpus for r in rooms] == [14.0, 0.0]
 
 
@@ -227,10 +237,10 @@
 
 def test_one_zone_and_zone_limits() -> None:
     rooms = [room("m1", zone="a"), room("m2", zone="b"), room("m3", LARGE, zone="a")]
-    taken = place(need(5, one_zone=True), rooms, steady_only=False)
+    taken = place(need(5, one_zone=True), rooms, on_demand_only=False)
     assert {r.zone for r, _ in taken} == {"a"}
     rooms = [room("m1", zone="a"), room("m2", zone="b"), room("m3", LARGE, zone="a")]
-    spread = place(need(5, zones={"a": 3, "b": 3}), rooms, steady_only=False)
+    spread = place(need(5, zones={"a": 3, "b": 3}), rooms, on_demand_only=False)
     per_zone: dict[str, int] = {}
     for r, n in spread:
         per_zone[r.zone] = per_zone.get(r.zone, 0) + n
@@ -260,7 +270,7 @@
     result = plan([need(3)], [busy], [], market(), 0.0)
     assert [(r.type, r.count) for r in result.rentals] == [("small", 1)]
     # What comes later in the order may use the machine only if it ends before.
-    assert not place(need(1, run_s=30.0), [busy], steady_only=False)
+    assert not place(need(1, run_s=30.0), [busy], on_demand_only=False)
 
 
 def test_with_a_backlog_of_records_each_job_takes_one_part_first() -> None:
@@ -268,17 +278,17 @@
     and hundreds of placed tasks waited for the state service's rate of changes. What is
     left over is placed as usual, so no room stays free that would be used without."""
 
-    def machines(cpus: float) -> list[Room]:
-        rooms = [room(f"m-{part}", LARGE) for part in range(2)]
-        for part, each in enumerate(rooms):
-            each.part, each.cpus = part, cpus
+    def machines(cpus: float) -> list[MachineCapacity]:
+        rooms = [room(f"m-{shard}", LARGE) for shard in range(2)]
+        for shard, each in enumerate(rooms):
+            each.shard, each.cpus = shard, cpus
         return rooms
 
     for backlog, records in ((False, 3), (True, 2)):
         needs = [need(4, uid="wk-1"), need(4, uid="wk-2")]
         decided = plan(needs, machines(6.0), [], market(backlog=backlog), 0.0)
         assert sum(p.count for p in decided.placements) == 6
-        assert len({(p.uid, p.part) for p in decided.placements}) == records
+        assert len({(p.uid, p.shard) for p in decided.placements}) == records
     decided = plan([need(6, uid="wk-1")], machines(6.0), [], market(backlog=True), 0.0)
     assert sum(p.count for p in decided.placements) == 6
     assert decided.rentals == []
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -8,16 +8,16 @@
 from days import play
 from test_world import MIX, some_controllers
 
-from ryegauge.bookkeeping.finals import Finals
-from ryegauge.bookkeeping.jobbook import final_key
+from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
 from ryegauge.bookkeeping.state import StateClient, Unavailable
+from ryegauge.bookkeeping.state_replica import archive_key
 from ryegauge.config import Settings
 from ryegauge.emulator.network import SimulatedNetwork
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.world import World, run_simulated
 
 
-def small_book(tmp_path: Path) -> list[Settings]:
+def small_replica(tmp_path: Path) -> list[Settings]:
     """Jobs that are over leave the book almost at once."""
     result = []
     for each in some_controllers(tmp_path, 3):
@@ -62,7 +62,7 @@
                 took.append(trio.current_time() - began)
         requests.append(world.state.requests - before)
 
-    world = play(small_book(tmp_path), 4, MIX, script, 130.0)
+    world = play(small_replica(tmp_path), 4, MIX, script, 130.0)
     assert world.checker.broken == []
     assert world.unfinished <= {f"wk-80000{n}" for n in range(5)}
     assert set(seen) == {"known 200", "unknown 404"}
@@ -82,13 +82,13 @@
             service = StateService()
             network.handlers["s:1"] = service.handle
             for n in range(50):
-                service.data[final_key(f"wk-{n}")] = ({"st": "done", "d": n}, n + 1, None)
+                service.data[archive_key(f"wk-{n}")] = ({"st": "done", "d": n}, n + 1, None)
             client = network.at("a").client("s:1", max_connections=8, idle_s=9.0)
-            finals = Finals(StateClient(client, 1000.0, 1000.0, 1), 48, 30)
+            final_outcomes = FinalOutcomes(StateClient(client, 1000.0, 1000.0, 1), 48, 30)
             got: dict[str, object] = {}
 
             async def ask(uid: str) -> None:
-                got[uid] = await finals.find(uid)
+                got[uid] = await final_outcomes.find(uid)
 
             async with trio.open_nursery() as askers:
                 for n in range(400):
@@ -97,18 +97,18 @@
             # The first alone, then all others in nine transactions, and each that is there.
             assert service.requests < 70
             service.outage = True
-            assert await finals.find("wk-49") == {"st": "done", "d": 49}
+            assert await final_outcomes.find("wk-49") == {"st": "done", "d": 49}
             failed = 0
             for _ in range(2):
                 try:
-                    await finals.find("wk-77")
+                    await final_outcomes.find("wk-77")
                 except Unavailable:
                     failed += 1
             assert failed == 2
             service.end_outage()
             # One that was not there when it was last asked for may be there now.
-            service.data[final_key("wk-77")] = ({"st": "cancelled", "d": 0}, 99, None)
-            assert await finals.find("wk-77") == {"st": "cancelled", "d": 0}
+            service.data[archive_key("wk-77")] = ({"st": "cancelled", "d": 0}, 99, None)
+            assert await final_outcomes.find("wk-77") == {"st": "cancelled", "d": 0}
             nursery.cancel_scope.cancel()
 
     run_simulated(main, 1)
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -7,8 +7,8 @@
 import pytest
 import trio
 from days import Day, play
-from test_leader import SMALL, Lead
-from test_part import Part
+from test_leader import SMALL, LeaderHarness
+from test_part import ShardHarness
 from test_world import some_controllers
 
 from ryegauge.config import Settings
@@ -19,55 +19,59 @@
 def test_a_list_older_than_the_one_before_drops_nothing(settings: Settings) -> None:
     """Found by reading: what had just been listed and was not up yet left the fleet, was rented
     again, and counted as taken by the cloud if it was a spot machine."""
-    lead = Lead(settings)
+    lead = LeaderHarness(settings)
     new = ListedMachine("m-1", "small", "a", True, "starting", 1.0)
-    lead.leader.on_list([new], lead.now)
+    lead.leader.on_machine_list([new], lead.now)
     lead.job("wk-000001", pieces=2)
     for _ in range(7):
         lead.now += 1.0
-        lead.leader.on_list([], lead.now)
+        lead.leader.on_machine_list([], lead.now)
         lead.round()
-        assert lead.last.rentals == []
-    lead.leader.on_list([new], lead.now)
+        assert lead.last_result.rentals == []
+    lead.leader.on_machine_list([new], lead.now)
     lead.now += 8.5  # twice the lag, and more: it is gone
-    lead.leader.on_list([], lead.now)
+    lead.leader.on_machine_list([], lead.now)
     assert lead.leader.fleet.machines == {}
     lead.round()
-    assert sum(r.count for r in lead.last.rentals) == 1
+    assert sum(r.count for r in lead.last_result.rentals) == 1
 
 
 def test_what_is_listed_as_starting_is_kept_until_its_owner_is_heard(settings: Settings) -> None:
     """Found by reading: the list lags, so a machine that came up late may run tasks while it is
     listed as starting; a new leader returned it before its owner had shown anything."""
-    lead = Lead(settings)
-    lead.leader = Leader(10, lead.book, settings, lead.now, {"small": SMALL})
-    lead.leader.on_list([ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now)
+    lead = LeaderHarness(settings)
+    lead.leader = Leader(10, lead.replica, settings, lead.now, {"small": SMALL})
+    lead.leader.on_machine_list(
+        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now
+    )
     assert lead.leader.round(lead.now, lead.now).releases == []
     lead.machine("m-1", empty=False)
     lead.round()
-    assert lead.last.releases == []
+    assert lead.last_result.releases == []
     del lead.machines["m-1"]
-    lead.leader = Leader(11, lead.book, settings, lead.now, {"small": SMALL})
-    lead.leader.on_list([ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now)
+    lead.leader = Leader(11, lead.replica, settings, lead.now, {"small": SMALL})
+    lead.leader.on_machine_list(
+        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now
+    )
     lead.round()
-    assert lead.last.releases == ["m-1"]
+    assert lead.last_result.releases == ["m-1"]
 
 
 def test_a_machine_that_shows_itself_before_its_rental_is_answered(settings: Settings) -> None:
     """Found by reading: it is one of those that were asked for; as long as their request had no
     answer, work waited for as many besides it."""
-    lead = Lead(settings)
+    lead = LeaderHarness(settings)
     lead.job("wk-000001", pieces=2)
     lead.round()
-    (rental,) = lead.last.rentals
+    (rental,) = lead.last_result.rentals
     fleet = lead.leader.fleet
-    fleet.renting(rental, lead.now)
+    fleet.on_rental_sent(rental, lead.now)
     lead.round()
-    assert lead.last.rentals == []
+    assert lead.last_result.rentals == []
     lead.machine("m-1", zone=rental.zone, spot=rental.spot)
     lead.job("wk-000002", pieces=2)
     assert sum(lead.round().values()) == 2
-    assert sum(r.count for r in lead.last.rentals) == 1
+    assert sum(r.count for r in lead.last_result.rentals) == 1
     fleet.rented(rental, ["m-1"], lead.now)
     assert fleet.machines["m-1"].reported
     assert fleet.starting(lead.now) == []
@@ -76,14 +80,14 @@
 def test_new_machines_do_not_hold_the_barrier(settings: Settings) -> None:
     """Found by reading: each is there without our token for a report, and while some came every
     second nothing was concluded of the tasks that the earlier owner had."""
-    part = Part(settings, [0])
+    shard = ShardHarness(settings, [0])
     for n in range(13):
-        part.tick(1.0)
-        part.report(machine=f"m-{n}", seq=1, token=0)
+        shard.tick(1.0)
+        shard.report(machine=f"m-{n}", seq=1, token=0)
         if n:
-            part.report(machine=f"m-{n - 1}", seq=2)
-        part.tick()
-        assert (part.phase(0) == "unseen") == (n < 10)
+            shard.report(machine=f"m-{n - 1}", seq=2)
+        shard.tick()
+        assert (shard.phase(0) == "unseen") == (n < 10)
 
 
 def unused_s(world: Day, name: str) -> float:
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -114,8 +114,8 @@
         world.state.history_s = 30.0
         await trio.sleep(40.0)
         ran.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
-        shares = [k for k in world.state.data if k.startswith("r/j/") and k.count("/") == 3]
-        for key in shares:
+        assignments = [k for k in world.state.data if k.startswith("r/j/") and k.count("/") == 3]
+        for key in assignments:
             del world.state.data[key]
         world.crash(0, 1, 2)
 
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -8,10 +8,17 @@
 
 import pytest
 
-from ryegauge.detection.verdicts import Evidence, Grade, Limits, Outcome, Probe, judge
+from ryegauge.detection.failure_diagnosis import (
+    DetectionLimits,
+    Evidence,
+    ProbeOutcome,
+    ProbeResult,
+    Severity,
+    diagnose,
+)
 
 LEASE, ANSWER, UNTIL = 3, 1, 8
-LIMITS = Limits(gap_s=0.5, lease_s=float(LEASE))
+LIMITS = DetectionLimits(gap_s=0.5, lease_s=float(LEASE))
 
 
 class State(NamedTuple):
@@ -29,15 +36,15 @@
     elsewhere: bool = False
 
 
-def grade(s: State) -> Grade:
+def severity(s: State) -> Severity:
     silent = float(s.now - s.heard)
     probes = [
-        Probe(by, Outcome.NO_CONNECTION, float(s.now))
+        ProbeResult(by, ProbeOutcome.NO_CONNECTION, float(s.now))
         for by, asked in zip(("owner", "helper"), s.asked, strict=True)
         if asked
     ]
     # The owner hears few of its machines: only others' word can call this one lost.
-    return judge(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).grade
+    return diagnose(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).severity
 
 
 def steps(s: State, fault: str) -> Iterator[State]:
@@ -59,7 +66,7 @@
     if s.cut or not s.power:
         yield s._replace(asked=(True, s.asked[1]))
         yield s._replace(asked=(s.asked[0], True))
-    if s.release == "none" and grade(s) >= Grade.LOST:
+    if s.release == "none" and severity(s) >= Severity.LOST:
         yield s._replace(release="sent", free=s.free or fault == "sent")
     if s.release in ("sent", "lost"):  # a request without an answer may be executed late
         yield s._replace(
@@ -69,7 +76,7 @@
     if s.release == "executed":
         yield s._replace(release="answered", free=True)
     surely_over = s.now > s.heard + LEASE - (1 if fault == "early" else 0)
-    if surely_over or (fault == "verdict" and grade(s) >= Grade.LOST):
+    if surely_over or (fault == "verdict" and severity(s) >= Severity.LOST):
         yield s._replace(free=True)
     if s.free and not s.elsewhere:
         yield s._replace(elsewhere=True)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -9,9 +9,9 @@
 from test_rebuilding_days import rebuilding
 from test_world import MIX, some_controllers
 
-from ryegauge.bookkeeping.state import Delete, Put, Unknown
+from ryegauge.bookkeeping.state import Delete, OutcomeUnknown, Put
 from ryegauge.coordination.node import Node
-from ryegauge.detection.reach import Reach
+from ryegauge.detection.peer_reachability import PeerReachability
 from ryegauge.emulator.world import World
 from ryegauge.transport.http import Reply, decode
 
@@ -49,9 +49,9 @@
         assert held == [0, 200]  # its lease had not ended yet
         node = world.nodes[1]
         assert isinstance(node, Node)
-        assert world.state.data["r/n/node-1"][0]["i"] == node._desk.term.incarnation
-        assert node._desk.owned
-        assert all("node-1" in other._desk.book.nodes for other in world.nodes.values())
+        assert world.state.data["r/n/node-1"][0]["i"] == node._context.controller_lease.incarnation
+        assert node._context.owned
+        assert all("node-1" in other._context.replica.nodes for other in world.nodes.values())
 
     world = play(rebuilding(tmp_path, 3), 6, MIX, script, 150.0)
     assert world.checker.broken == []
@@ -67,7 +67,7 @@
     async def script(world: World) -> None:
         await trio.sleep(20.0)
         node = world.nodes[0]
-        state, reach = node._desk.state, node._mesh.reach
+        state, reachability = node._context.state, node._peer_messenger.reachability
         deaf_to = {"10.0.0.1"}
         with world.cut(deaf_to, {"10.2.0.1"}, hold=False):
             await trio.sleep(5.0)  # it has found that its peers carry its requests
@@ -84,24 +84,24 @@
                 world.network.handlers[address] = hangs
             put: list[Put | Delete] = [Put("x/once", {"n": 1})]
             revision = world.state.revision
-            with pytest.raises(Unknown, match="may have carried it"):
+            with pytest.raises(OutcomeUnknown, match="may have carried it"):
                 await state.commit({"x/once": 0}, put, timeout_s=1.0)
             assert world.state.data["x/once"][1] > revision
             now = trio.current_time()
-            assert any(reach.silent(name, now) for name in node._mesh.peers)
+            assert any(reachability.silent(name, now) for name in node._peer_messenger.peers)
 
     world = play(some_controllers(tmp_path, 5), 3, [], script, 32.0)
     assert world.checker.broken == []
 
 
 def test_those_that_hang_are_asked_last() -> None:
-    reach = Reach(4.0)
+    reachability = PeerReachability(4.0)
     names = ["a", "b", "c", "d"]
-    assert {reach.order(names, 0.0)[0] for _ in names} == set(names)  # in turn
-    reach.missed("b", 1.0)
-    reach.missed("a", 2.0)
-    assert reach.order(names, 3.0)[2:] == ["b", "a"]
-    assert sorted(reach.order(names, 3.0)) == names
-    reach.answered("a")
-    assert reach.order(names, 3.0)[3] == "b"
-    assert not reach.silent("b", 5.1)
+    assert {reachability.answering_first(names, 0.0)[0] for _ in names} == set(names)  # in turn
+    reachability.on_timeout("b", 1.0)
+    reachability.on_timeout("a", 2.0)
+    assert reachability.answering_first(names, 3.0)[2:] == ["b", "a"]
+    assert sorted(reachability.answering_first(names, 3.0)) == names
+    reachability.on_answer("a")
+    assert reachability.answering_first(names, 3.0)[3] == "b"
+    assert not reachability.silent("b", 5.1)
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -12,12 +12,12 @@
 import trio
 from conftest import job_body, settings_text
 
-from ryegauge.bookkeeping.budget import SOON, URGENT, USUAL, Budget
+from ryegauge.bookkeeping.budget import RESERVE_DEFAULT, RESERVE_INTERACTIVE, RESERVE_URGENT, Budget
 from ryegauge.config import Settings, load
 from ryegauge.emulator.fleet import FleetType
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.world import World, run_simulated
-from ryegauge.transport.http import Refused, Reply, Unreachable, decode
+from ryegauge.transport.http import ConnectionRefused, Reply, Unreachable, decode
 
 EVERY_S, FIRST_S = 0.25, 30.0
 COUNT = 240
@@ -32,7 +32,7 @@
 CHANGES, ARCHIVED, REPEATED = 3.25, 3.0, 0.25
 
 
-class Asked(NamedTuple):
+class PendingRental(NamedTuple):
     at: float
     took_s: float
     what: str
@@ -77,7 +77,7 @@
     def __init__(self, settings: list[Settings], seed: int) -> None:
         self.counts = CountingState()
         super().__init__(settings, seed, fleet=FLEET, state=self.counts, resubmits=0.0)
-        self.asked: list[Asked] = []
+        self.asked: list[PendingRental] = []
         self.submitted: dict[str, tuple[float, float]] = {}  # first asked, accepted
         self.troubles: list[tuple[float, float]] = []
 
@@ -93,12 +93,12 @@
                 status, answer, after_s = await self.network.call(
                     "users", address, method, target, body, 2.0 if what == "poll" else 5.0
                 )
-            except Refused:
+            except ConnectionRefused:
                 continue
             except Unreachable:
                 status = 0
             break
-        self.asked.append(Asked(began, trio.current_time() - began, what, status, uid))
+        self.asked.append(PendingRental(began, trio.current_time() - began, what, status, uid))
         self.checker.answered(uid, status, answer, what, began)
         return status, answer, max(1.0, after_s or 0.0)
 
@@ -293,14 +293,14 @@
 
         async def singles() -> None:
             while True:
-                await take("single", 1.0, SOON)
+                await take("single", 1.0, RESERVE_INTERACTIVE)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(singles)
             await trio.sleep(3.0)
-            nursery.start_soon(take, "usual", 1.0, USUAL)
-            nursery.start_soon(take, "group", 4.0, SOON)
-            nursery.start_soon(take, "claim", 6.0, URGENT)
+            nursery.start_soon(take, "usual", 1.0, RESERVE_DEFAULT)
+            nursery.start_soon(take, "group", 4.0, RESERVE_INTERACTIVE)
+            nursery.start_soon(take, "claim", 6.0, RESERVE_URGENT)
             await trio.sleep(6.0)
             nursery.cancel_scope.cancel()
 
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -9,14 +9,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryegauge.bookkeeping.jobbook import JobBook, job_record
 from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import StateReplica, job_record
 from ryegauge.cli import main
 from ryegauge.config import ConfigError, load, load_properties
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.rebuilding import snapshots
-from ryegauge.rebuilding.records import Kept, Known
-from ryegauge.rebuilding.snapshots import About, Unusable, decoded, encoded, proof
+from ryegauge.rebuilding.records import KnownRecord, KnownState
+from ryegauge.rebuilding.snapshots import (
+    SnapshotHeader,
+    Unusable,
+    decoded,
+    encode_snapshot,
+    evidence_of_loss,
+)
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers(0, 2**60) | st.text(max_size=8) | st.floats(0, 1e9),
@@ -25,9 +31,9 @@
     ),
     max_leaves=6,
 )
-KNOWN = st.builds(Known, VALUES, st.integers(0, 255), st.integers(0, 2**36))
+KNOWN = st.builds(KnownRecord, VALUES, st.integers(0, 255), st.integers(0, 2**36))
 KEPT = st.builds(
-    Kept,
+    KnownState,
     st.dictionaries(st.text(max_size=12), KNOWN, max_size=250),
     st.dictionaries(
         st.text(max_size=9),
@@ -36,19 +42,19 @@
     ),
     st.just(False),
 )
-ABOUT = About("f1", "node-0", 1_700_000_000.25, 2, 77)
+HEADER = SnapshotHeader("f1", "node-0", 1_700_000_000.25, 2, 77)
 
 
 @given(KEPT)
-def test_round_trip(kept: Kept) -> None:
-    pieces = list(encoded(ABOUT, kept))
-    assert len(pieces) >= 4 + len(kept.records) // 100
-    assert decoded(b"".join(pieces), "f1") == (ABOUT, kept)
+def test_round_trip(known_state: KnownState) -> None:
+    pieces = list(encode_snapshot(HEADER, known_state))
+    assert len(pieces) >= 4 + len(known_state.records) // 100
+    assert decoded(b"".join(pieces), "f1") == (HEADER, known_state)
 
 
 def test_whatever_is_not_as_written_is_named() -> None:
-    kept = Kept({"r/j/a": Known({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
-    data = b"".join(encoded(ABOUT, kept))
+    known_state = KnownState({"r/j/a": KnownRecord({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
+    data = b"".join(encode_snapshot(HEADER, known_state))
     for at in range(len(data)):
         changed = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]
         with pytest.raises(Unusable):
@@ -63,45 +69,53 @@
         decoded(data[:18] + b"\x09" + data[19:])
 
 
-def book_of(versions: dict[str, int], ledger: int) -> JobBook:
-    book = JobBook()
+def replica_of(versions: dict[str, int], state_revision: int) -> StateReplica:
+    replica = StateReplica()
     record = job_record(parse_job(job_body("wk-000001")), 1.0, False)
     share = {"t": {"": [0, 2]}, "d": []}
-    book.replace(
-        [Event(k, share if k.count("/") == 3 else record, v) for k, v in versions.items()], ledger
+    replica.replace(
+        [Event(k, share if k.count("/") == 3 else record, v) for k, v in versions.items()],
+        state_revision,
     )
-    return book
+    return replica
 
 
 def test_only_what_is_older_than_the_snapshot_proves_a_loss() -> None:
-    record = Known(job_record(parse_job(job_body("wk-000001")), 1.0, False), 0, 5)
-    share = Known({"t": {"": [0, 2]}, "d": []}, 0, 7)
-    kept = Kept({"r/j/wk-000001": record, "r/j/wk-000001/0": share}, {"wk-2": ("done", 1)}, False)
-    snapshot = decoded(b"".join(encoded(ABOUT._replace(era=0, ledger=7), kept)))
+    record = KnownRecord(job_record(parse_job(job_body("wk-000001")), 1.0, False), 0, 5)
+    share = KnownRecord({"t": {"": [0, 2]}, "d": []}, 0, 7)
+    known_state = KnownState(
+        {"r/j/wk-000001": record, "r/j/wk-000001/0": share}, {"wk-2": ("done", 1)}, False
+    )
+    snapshot = decoded(
+        b"".join(encode_snapshot(HEADER._replace(epoch=0, state_revision=7), known_state))
+    )
     both = {"r/j/wk-000001": 5, "r/j/wk-000001/0": 7}
-    assert proof(snapshot, book_of(both, 7)) == ""
-    assert proof(snapshot, book_of({**both, "r/j/wk-000001/0": 9}, 9)) == ""
-    assert "revision 7, after 6" in proof(snapshot, book_of(both, 6))
-    assert "wk-000001/0" in proof(snapshot, book_of({"r/j/wk-000001": 5}, 9))
-    assert "era 2" in proof(snapshot._replace(about=ABOUT), book_of(both, 99))
+    assert evidence_of_loss(snapshot, replica_of(both, 7)) == ""
+    assert evidence_of_loss(snapshot, replica_of({**both, "r/j/wk-000001/0": 9}, 9)) == ""
+    assert "revision 7, after 6" in evidence_of_loss(snapshot, replica_of(both, 6))
+    assert "wk-000001/0" in evidence_of_loss(snapshot, replica_of({"r/j/wk-000001": 5}, 9))
+    assert "era 2" in evidence_of_loss(snapshot._replace(header=HEADER), replica_of(both, 99))
     # That a job is not there proves nothing until it is looked for among those that left.
-    assert proof(snapshot, book_of({}, 9)) == ""
-    assert list(snapshots.unaccounted(snapshot, book_of({}, 9))) == ["wk-000001", "wk-2"]
-    assert list(snapshots.unaccounted(snapshot, book_of(both, 9))) == ["wk-2"]
+    assert evidence_of_loss(snapshot, replica_of({}, 9)) == ""
+    assert list(snapshots.missing_jobs(snapshot, replica_of({}, 9))) == ["wk-000001", "wk-2"]
+    assert list(snapshots.missing_jobs(snapshot, replica_of(both, 9))) == ["wk-2"]
 
 
 def test_the_newest_are_kept() -> None:
-    names = [snapshots.name_of(ABOUT._replace(at=at)) for at in (5.0, 100.0, 20.0, 1_700_000_000.0)]
-    assert snapshots.outdated([*names, "other"], 3) == [names[0]]
+    names = [
+        snapshots.snapshot_name(HEADER._replace(at=at))
+        for at in (5.0, 100.0, 20.0, 1_700_000_000.0)
+    ]
+    assert snapshots.snapshots_to_delete([*names, "other"], 3) == [names[0]]
 
 
 def test_the_command(tmp_path: Path) -> None:
     config = tmp_path / "settings.toml"
     config.write_text(settings_text())
-    about = ABOUT._replace(fleet=snapshots.fleet_of(load(config)))
-    kept = Kept({"r/j/a": Known({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
-    good, bad = tmp_path / snapshots.name_of(about), tmp_path / "0-node-1.ryegauge"
-    data = b"".join(encoded(about, kept))
+    header = HEADER._replace(fleet=snapshots.fleet_of(load(config)))
+    known_state = KnownState({"r/j/a": KnownRecord({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
+    good, bad = tmp_path / snapshots.snapshot_name(header), tmp_path / "0-node-1.ryegauge"
+    data = b"".join(encode_snapshot(header, known_state))
     good.write_bytes(data)
     bad.write_bytes(data[:-1])
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -11,8 +11,8 @@
 from conftest import settings_text
 from days import play
 
-from ryegauge.bookkeeping.jobbook import JobBook, Share, job_record
 from ryegauge.bookkeeping.state import Event
+from ryegauge.bookkeeping.state_replica import Assignment, StateReplica, job_record
 from ryegauge.config import load
 from ryegauge.emulator.world import World
 from ryegauge.protocol.jobs import parse_job
@@ -120,19 +120,19 @@
 
 
 def test_records_of_production_are_read() -> None:
-    book = JobBook()
+    replica = StateReplica()
     events = [Event(key, value, 7) for key, value in DATA["records"].items()]
-    book.replace([event for event in events if event.key.startswith("r/")], 7)
+    replica.replace([event for event in events if event.key.startswith("r/")], 7)
     jobs = {key.split("/")[2] for key in DATA["records"] if re.fullmatch(r"r/j/[^/]+", key)}
-    assert set(book.jobs) == jobs
-    assert {job.status for job in book.jobs.values()} <= {"done", "cancelled"}
-    assert not book.waiting
-    assert not book.orphans
-    assert book.leader is not None
-    assert set(book.parts) == {0, 1, 2}
+    assert set(replica.jobs) == jobs
+    assert {job.status for job in replica.jobs.values()} <= {"done", "cancelled"}
+    assert not replica.waiting
+    assert not replica.orphans
+    assert replica.leader is not None
+    assert set(replica.shards) == {0, 1, 2}
     for key, value in DATA["records"].items():
         if re.fullmatch(r"r/j/wk-\d+/\d+", key):
-            assert Share.from_record(value, 7).to_record() == {
+            assert Assignment.from_record(value, 7).to_record() == {
                 "t": {zone: flat for zone, flat in value["t"].items() if flat},
                 "d": value["d"],
             }
