--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -24,7 +24,7 @@
         """Those that the book does not have yet. Raises Unavailable if the answer
         contradicts earlier ones, and Gone if everything is to be read anew."""
 
-    def reread(self, items: list[Event], state_revision: int) -> None:
+    def on_full_read(self, items: list[Event], state_revision: int) -> None:
         """Everything was read. Raises Unavailable as above."""
 
 
@@ -87,7 +87,7 @@
         if question.failed:
             raise Unavailable("the state service did not answer")
 
-    def reread(self) -> None:
+    def request_full_read(self) -> None:
         """Everything anew, with the next read."""
         self._full = True
         self._asked.set()
@@ -167,7 +167,7 @@
         )
         more = self.observer is not None and self.observer.has_unread_commits
         if self.observer is not None:
-            self.observer.reread(items, first)
+            self.observer.on_full_read(items, first)
         self._replica.replace(items, first)
         if self.observer is not None:
             self.observer.begin()
--- a/ryegauge/cli/controller.py
+++ b/ryegauge/cli/controller.py
@@ -33,6 +33,7 @@
         fail(str(error), 2)
     click.echo(
         f"{config}: good: controller {settings.node_name} of {settings.settings.nodes}, "
-        f"{len(settings.settings.teams)} teams, term of authority {settings.controller_lease_s:.3g} s, "
+        f"{len(settings.settings.teams)} teams, "
+        f"term of authority {settings.controller_lease_s:.3g} s, "
         f"order of jobs: {settings.properties.ordering}{bound}"
     )
--- a/ryegauge/cli/snapshot.py
+++ b/ryegauge/cli/snapshot.py
@@ -63,8 +63,9 @@
     jobs = sum(key.startswith("r/j/") and key.count("/") == 2 for key in known_state.records)
     at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(header.at))
     return (
-        f"{path}: good: {at}, by {header.node}, era {header.epoch}, revision {header.state_revision}, "
-        f"{jobs} jobs in {len(known_state.records)} records, {len(known_state.finals)} outcomes"
+        f"{path}: good: {at}, by {header.node}, era {header.epoch}, "
+        f"revision {header.state_revision}, {jobs} jobs in {len(known_state.records)} records, "
+        f"{len(known_state.final_outcomes)} outcomes"
     ), True
 
 
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -54,7 +54,7 @@
 
 
 class _Submission:
-    __slots__ = ("extra_puts", "done", "outcome", "record", "size", "uid")
+    __slots__ = ("done", "extra_puts", "outcome", "record", "size", "uid")
 
     def __init__(self, uid: str, record: dict[str, Any], extra_puts: tuple[Put, ...]) -> None:
         self.uid = uid
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -206,7 +206,7 @@
 
         self._held.keep(may_be_mistaken)
         told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
-        for uid, machines, tries in self._held.told(told, now):
+        for uid, machines, tries in self._held.on_failing(told, now):
             log.warning(
                 "%s is held back: its tasks failed %d times on %d machines and none was done; "
                 "one is tried after %.0f s, then ever more seldom, until it succeeds or its user "
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -26,7 +26,7 @@
     at: float  # when it was asked, in the judge's clock
 
     @staticmethod
-    def of(by: str, outcome: str, at: float) -> "Probe | None":
+    def of(by: str, outcome: str, at: float) -> "ProbeResult | None":
         """None for an outcome that was not had, or that only a later version knows."""
         return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
--- a/ryegauge/experiments/served.py
+++ b/ryegauge/experiments/served.py
@@ -49,5 +49,5 @@
             done[name] += len(finished[uid])
             due[f"{name} begun"] += 1
             done[f"{name} begun"] += began.get(uid, float("inf")) <= submitted[uid] + BEGIN_S
-    assignments = sorted((round(done[name] / count, 3), name) for name, count in due.items())
-    return assignments[0] if assignments else (1.0, "")
+    shares = sorted((round(done[name] / count, 3), name) for name, count in due.items())
+    return shares[0] if shares else (1.0, "")
--- a/ryegauge/queues/front.py
+++ b/ryegauge/queues/front.py
@@ -191,7 +191,7 @@
                 lambda: self._front.submit(spec, debt),
                 # Another consumer may have the message that it names, not yet recorded.
                 unknown_s=self._needs_s if spec.needs else 0.0,
-                release_shard=not acked,
+                may_requeue=not acked,
             )
             if reply is None:
                 serving.meter.fates["requeued"] += 1
@@ -229,12 +229,12 @@
         serving: Serving,
         ask: Callable[[], Awaitable[Reply]],
         unknown_s: float = 0.0,
-        release_shard: bool = True,
+        may_requeue: bool = True,
     ) -> Reply | None:
         """Until it is answered for good; 422 counts as that only after `unknown_s`. The
         message stays with its broker meanwhile, and the broker gives us no more than the
         window: nothing piles up here. None: not for so long that another should try, who may
-        reach the state service; what was acknowledged before (`give_back` false) has no other."""
+        reach the state service; what was acknowledged before (`may_requeue` false) has no other."""
         began = trio.current_time()
         pause_s = self._least_pause_s
         while True:
@@ -254,7 +254,7 @@
             if refused:
                 serving.meter.retries += 1
                 serving.window.refused()
-                if release_shard and trio.current_time() > began + unknown_s + self._needs_s:
+                if may_requeue and trio.current_time() > began + unknown_s + self._needs_s:
                     return None
             await trio.sleep(max(after_s, pause_s * self._rng.uniform(0.75, 1.25)))
             pause_s = min(2 * pause_s, 8 * self._least_pause_s)
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -196,7 +196,7 @@
                 return f"what we wrote at {revision} is not among the changes"
         return ""
 
-    def reread(self, items: list[Event], state_revision: int) -> None:
+    def on_full_read(self, items: list[Event], state_revision: int) -> None:
         """Everything was read: after a verdict, in a new era, or since the changes asked for
         are no longer kept."""
         epoch = next((event.value["e"] for event in items if event.key == EPOCH_KEY), 0)
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -38,7 +38,7 @@
     final_outcomes: dict[str, tuple[Outcome, int]]
     saw_loss: bool
 
-    def over(self, older: "Kept | None") -> "KnownState":
+    def over(self, older: "KnownState | None") -> "KnownState":
         """With what an older one has beside it: of an earlier era, when there were two losses
         in a row, or of a snapshot. The newer record counts; what is over stays so."""
         if older is None:
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,9 +8,9 @@
 
 from ryegauge.config import Peer, Settings
 from ryegauge.coordination.connection_limits import (
-    CLOUD,
+    MAX_CLOUD_CONNECTIONS,
     MAX_CONNECTIONS_PER_PEER,
-    STATE,
+    MAX_STATE_CONNECTIONS,
     divide_connections,
 )
 from ryegauge.transport.http import MAX_BODY_BYTES, Reply, Server, decode, encode
@@ -172,7 +172,7 @@
             settings, known=known, settings=msgspec.structs.replace(settings.settings, quota=quota)
         )
     )
-    ours = STATE + CLOUD + MAX_CONNECTIONS_PER_PEER * peers
+    ours = MAX_STATE_CONNECTIONS + MAX_CLOUD_CONNECTIONS + MAX_CONNECTIONS_PER_PEER * peers
     assert got.public >= most // 2
     if most >= 600:
         assert got.public + got.inbound_peers + 2 * got.commands + got.probes + ours < most
