--- a/ryegauge/config.py
+++ b/ryegauge/config.py
@@ -15,7 +15,7 @@
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
-Assignment = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 # A value that a job's record fits into with names of ordinary length.
 LEAST_VALUE = 950
@@ -134,7 +134,7 @@
 class Properties(msgspec.Struct, frozen=True):
     """The operators' own settings; docs/operations/ explains each."""
 
-    takeback_threshold: Assignment = 0.6
+    takeback_threshold: Fraction = 0.6
     takeback_window_s: Positive = 30.0
     # How long a machine may stand idle, as a multiple of its nominal boot time.
     idle_boots: NonNegative = 0.5
@@ -144,7 +144,7 @@
     paid_period_s: NonNegative = 60.0
     # How much is rented ahead for tasks on machines that are most likely lost, before that is
     # sure: CPUs, as a share of the running fleet's. docs/operations/recovery.md.
-    ahead_share: Assignment = 0.5
+    ahead_share: Fraction = 0.5
     # In which order jobs get room; docs/operations/priorities.md.
     ordering: Literal["settled", "ageing", "strict"] = "settled"
     # How long the first task of a critical job waits before its age counts, in leases,
@@ -152,8 +152,8 @@
     ageing_patience_leases: Positive = 10.0
     ageing_rank_factor: Annotated[float, msgspec.Meta(ge=1)] = 2.0
     # Share of the fleet reserved for aged work: at least, and at most.
-    ageing_floor: Assignment = 0.05
-    ageing_ceiling: Assignment = 0.1
+    ageing_floor: Fraction = 0.05
+    ageing_ceiling: Fraction = 0.1
     # How long room is held free for an aged task that fits nowhere, in leases.
     ageing_hold_leases: NonNegative = 10.0
     # How long urgent work waits before lower work is stopped for it, in reports.
