--- a/ryegauge/coordination/allotting.py
+++ b/ryegauge/coordination/allotting.py
@@ -1,5 +1,5 @@
-"""Who gets room: jobs in their order of precedence, within their teams' limits, and what
-their parts' shares become. Pure functions of the book."""
+"""Which jobs get capacity: their open tasks in order of precedence, within their teams' limits,
+and the resulting assignments to parts. Pure functions of the book."""
 
 import math
 from collections.abc import Callable
@@ -16,16 +16,18 @@
 from ryegauge.scheduling.estimates import Estimates
 from ryegauge.scheduling.planner import EPSILON, Need, Plan, Room
 
-# What a share's record takes besides its ranges: names, and zones if they are tracked.
+# Size of a share's record without its ranges: field names, and zones if they are recorded.
 RECORD_BYTES = 256
 
 
 def within_guarantee(
     book: JobBook, teams: dict[str, Team], order: Callable[[Job], Any]
 ) -> set[str]:
-    """Jobs that fit into their team's guarantee together with those of the team's
-    unfinished jobs that come earlier in the order: they need not wait for other
-    teams. Jobs that wait for others hold no part of it."""
+    """UIDs of the jobs that fit into their team's guaranteed CPUs and GPUs together with the
+    team's unfinished jobs before them in `order`.
+
+    They take precedence over the work of other teams beyond its guarantee. Jobs that still wait
+    for their dependencies take up none of the guarantee."""
     unfinished = sorted((job for job in book.live.values() if not job.over), key=order)
     cpus: dict[str, float] = {}
     gpus: dict[str, float] = {}
@@ -54,9 +56,11 @@
     held: HeldBack,
     now: float,
 ) -> tuple[list[Need], dict[str, Job]]:
-    """Open tasks within their team's limits, in the policy's order of precedence. A job
-    may come twice, with some of its tasks and with the rest. Of one that is held back a
-    single task comes, or a gang, when its time has come; nothing is rented for it."""
+    """Demands for the open tasks within their teams' limits, in the policy's order of
+    precedence, and the jobs that they belong to, by UID.
+
+    A job may occur twice, with some of its tasks and with the rest. A held-back job occurs only
+    when its retry is due, with a single task (a gang with all), and nothing is rented for it."""
     used_cpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     used_gpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     open_jobs: dict[str, Job] = {}
@@ -133,14 +137,14 @@
 
 
 def _within(count: int, each: float, free: float) -> int:
-    """How many of so many tasks fit into what their team may still use."""
+    """How many of `count` tasks fit into what their team may still use of a resource."""
     if each <= 0 or free == math.inf:
         return count
     return min(count, int((free + EPSILON) // each))
 
 
 class FleetSize:
-    """What all running machines have together."""
+    """The total CPUs, memory and GPUs of all running machines."""
 
     def __init__(self, running: list[Room]) -> None:
         self._cpus = sum(room.type.cpus for room in running)
@@ -148,7 +152,8 @@
         self._gpus = sum(room.type.gpus for room in running)
 
     def weight(self, spec: JobSpec) -> float:
-        """The largest share of any resource that one task takes; 1 while there is none."""
+        """The largest share of any resource of the fleet that one task takes, 1.0 for a resource
+        that the fleet does not have."""
         return (
             max(
                 part / whole if whole > 0 else 1.0
@@ -165,8 +170,8 @@
 
 
 def holdings(book: JobBook, urgencies: Urgencies, fleet: FleetSize) -> list[Holding]:
-    """What counts against the share for aged work: tasks that end, of jobs that are not
-    over. (Services hold their room for good and would close the share to all others.)"""
+    """What counts against the share of the fleet reserved for aged jobs: the assigned tasks of
+    unfinished jobs. Services are left out: they never end and would use up the share for good."""
     return [
         Holding(
             urgencies.rank(job),
@@ -181,7 +186,9 @@
 
 
 def allot(decided: Plan, jobs: dict[str, Job], value_bytes: int) -> dict[tuple[str, int], Share]:
-    """The shares as they should become, where the plan gives a part more of a job."""
+    """The new shares, by (job UID, part), of the parts to which the plan assigns more tasks.
+
+    No share grows beyond a record of `value_bytes`; tasks that do not fit stay open."""
     result: dict[tuple[str, int], Share] = {}
     taken: dict[str, Ranges] = {}
     for placement in decided.placements:
@@ -208,9 +215,9 @@
 
 
 def _room_in_record(job: Job, share: Share | None, value_bytes: int) -> int:
-    """How many more tasks a share may be given so that its record stays within what
-    the state service takes, in whatever order they end: each may come to be a range
-    of its own, among those that are held or among those that are done."""
+    """How many more tasks a share may get so that its record stays within `value_bytes`, the
+    state service's limit, in whatever order the tasks end: each may become a range of its own,
+    among the assigned or among the done ones."""
     limit = value_bytes - RECORD_BYTES
     ranges = limit // span_bytes(job.spec.tasks)
     return ranges if share is None else ranges - share.count - len(share.done.spans)
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -1,7 +1,8 @@
-"""The leader: gives parts their allotments, and rents and returns machines.
+"""The leader's decisions: assigns tasks to parts, rents and releases machines.
 
-No I/O and no clock. What is decided here is written (or called) by the loops in
-`leading` and `cloud`; only what the book shows counts as allotted.
+No I/O and no clock: callers pass the current time. The loops in `leader_loops` write the
+assignments and those in `cloud` call the cloud's API. Only tasks that the job book shows as
+assigned count as assigned.
 """
 
 import logging
@@ -31,23 +32,25 @@
 
 log = logging.getLogger(__name__)
 
-# One task of a job that fails everywhere is tried after a lease, then ever more seldom, at
-# least after so many.
+# A job that fails on every machine is retried with a single task: first after one lease, then
+# at growing intervals up to this many leases.
 LONGEST_PAUSE_LEASES = 8.0
-# Jobs held back that owners are told of in one message.
+# Held-back jobs that one answer to an owner lists at most.
 MOST_TOLD = 200
 
 
 @dataclass(slots=True)
 class Round:
-    """What a round wants done."""
+    """What one planning round decided; nothing of it has been carried out yet."""
 
+    # (job UID, part) -> the share to write.
     allotments: dict[tuple[str, int], Share] = field(default_factory=dict)
     rentals: list[Rental] = field(default_factory=list)
-    releases: list[str] = field(default_factory=list)
-
+    releases: list[str] = field(default_factory=list)  # names of machines
 
 class Leader:
+    """Plans in rounds from the job book, the owners' views of their parts and the cloud's list."""
+
     def __init__(
         self,
         token: int,
@@ -57,11 +60,14 @@
         types: Mapping[str, MachineType] | None = None,
         former: "Leader | None" = None,
     ) -> None:
-        """`types` as the book has them: a leader that begins while the cloud is away would
-        decide nothing until it can read the catalogue. `former`: ourselves, under a token
-        before this one; what was learnt of fleet and run times stays true. (Found by a day on
-        which a leader fenced off its own allotment just before the cloud's trouble: no round
-        for a minute, `docs/incidents/ramdin-curepipe-next-rounds.md`.)"""
+        """Starts to lead under the fencing token `token`.
+
+        `types` are the machine types from the book: without them a leader that starts while the
+        cloud is unreachable could plan nothing until it has read the catalogue. `former` is this
+        controller's leader under an earlier token; what it learnt of the fleet and of run times
+        remains valid. Otherwise a leader that renews its token to fence off one of its own
+        writes, just before the cloud fails, plans no round for a minute (see
+        `docs/incidents/ramdin-curepipe-next-rounds.md`)."""
         self.token = token
         self._book = book
         self._settings = settings
@@ -71,7 +77,8 @@
         self.fleet: Fleet = Fleet(settings, now) if former is None else former.fleet
         if not self.fleet.types:
             self.fleet.types = dict(types or {})
-        self.backlog = False  # the last round's allotments could not all be written
+        # More of the last round's assignments are unwritten than one transaction takes.
+        self.backlog = False
         self._logged_at = -math.inf
         self.estimates: Estimates = Estimates() if former is None else former.estimates
         self._policy = policy_of(settings)
@@ -83,6 +90,10 @@
         )
 
     def on_view(self, view: PartView, now: float) -> PartOrders:
+        """Takes in an owner's view of its part; returns the orders for that owner.
+
+        The answer asks for a full view (`resync`) if this one is outdated or is a delta to a
+        view that this leader does not have."""
         if self._views.late(view):
             return PartOrders(self._book.ledger, [], [], resync=True)
         self._silences.take_in(view, now)
@@ -106,9 +117,14 @@
         )
 
     def on_list(self, machines: list[ListedMachine], now: float) -> None:
+        """Takes in a complete list of machines from the cloud."""
         self.fleet.on_list(machines, now, self._views.heard)
 
     def round(self, now: float, wall: float) -> Round:
+        """Plans one round.
+
+        `now` is the monotonic clock and `wall` the time of day, both in seconds. Without any
+        known machine type the result is empty."""
         result = Round()
         self._views.renew()
         self.fleet.forget(now)
@@ -122,7 +138,7 @@
         self._hold_back(views, now)
         within = within_guarantee(self._book, self._teams, lambda job: job.ready_at)
         self._urgencies = Urgencies(self._book, self._settings, self.estimates, types.values())
-        # A team's urgent jobs have its guarantee too, whatever came earlier.
+        # A team's most urgent jobs are covered by its guarantee too, whichever came earlier.
         first = within_guarantee(
             self._book, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
         )
@@ -173,7 +189,8 @@
                 log.info("held back: %s", self._held.describe(now))
             if due:
                 log.info(
-                    "due by age: %d tasks of %d jobs, first %s since %.0f s",
+                    "first in line because of their age: %d tasks of %d jobs, first %s, "
+                    "waiting for %.0f s",
                     sum(n for _, n in due),
                     len(due),
                     due[0][0],
@@ -195,9 +212,9 @@
         told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
         for uid, machines, tries in self._held.told(told, now):
             log.warning(
-                "%s is held back: its tasks failed %d times on %d machines and none was done; "
-                "one is tried after %.0f s, then ever more seldom, until it succeeds or its user "
-                "cancels it",
+                "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
+                "one task is retried after %.0f s, then at growing intervals, until it succeeds "
+                "or the job is cancelled",
                 uid,
                 tries,
                 machines,
@@ -205,12 +222,12 @@
             )
 
     def allotted(self, uids: Iterable[str], now: float) -> None:
-        """Tasks of these jobs were given to parts."""
+        """Tasks of these jobs have been assigned; for a held-back job that counts as a retry."""
         for uid in uids:
             self._held.tried(uid, now)
 
     def _cut_off(self, types: dict[str, MachineType]) -> set[tuple[str, str, bool]]:
-        """What is rented in a zone that nothing is heard of could not be used either."""
+        """All kinds of machines in unreachable zones: one rented there could not be used."""
         return {
             (name, zone, spot)
             for zone in self._silences.cut
@@ -238,10 +255,10 @@
             if room.cpus > 0:
                 pieces[room.cpus] = pieces.get(room.cpus, 0) + 1
         log.info(
-            "open tasks by cpus %s, %d of them for want of room (%d wait for a busy machine, "
-            "%d for one that boots), %d placed now; %d machines, "
-            "%d open, %.0f cpus free of %.0f in pieces of %s; "
-            "renting %s, %d of them ahead; refused %s; take-back share %.2f",
+            "open tasks by CPUs %s, %d of them without capacity (%d wait for a busy machine, "
+            "%d for a booting one), %d placed now; %d machines, "
+            "%d of them open, %.0f of %.0f CPUs free, machines by free CPUs %s; "
+            "renting %s, %d of them for tasks on lost machines; refused %s; take-back share %.2f",
             dict(sorted(waiting.items())),
             sum(n for _, n in decided.unplaced),
             decided.wait_busy,
--- a/ryegauge/coordination/leading.py
+++ b/ryegauge/coordination/leading.py
@@ -1,4 +1,4 @@
-"""The leader's loops: rounds, writing what they allot, and keeping the book small."""
+"""The leader's background loops: planning rounds, writing assignments, archiving old jobs."""
 
 import logging
 
@@ -15,50 +15,55 @@
 
 log = logging.getLogger(__name__)
 
-# Jobs kept in the book, for each MB that a controller may use.
+# Jobs kept in the book per MB of memory that a controller may use.
 JOBS_PER_MB = 10
 
-# Between rounds the leader does nothing for so many times as long as one took.
+# After a round the leader pauses for this many times the round's duration, so that planning
+# takes at most a seventh of the controller's time.
 ROUND_SHARE = 6.0
 
 
 class Leading:
+    """Runs on every controller and acts while this controller is the leader."""
+
     def __init__(self, desk: Desk, cloud: CloudCalls) -> None:
         self._desk = desk
         self._cloud = cloud
-        # When the last transaction of ours was executed that the book may not show yet.
+        # When this controller's last assignment was committed; the book may not show it yet.
         self._wrote_at = float("-inf")
 
     async def lead(self) -> None:
+        """Plans rounds and carries out what they decide; never returns."""
         async with trio.open_nursery() as nursery:
             while True:
                 with trio.move_on_after(0.5):
                     await self._desk.changed.wait()
-                # Reports and writes come in flocks; one round serves them all.
+                # Reports and writes arrive in bursts; one round covers a whole burst.
                 await trio.sleep(0.05)
                 leader = self._desk.leader
                 now = trio.current_time()
                 if leader is None or not self._desk.term.valid(now) or self._desk.doubtful():
                     continue
                 if self._desk.syncer.began_at < self._wrote_at:
-                    # What was just allotted looks open in this book, and would be given to
-                    # another part as well: nothing guards against that. (Found by the model
-                    # of `tests/test_era_model.py`: the read after an allotment had failed.)
+                    # In this book the tasks just assigned still look open and would be
+                    # assigned to another part as well, which no guard prevents. That happens
+                    # if the read after an assignment fails (see `tests/test_era_model.py`).
                     try:
                         await self._desk.syncer.fresh()
                     except Unavailable as error:
-                        log.debug("reading after an allotment: %s", error)
+                        log.debug("reading the book after an assignment failed: %s", error)
                     continue
                 wanted = leader.round(now, self._desk.wall())
                 took_s = trio.current_time() - now
                 self._cloud.start(nursery, leader, wanted.rentals, wanted.releases, now)
                 await self._allot(leader, wanted.allotments)
-                # Check-ins and renewals come first: rounds take a part of the time.
+                # Leave most of the time to check-ins and lease renewals.
                 await trio.sleep(min(ROUND_SHARE * took_s, self._desk.report_s))
 
     async def _allot(self, leader: Leader, allotments: dict[tuple[str, int], Share]) -> None:
-        """Writes as many as the budget has now, in order of precedence; what is left is
-        decided anew, since more urgent work may have come by then."""
+        """Writes as many assignments as the write budget allows now, in order of precedence.
+
+        The rest is left to the next round, since more urgent work may have arrived by then."""
         limit = self._desk.settings.state_limits.txn_ops
         todo = list(allotments.items())
         written, leader.backlog = 0, False
@@ -83,17 +88,17 @@
                 leader.allotted({uid for (uid, _), _ in batch}, self._wrote_at)
                 written += len(changes)
             except Unknown:
-                # It may still be executed. A new version of the leader's own record
-                # makes sure that it is not executed after the next read.
-                log.info("an allotment's outcome is unknown: fencing it off")
+                # The transaction may still be executed. It is guarded by the version of the
+                # leader's record: a new version prevents execution after the next read.
+                log.info("the outcome of an assignment is unknown: fencing it off")
                 await self._refence(leader)
                 return
             except RETRY as error:
-                log.info("allotting %d shares failed: %s", len(changes), error)
+                log.info("writing %d assignments failed: %s", len(changes), error)
                 todo = []
             if self._desk.state.writes.available() < 1.0:
                 todo = []
-            # What is left says how scarce changes are, whatever the next round decides.
+            # A large rest shows that writes are scarce, whatever the next round decides.
             leader.backlog = len(allotments) - written > limit
             try:
                 await self._desk.syncer.fresh()
@@ -101,7 +106,8 @@
                 return
 
     async def archive(self) -> None:
-        """Keeps the book as small as wanted, and looks up what it lacks."""
+        """Moves finished jobs out of the book, deletes records that are no longer needed and
+        looks up the outcomes that the book lacks; never returns."""
         shared = self._desk.settings.settings
         limit = int(JOBS_PER_MB * shared.quota.memory_mb)
         ops = self._desk.settings.state_limits.txn_ops
@@ -114,13 +120,15 @@
             try:
                 await self._look_up(leader)
                 for job in archive.to_move_out(self._desk.book, limit):
-                    # In a book that has moved on, another may need it by now.
+                    # The book is re-read between the transactions of this loop: by now another
+                    # job may depend on this one.
                     if job.spec.uid not in self._desk.book.dependents:
                         guards, changes = archive.move_out(job, shared.nodes)
                         if not writes.has(len(changes), self._spared(limit)):
                             break
                         await self._clear(leader, guards, changes, self._spared(limit))
-                # Groups that fit into what may be taken of a full bucket.
+                # Groups that fit between the idle reserve and a full token bucket: a larger
+                # one would be let through only when the bucket is full.
                 count = max(1, min(ops, int((1 - IDLE) * writes.burst)))
                 while (changes := archive.to_clear(self._desk.book, count)) and writes.has(
                     len(changes), self._spared(limit)
@@ -130,8 +138,8 @@
                 log.debug("archiving failed: %s", error)
 
     def _spared(self, limit: int) -> float:
-        """What the archive leaves to others: it is last when changes are scarce, unless the
-        book has become twice as large as wanted."""
+        """The share of the write budget that archiving leaves to others: it comes last when
+        writes are scarce, unless the book is more than twice as large as its limit."""
         return USUAL if len(self._desk.book.jobs) > 2 * limit else IDLE
 
     async def _clear(
@@ -148,8 +156,10 @@
         await self._desk.syncer.fresh()
 
     async def _look_up(self, leader: Leader) -> None:
-        """A job may be recorded, late, after one that it needs has left the book: the
-        outcome of that one comes back, for those that read the book alone."""
+        """Restores missing outcomes of archived jobs to the book.
+
+        A job may be recorded late, after a job that it depends on has left the book; whoever
+        reads only the book needs that job's outcome."""
         for uid in sorted(self._desk.book.lost):
             found = await self._desk.state.get(final_key(uid), timeout_s=1.0)
             if found is not None:
@@ -157,6 +167,7 @@
                 await self._clear(leader, {outcome_key(uid): 0}, [change])
 
     async def _refence(self, leader: Leader) -> None:
+        """Renews the leader's record and re-reads the book, retrying while still the leader."""
         while self._desk.leader is leader:
             try:
                 await self._desk.term.renew_leader(leader.token)
