--- a/ryegauge/coordination/allotting.py
+++ b/ryegauge/coordination/allotting.py
@@ -26,8 +26,8 @@
     """UIDs of the jobs that fit into their team's guaranteed CPUs and GPUs together with the
     team's unfinished jobs before them in `order`.
 
-    They take precedence over the work of other teams beyond its guarantee. Jobs that still wait
-    for their dependencies take up none of the guarantee."""
+    These need not wait for other teams. Jobs that still wait for their dependencies take up none
+    of the guarantee."""
     unfinished = sorted((job for job in book.live.values() if not job.over), key=order)
     cpus: dict[str, float] = {}
     gpus: dict[str, float] = {}
--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -1,4 +1,5 @@
-"""The leader's calls to the cloud: the catalogue, the list, rentals and returns."""
+"""The leader's calls to the cloud's API: the catalogue of machine types, the list of machines,
+rentals and releases."""
 
 import logging
 
@@ -26,16 +27,19 @@
 
 
 class CloudCalls:
+    """Calls the cloud within its rate limit, and only while this controller is the leader."""
+
     def __init__(self, desk: Desk) -> None:
         self._desk = desk
         settings = desk.settings
         self._cloud = desk.network.client(
             settings.outside.cloud, max_connections=CLOUD, idle_s=desk.idle_s
         )
-        # Only the leader calls the cloud; a new one may follow an old one closely.
+        # Only the leader calls the cloud, so it may use nearly the whole rate. Not all of it: a
+        # new leader may start calling while the calls of the old one still count.
         rps = settings.settings.cloud.rps
         self._cloud_budget = Budget(0.8 * rps, rps)
-        self._releasing: set[str] = set()  # machines whose return is under way
+        self._releasing: set[str] = set()  # machines whose release is under way
 
     def start(
         self,
@@ -45,8 +49,10 @@
         releases: list[str],
         now: float,
     ) -> None:
-        """Calls take a while, and time out when the cloud is away: rounds go on meanwhile,
-        and count what is under way."""
+        """Starts the calls for these rentals and releases in the background.
+
+        Calls take a while and time out if the cloud is unreachable; rounds go on meanwhile and
+        count the requests under way."""
         names = [name for name in releases if name not in self._releasing]
         if names:
             self._releasing.update(names)
@@ -57,7 +63,8 @@
     def _start_rental(
         self, nursery: trio.Nursery, leader: Leader, rental: Rental, now: float
     ) -> None:
-        """In calls of at most fifty, within the cloud's rate; the rest comes next round."""
+        """Requests machines in calls of at most 50 each, as far as the cloud's rate allows; the
+        next round plans the rest again."""
         left = rental.count
         while left > 0 and self._cloud_budget.try_take():
             some = Rental(rental.type, rental.zone, rental.spot, min(left, 50))
@@ -67,7 +74,7 @@
 
     async def _rent(self, leader: Leader, rental: Rental) -> None:
         body = {
-            # Never used again, by us or another: a fresh random name.
+            # Identifies the request to the cloud; must never be used twice, by any controller.
             "hire": f"{self._desk.settings.node_name}-{self._desk.unique(64)}",
             "build": rental.type,
             "district": rental.zone,
@@ -80,7 +87,7 @@
             )
         except Unreachable as error:
             log.info("renting %s: outcome unknown: %s", rental, error)
-            return  # counted on until it shows in the list or surely does not
+            return  # its machines are expected until they are listed or certainly do not exist
         now = trio.current_time()
         if status == 200:
             names = parse(answer, Rented).machines
@@ -114,8 +121,9 @@
         return max(3.0, self._desk.settings.settings.workers.lease_s / 4)
 
     async def watch_catalog(self) -> None:
-        """Prices for the leader; the types themselves for all, through the book."""
-        read_for: Leader | None = None  # and not again for a while
+        """Reads the catalogue for the leader, who needs its prices, and publishes the machine
+        types to all controllers through the book; never returns."""
+        read_for: Leader | None = None  # it was read for this leader, at `read_at`
         read_at = float("-inf")
         while True:
             leader = self._desk.leading()
@@ -140,21 +148,28 @@
             await trio.sleep(pause)
 
     async def _publish_types(self, types: dict[str, MachineType]) -> None:
-        """Written when types appear: prices move, but what fits where does not."""
+        """Writes new machine types to the book. Known ones are not written again: prices change,
+        but what fits on a type does not."""
         limits = self._desk.settings.state_limits
         changes: list[Put | Delete] = []
         for name in sorted(types.keys() - self._desk.book.types.keys()):
-            # What else the cloud says of a type may be more than a value holds.
+            # The cloud's description may be larger than a value in the state service may be.
             record = msgspec.to_builtins(types[name])
             if value_bytes(record) <= limits.value_bytes:
                 changes.append(Put(f"r/c/{name}", record))
             else:
-                log.error("machine type %s: its description is too long", name)
+                log.error(
+                    "machine type %s is not recorded: its description exceeds %d bytes",
+                    name,
+                    limits.value_bytes,
+                )
         for first in range(0, len(changes), limits.txn_ops):
             some = changes[first : first + limits.txn_ops]
             self._desk.wrote(await self._desk.state.commit({}, some, timeout_s=1.0))
 
     async def watch_fleet(self) -> None:
+        """Reads the list of machines for the leader, four times per list lag but at most once a
+        second; never returns."""
         while True:
             await trio.sleep(max(1.0, self._desk.settings.settings.cloud.list_lag_s / 4))
             leader = self._desk.leading()
@@ -169,6 +184,7 @@
                 leader.on_list(machines, trio.current_time())
 
     async def _list_machines(self) -> list[ListedMachine] | None:
+        """The complete list, read page by page; None if the cloud answers with an error."""
         machines: list[ListedMachine] = []
         target = "/hosts?page=500"
         while True:
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -1,5 +1,5 @@
-"""The machines as the cloud tells of them: what is rented, on its way, refused and to be
-returned. No I/O and no clock; the loops in `cloud` make the calls.
+"""The rented machines as the leader knows them: which ones run, boot, were refused by the cloud
+and are to be released. No I/O and no clock; the loops in `cloud` make the calls.
 """
 
 import math
@@ -16,12 +16,12 @@
 from ryegauge.scheduling.planner import Plan, Rental, Room, whole_room
 from ryegauge.scheduling.takeback import TakebackShare
 
-# Why a machine may be silent that is there, and worth more than a new one.
+# Causes of silence after which a machine usually comes back, sooner than a new one would boot.
 COMES_BACK = {Cause.HUNG, Cause.OWNER_DEAF, Cause.OWNER_STOOD_STILL, Cause.ZONE_CUT}
 
 
 class Rented:
-    """A machine as the cloud knows it."""
+    """A machine of the fleet. Times are seconds of the leader's monotonic clock."""
 
     __slots__ = (
         "address",
@@ -50,50 +50,57 @@
         self.type = type_
         self.zone = zone
         self.spot = spot
-        self.since = since  # rental request, in our clock
-        self.asked_at: float | None = None  # the same, if we asked ourselves
+        self.since = since  # when it was rented, else when this leader first learnt of it
+        self.asked_at: float | None = None  # when this leader's rental was answered
         self.address = ""
-        self.listed = False
-        self.seen_at = -math.inf  # on the latest list that shows it
-        self.failed = False
-        self.reported = False  # some part's owner has heard from it
-        self.heard_at: float | None = None  # when its owner last did, as far as was shown
-        self.noticed = False
+        self.listed = False  # was on a list at least once
+        self.seen_at = -math.inf  # when the latest list that contains it was read
+        self.failed = False  # listed as failed
+        self.reported = False  # has reported to an owner of its part
+        self.heard_at: float | None = None  # its last report, as far as the owner's views tell
+        self.noticed = False  # has a notice that the cloud will reclaim it
         self.idle_since: float | None = None
-        self.running_since: float | None = None  # listed as running
+        self.running_since: float | None = None  # when it was first listed as running
 
 
 @dataclass(slots=True)
 class Asked:
-    """A rental request under way or of unknown outcome."""
+    """A rental request that is under way or whose outcome is unknown."""
 
     rental: Rental
     since: float
-    until: float  # counted on as long as that
-    left: int  # of its machines, those that have not shown themselves
+    until: float  # its machines are expected until then
+    left: int  # machines of it that have not appeared yet
 
     @property
     def kind(self) -> Kind:
+        """The type, zone and pricing of its machines."""
         return self.rental.type, self.rental.zone, self.rental.spot
 
 
 class Fleet:
+    """The machines, rental requests and refusals of the cloud, and what is to be released.
+
+    Its state outlives a leader's token: a controller that leads again hands it on."""
+
     def __init__(self, settings: Settings, now: float) -> None:
         self._settings = settings
         self._since = now
         self._parting = Parting(settings)
-        self.types: dict[str, MachineType] = {}  # with current prices
+        self.types: dict[str, MachineType] = {}  # by name, with current prices
         self.machines: dict[str, Rented] = {}
         self.listed_once = False
         self._asked: list[Asked] = []
         self._refused: dict[tuple[str, str, bool], tuple[float, float]] = {}
-        self.gone: dict[str, float] = {}  # surely released, and when
-        self.retire: set[str] = set()  # to be returned once their owner says they are empty
+        self.gone: dict[str, float] = {}  # machines certainly released -> when
+        # To be released once the owner of their part confirms that they are empty.
+        self.retire: set[str] = set()
         self.boots = Boots()
-        self._expecting: dict[str, Expected] = {}  # machines that are not up yet
+        self._expecting: dict[str, Expected] = {}  # machines that are not up yet, by name
         self.takeback = TakebackShare(settings.properties.takeback_window_s)
 
     def add(self, name: str, type_: str, zone: str, spot: bool, since: float) -> Rented:
+        """Adds a machine that was rented at `since`."""
         part = self._parting.part_of(name, zone)
         rented = self.machines[name] = Rented(name, part, type_, zone, spot, since)
         if spot:
@@ -103,9 +110,12 @@
     def on_list(
         self, machines: list[ListedMachine], now: float, heard: Callable[[int, str, float], bool]
     ) -> None:
-        """A whole list. Once listed a machine stays listed until it is gone, but a list
-        may be older than the one before: only a machine that stays away for twice the
-        lag is dropped from the fleet, and nothing is concluded for its tasks."""
+        """Takes in a complete list of machines. `heard(part, machine, now)` tells whether the
+        owner of a part has heard from a machine within its lease.
+
+        The cloud lists a machine until it is gone, but a list may be older than the one before
+        it: a machine is dropped from the fleet only after it was missing for twice the list
+        lag, and nothing is concluded about its tasks."""
         self.listed_once = True
         seen: set[str] = set()
         for entry in machines:
@@ -114,7 +124,7 @@
             seen.add(entry.name)
             rented = self.machines.get(entry.name)
             if rented is None:
-                # Its age is as of the time that the list describes.
+                # The listed age is as of the moment that the list describes.
                 age_s = entry.age_s + self._settings.settings.cloud.list_lag_s
                 rented = self.add(entry.name, entry.type, entry.zone, entry.spot, now - age_s)
                 self._appeared(rented)
@@ -124,8 +134,8 @@
             if entry.state == "running" and rented.running_since is None:
                 rented.running_since = now
         for rented in list(self.machines.values()):
-            # (Dropped at once by an older list, what had just been listed was rented again, and
-            # each spot machine counted as taken.)
+            # If an older list dropped machines at once, those listed shortly before would be
+            # rented again, and each spot machine of them would count as reclaimed.
             missing = (
                 rented.listed
                 and rented.name not in seen
@@ -135,12 +145,12 @@
                 self._lost(rented, now, taken=rented.spot)
 
     def shown(self, machine: MachineView, now: float) -> None:
-        """A part's owner has described a machine."""
+        """Takes in a machine's description by the owner of its part."""
         rented = self.machines.get(machine.name)
         if rented is None:
             if machine.name in self.gone:
                 return
-            # A surprise: rented by an earlier leader, or executed late.
+            # Rented by an earlier leader, or by a request that was executed late.
             rented = self.add(machine.name, machine.type, machine.zone, machine.spot, now)
             if machine.empty:
                 self._appeared(rented)
@@ -156,9 +166,10 @@
             rented.idle_since = None
 
     def _appeared(self, rented: Rented) -> None:
-        """A machine that no answer has named. It may be one that was asked for; that one is not
-        waited for besides. (Of a request without an answer all were, as well as those that had
-        shown themselves: work waited for them instead of having others rented.)"""
+        """A machine has appeared that no answer of the cloud has named. It may belong to a rental
+        request that is still unanswered, which then has one machine less to wait for. Otherwise
+        both would be expected, and tasks would wait for a machine that never comes instead of
+        having another rented."""
         lag_s = self._settings.settings.cloud.list_lag_s
         for asked in self._asked:
             kind = (rented.type, rented.zone, rented.spot)
@@ -176,17 +187,20 @@
     def _lost(self, rented: Rented, now: float, taken: bool) -> None:
         del self.machines[rented.name]
         self.retire.discard(rented.name)
-        # Its room may be had again.
+        # The cloud may have capacity of this kind again.
         self._refused.pop((rented.type, rented.zone, rented.spot), None)
         if rented.spot:
             self.takeback.ended(rented.name, now, taken)
 
     def renting(self, rental: Rental, now: float) -> None:
-        """A request is being sent; until it is answered its machines are counted on."""
+        """A rental request is being sent; its machines are expected until it is answered, or
+        until they would have been listed."""
         until = now + 2 * self._settings.settings.cloud.list_lag_s + 5
         self._asked.append(Asked(rental, now, until, rental.count))
 
     def rented(self, rental: Rental, names: list[str], now: float) -> None:
+        """The cloud has granted a request, with these machines. Fewer than requested mean that
+        it has no more of the kind."""
         self._settle(rental)
         for name in names:
             if name not in self.machines and name not in self.gone:
@@ -196,6 +210,8 @@
             self.refused(rental, now)
 
     def refused(self, rental: Rental, now: float, settle: bool = False) -> None:
+        """The cloud has no more machines of this kind: none is requested for one list lag,
+        after a repeated refusal for two. `settle` ends the request itself."""
         if settle:
             self._settle(rental)
         key = (rental.type, rental.zone, rental.spot)
@@ -205,29 +221,33 @@
         self._refused[key] = (now + pause, pause)
 
     def not_executed(self, rental: Rental) -> None:
+        """The cloud has rejected a request for another reason than a lack of machines."""
         self._settle(rental)
 
     def _settle(self, rental: Rental) -> None:
         self._asked = [asked for asked in self._asked if asked.rental is not rental]
 
     def released(self, names: list[str], now: float) -> None:
+        """The cloud has confirmed the release of these machines."""
         for name in names:
             self.gone[name] = now
             if (rented := self.machines.get(name)) is not None:
                 self._lost(rented, now, taken=rented.noticed)
 
-    # -- a round --------------------------------------------------------------------------
+    # -- for planning rounds --------------------------------------------------------------
 
     def forget(self, now: float) -> None:
-        """Names of released machines, once no late word of them can come any more."""
+        """Forgets released machines once no late list or view can name them any more."""
         lasting = 10 * self._settings.settings.workers.lease_s
         self.gone = {name: at for name, at in self.gone.items() if now - at < lasting}
 
     def refused_now(self, now: float) -> set[tuple[str, str, bool]]:
+        """The kinds (type, zone, spot) that are not requested for now, after a refusal."""
         return {key for key, (until, _) in self._refused.items() if until > now}
 
     def starting(self, now: float, silent: Container[str] = ()) -> list[Room]:
-        """Room that is on its way, with the time until it may be there."""
+        """The capacity of machines that boot or are being rented, with the expected time until
+        each is up. Those in `silent` are left out."""
         rooms: list[Room] = []
         coming = [
             (r, type_)
@@ -244,7 +264,7 @@
         for r, type_ in coming:
             expected = self._expecting[r.name]
             if r.name in self.retire or r.name in silent:
-                continue  # up, and not heard of: not about to come
+                continue  # it is up but silent, or about to be released: not expected to join
             if not expected.counted:
                 continue
             room = whole_room(type_, r.name, r.zone, r.spot)
@@ -262,7 +282,7 @@
         return rooms
 
     def boot_times(self, now: float) -> dict[Kind, float]:
-        """What machines of each kind are expected to take, if they are asked for now."""
+        """The expected boot time in seconds of a machine rented now, for each kind."""
         return {
             (type_.name, zone, spot): self.boots.boot_s((type_.name, zone, spot), type_.boot_s, now)
             for type_ in self.types.values()
@@ -277,6 +297,8 @@
         views: dict[int, PartState],
         verdicts: Mapping[str, Verdict],
     ) -> list[str]:
+        """Names of the machines to release now, at most 100. Also chooses the idle machines
+        that their owners are to empty and keep empty first (`retire`)."""
         props = self._settings.properties
         full = self.refused_now(now)
         releases: list[str] = []
@@ -292,17 +314,18 @@
             elif type_ is None:
                 continue
             elif grade is Grade.OVER and is_full and verdict.cause not in COMES_BACK:
-                # Nothing runs there any more, and what it was can be had again only once it
-                # is returned. (While there is more to be had it is kept: a hung or cut off
-                # machine is back sooner than a new one would be up.)
+                # Its lease is over, so nothing runs there any more, and the cloud has no more
+                # of this kind until it is released. While the cloud has more it is kept: a
+                # hung or cut-off machine is back sooner than a new one would boot.
                 releases.append(r.name)
             elif grade is Grade.OVER and self._is_given_up(r, verdict, now):
                 releases.append(r.name)
             elif not r.reported:
-                # Never boots: it is charged until deleted. One that is listed as running
-                # may only be unheard: by a new leader, or since its owner and we cannot
-                # reach each other. Returning it would lose what runs on it. So may one that
-                # is listed as starting, as the list lags: its owner has to be heard first.
+                # A machine that never boots is charged until it is released. But one that is
+                # listed as running may have reported without this leader knowing: the leader
+                # is new, or cannot reach the owner. Releasing it would lose its tasks. The same
+                # goes for one listed as starting, since the list lags: its owner's view has to
+                # come first.
                 unheard = r.part not in views or (
                     r.running_since is not None
                     and now - max(r.running_since, self._since)
@@ -318,7 +341,7 @@
                 if view.empty or view.silent_s > self._settings.settings.workers.lease_s:
                     releases.append(r.name)
             elif r.name in self.retire:
-                continue  # its owner has not said yet that it puts nothing more there
+                continue  # its owner has not confirmed yet that it starts no more tasks there
             elif (
                 view.empty
                 and r.name not in decided.used
@@ -326,18 +349,21 @@
                 and now - r.idle_since > props.idle_boots * type_.boot_s
                 and age > props.paid_period_s
             ):
-                # Told first, released once its owner confirms that it stays empty.
+                # Retired first, released once its owner confirms that it stays empty.
                 self.retire.add(r.name)
             elif grade is Grade.LOST and (is_full or verdict.isolated):
-                # Releasing makes its end certain before its lease runs out, so that its
-                # tasks can start elsewhere. If many are silent at once, more of them may
-                # come back, and its lease ends soon: only where its room is wanted.
+                # The release proves that its tasks ended, before its lease runs out, so that
+                # they can start elsewhere. If many machines are silent at once, more of them
+                # may come back and the lease ends soon anyway: then it is released only if
+                # the cloud has no more of its kind.
                 releases.append(r.name)
         return releases[:100]
 
     def _is_given_up(self, rented: Rented, verdict: Verdict, now: float) -> bool:
-        """Whether a machine that may come back has been hoped for long enough: alone in its
-        silence, it is charged and of no use. (A machine that reached no controller and answered
-        when it was asked was kept for as long as that lasted.)"""
+        """Whether a silent machine that may come back has been waited for long enough.
+
+        It is charged and of no use meanwhile. Without this limit a machine that reaches no
+        controller but answers probes is kept for as long as that lasts. Only for a machine that
+        is silent alone: if many are, they have a common cause and may come back together."""
         hope_s = HOPE_LEASES * self._settings.sure_lease_s
         return verdict.isolated and rented.heard_at is not None and now - rented.heard_at > hope_s
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -48,6 +48,7 @@
     rentals: list[Rental] = field(default_factory=list)
     releases: list[str] = field(default_factory=list)  # names of machines
 
+
 class Leader:
     """Plans in rounds from the job book, the owners' views of their parts and the cloud's list."""
 
--- a/ryegauge/coordination/needs.py
+++ b/ryegauge/coordination/needs.py
@@ -1,4 +1,4 @@
-"""From jobs in the book to the planner's needs."""
+"""Derives the planner's demands, deadlines and zone limits from the jobs in the book."""
 
 import math
 
@@ -9,7 +9,7 @@
 from ryegauge.scheduling.estimates import Estimates
 from ryegauge.scheduling.planner import EPSILON, Need
 
-# Tasks count as of another size from so many times the CPUs.
+# Tasks with more than this many times the CPUs count as another size.
 SIZE_STEP = 1.5
 
 
@@ -21,6 +21,8 @@
     latest: float,
     sizes: tuple[float, ...] = (),
 ) -> Need:
+    """The demand of `count` open tasks of a job, with the allowed `zones` and the `latest` finish
+    (time of day in seconds). `sizes` are those of `task_sizes`."""
     spec = job.spec
     return Need(
         uid=spec.uid,
@@ -32,7 +34,7 @@
         image_gb=spec.image_gb,
         spot_ok=spec.spot,
         service=spec.kind == "standing",
-        # Its tasks start together; those of a started gang join one by one.
+        # A gang starts as a whole; tasks lost after its start rejoin one by one.
         gang=spec.kind == "gang" and count == spec.tasks,
         run_s=estimates.run_s(spec.job_class, spec.estimate_s),
         latest_finish=latest,
@@ -45,8 +47,8 @@
 
 
 def task_sizes(book: JobBook) -> tuple[float, ...]:
-    """CPUs of the tasks of jobs that are under way, ascending; of many only some, each
-    well above the next smaller one."""
+    """The CPUs per task that occur among unfinished jobs, ascending. Sizes of at most
+    `SIZE_STEP` times the previous one are left out, so that there are few."""
     sizes: list[float] = []
     for cpus in sorted({job.spec.cpus for job in book.live.values() if not job.over}):
         if not sizes or cpus > SIZE_STEP * sizes[-1]:
@@ -55,9 +57,12 @@
 
 
 def latest_finish(job: Job, objectives: list[Objective], run_s: float) -> float:
-    """By the job's own deadline, which counts from its submission, or for classes without
-    one by the tightest time that the settings want them finished or started in, which
-    counts from when it waits for no other job (the paper knows only deadlines)."""
+    """When a job has to be finished at the latest, as time of day in seconds; infinite if
+    nothing says so.
+
+    That is its own deadline, which counts from its submission. Without one it is the tightest
+    objective in the settings for its class to be finished or started, which counts from when
+    its last dependency was done. (The ECPTR paper knows only deadlines.)"""
     if job.spec.kind == "standing":
         return math.inf
     if job.spec.deadline_s is not None:
@@ -73,9 +78,9 @@
 
 
 def zone_limits(job: Job) -> dict[str, int] | None:
-    """The zones that further tasks of a job may take, with how many each; None: any.
+    """The zones that further tasks of a job may use, with the number of tasks each; None: any.
 
-    Everything allotted counts, since it may be on a machine."""
+    All assigned tasks count, since each may already be on a machine."""
     spec = job.spec
     if spec.zone is None and not spec.one_zone and not spec.spread:
         return None
@@ -95,7 +100,7 @@
 
 
 class _Limits(dict[str, int]):
-    """Zones not named may take `default` tasks."""
+    """Limits by zone; zones that are not named may take `default` tasks."""
 
     def __init__(self, default: int) -> None:
         super().__init__()
@@ -109,12 +114,12 @@
 
 
 def tracks_zones(spec: JobSpec) -> bool:
-    """Whether allotments of the job must say in which zone they run."""
+    """Whether the shares of a job must record in which zone its tasks run."""
     return spec.zone is not None or spec.one_zone or spec.spread
 
 
 def never_runs(spec: JobSpec, types: dict[str, MachineType], teams: dict[str, Team]) -> str | None:
-    """Why a job can never run (422), or None."""
+    """Why a job can never run, as text for the user (HTTP status 422), or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -1,4 +1,4 @@
-"""Which running work is stopped for which waiting work. No I/O and no clock."""
+"""Decides which running tasks are evicted for which waiting jobs. No I/O and no clock."""
 
 import logging
 import math
@@ -18,15 +18,15 @@
 
 log = logging.getLogger(__name__)
 
-# A task has just begun in this first share of its run.
+# A task counts as just begun during this first share of its run time.
 RECENT_SHARE = 0.25
-# A guarantee is enforced once its job has waited for so many boots.
+# A team's guarantee is enforced once its job has waited for this many boot times.
 GUARANTEE_BOOTS = 2.0
 
 
 @dataclass(slots=True)
 class Victim:
-    """Tasks of one job on one machine that may be stopped for others."""
+    """Tasks of one job on one machine that may be evicted for others."""
 
     running: Running
     shown: Shown
@@ -39,7 +39,8 @@
 
 
 def _fewest(job: Job, victims: list[Victim], type_: MachineType) -> list[tuple[Victim, int]] | None:
-    """The victims on one machine, in their order, that make room for one task of a job."""
+    """The victims on one machine, in the given order, whose eviction makes room for one task of
+    a job, with how many tasks of each; None if all of them are not enough."""
     cpus = job.spec.cpus - (type_.cpus - victims[0].shown.cpus)
     memory_gb = job.spec.memory_gb - (type_.memory_gb - victims[0].shown.memory_gb)
     way: list[tuple[Victim, int]] = []
@@ -60,6 +61,8 @@
 
 
 class Preemption:
+    """Chooses evictions after each round and keeps them until they are sent to the owners."""
+
     def __init__(
         self, book: JobBook, settings: Settings, estimates: Estimates, policy: Policy
     ) -> None:
@@ -72,7 +75,8 @@
         self._evicted_at = -math.inf
 
     def orders(self, machines: Collection[str]) -> list[tuple[str, str, int]]:
-        """(machine, job, tasks) to be stopped on some machines; told once."""
+        """The evictions chosen for these machines, as (machine, job UID, tasks). Each is
+        returned once."""
         told = [entry for entry in self._evict if entry[0] in machines]
         self._evict = [entry for entry in self._evict if entry not in told]
         return told
@@ -88,11 +92,13 @@
         now: float,
         wall: float,
     ) -> None:
-        """Makes room for what goes first, as far as the policy allows: work within its
-        team's guarantee that has waited for longer than boots explain may stop work that
-        another team runs beyond its own; higher priority may stop lower. No more is
-        stopped than the waiting ones need. The room shows in the next views; until then
-        no further task is stopped."""
+        """Chooses evictions for the jobs that the plan could not place, as far as the ordering
+        policy allows.
+
+        A job within its team's guarantee that has waited for longer than boots explain may evict
+        tasks that another team runs beyond its own guarantee; a higher priority may evict a
+        lower one. No more is evicted than the waiting tasks need. The freed capacity shows in
+        the next views; until then nothing further is evicted."""
         policy = self._policy
         if now - self._evicted_at < policy.stop_pause * self._settings.report_gap_s:
             return
@@ -130,14 +136,14 @@
                     (job.spec.memory_gb and spec.memory_gb / job.spec.memory_gb) or 1.0,
                 )
                 if each < 1.0 or each > 2 * count:
-                    continue  # frees too little, or stops far more than is needed
+                    continue  # one of its tasks frees too little, or far more than is needed
                 stop = min(victim.count, math.ceil(count / int(each)))
                 machine = victim.machine.name
                 self._evict.append((machine, spec.uid, stop))
                 victim.count -= stop
                 count -= stop * int(each)
                 self._evicted_at = now
-                log.info("stopping %d of %s on %s for %s", stop, spec.uid, machine, uid)
+                log.info("evicting %d tasks of %s on %s for %s", stop, spec.uid, machine, uid)
             if count > 0 and policy.stops_any:
                 self._stop_several(job, claim, count, victims, types, now)
 
@@ -150,10 +156,12 @@
         types: dict[str, MachineType],
         now: float,
     ) -> None:
-        """For tasks that are larger than each of those that may be stopped: several on one
-        machine, together with its free room. Of all machines the one that loses least comes
-        first, until the waiting tasks have room. Without this, small routine tasks that end
-        one by one keep a large urgent one waiting for as long as the longest of them."""
+        """For tasks that are larger than each of those that may be evicted: evicts several on one
+        machine, whose free capacity counts too. The machine that loses least CPU time comes
+        first, one for each waiting task.
+
+        Without this, small routine tasks that end one by one keep a large urgent task waiting
+        until the longest of them has ended."""
         by_machine: dict[str, list[Victim]] = {}
         for victim in victims:
             if (
@@ -177,7 +185,7 @@
                 self._evict.append((name, victim.job.spec.uid, stop))
                 victim.count -= stop
                 log.info(
-                    "stopping %d of %s on %s for %s, beside others",
+                    "evicting %d tasks of %s on %s for %s, together with others there",
                     stop,
                     victim.job.spec.uid,
                     name,
@@ -186,6 +194,7 @@
             self._evicted_at = now
 
     def _beyond_guarantee(self) -> set[str]:
+        """Teams whose assigned tasks use more CPUs than they are guaranteed."""
         used: dict[str, float] = {}
         for job in self._book.live.values():
             team = job.spec.team
@@ -201,7 +210,8 @@
         boot_s: float,
         within: set[str],
     ) -> list[Victim]:
-        """What may be stopped, in the policy's order."""
+        """The tasks that may be evicted, in the policy's order: of sweeps only, and only those
+        that have just begun and have time for another run, unless the policy evicts any."""
         policy = self._policy
         beyond = self._beyond_guarantee()
         aged: dict[str, bool] = {}
--- a/ryegauge/coordination/rooms.py
+++ b/ryegauge/coordination/rooms.py
@@ -1,4 +1,5 @@
-"""Room on machines, as the leader knows it, and what takes some of it. Pure functions."""
+"""The free capacity of machines, as the leader knows it, and the demands to keep some of it for.
+Pure functions."""
 
 import math
 from collections.abc import Mapping
@@ -16,7 +17,8 @@
 def running_rooms(
     book: JobBook, fleet: Fleet, views: dict[int, PartState], estimates: Estimates, now: float
 ) -> list[Room]:
-    """Free room on machines that take tasks, by what their owners have shown."""
+    """The free capacity of the machines that take tasks, by their owners' views, and of the
+    machines of parts whose owner cannot be heard."""
     overdue_s: dict[tuple[str, float], float] = {}
     rooms: list[Room] = []
     for part, state in views.items():
@@ -26,10 +28,10 @@
             if type_ is None or not m.open or name in fleet.retire or name in fleet.gone:
                 continue
             if not shown.known:
-                # The book may have been behind the view.
+                # The book may have lagged behind the view: look the jobs up again.
                 shown = state.machines[name] = Shown(m, shown.at, book)
                 if not shown.known:
-                    continue  # something unknown runs here: leave it alone
+                    continue  # runs tasks of an unknown job, so its free capacity is unknown
             room = Room(
                 name,
                 type_,
@@ -52,9 +54,10 @@
 
 
 def _out_of_sight(book: JobBook, fleet: Fleet, views: dict[int, PartState]) -> list[Room]:
-    """Machines of parts whose owner lives but cannot be heard (controllers refuse
-    each other's connections): whole, as far as the list says; what their parts
-    hold by the book is counted as on its way. An owner without room hands back."""
+    """Machines of parts whose owner is alive but cannot be heard, as when controllers refuse each
+    other's connections. Each counts as unused if the cloud lists it as running; the tasks
+    that the book shows for its part are subtracted as in transit. An owner that finds no
+    capacity for an assigned task hands it back."""
     rooms: list[Room] = []
     for r in fleet.machines.values():
         if r.part in views or r.running_since is None or r.failed or r.noticed:
@@ -74,8 +77,8 @@
 def take_in_transit(
     book: JobBook, estimates: Estimates, running: list[Room], views: dict[int, PartState]
 ) -> None:
-    """What is allotted to a part and on none of its machines yet takes room there;
-    what has ended and is not written yet does not."""
+    """Subtracts the tasks that are assigned to a part and not on any of its machines yet from the
+    capacity of its machines. Tasks that have ended, though that is not recorded yet, take none."""
     placed: dict[tuple[str, int], int] = {}
     for part, state in views.items():
         for shown in state.machines.values():
@@ -108,8 +111,10 @@
     now: float,
     wall: float,
 ) -> dict[str, list[Need]]:
-    """The tasks that get a standby, of the spot machine that holds the most of them
-    (what that one needs is held, see `hold_standbys`)."""
+    """The tasks for which standby capacity is reserved, by machine: those of the one spot machine
+    whose critical tasks have the most CPUs (see `hold_standbys`).
+
+    A task is critical if there is no time left to boot a replacement after a loss."""
     boot_s = min((t.boot_s for t in fleet.types.values()), default=0.0)
     fullest: tuple[float, str, list[tuple[Job, int]]] | None = None
     for state in views.values():
@@ -145,8 +150,9 @@
     estimates: Estimates,
     share: float,
 ) -> list[Need]:
-    """The tasks on machines that are most likely lost, the most urgent first, as far as their
-    CPUs stay within a share of the fleet's: replacements for them are rented ahead."""
+    """The tasks on machines that are probably lost, the most urgent first, as far as their CPUs
+    stay within `share` of the fleet's. Replacement machines are rented for them before it is
+    certain that they have to run again."""
     lost: dict[str, tuple[Job, int]] = {}
     fleet_cpus = 0.0
     for state in views.values():
--- a/ryegauge/coordination/silences.py
+++ b/ryegauge/coordination/silences.py
@@ -1,4 +1,4 @@
-"""What the leader makes of the machines that are silent, from all that it is shown of them.
+"""The leader's verdicts on silent machines, from the views of all owners and the cloud's list.
 No I/O and no clock."""
 
 import math
@@ -19,27 +19,32 @@
 )
 from ryegauge.protocol.peers import PartView
 
-# Machines that an owner is asked to ask, at once; with those that answer or are returned,
-# others follow.
+# Machines that an owner is asked to probe at once; as they answer or are released, others
+# follow.
 MOST_UNHEARD = 100
 
 
 class Silences:
+    """Collects the evidence on machines that do not report, and judges them once a round."""
+
     def __init__(self, settings: Settings) -> None:
         self._limits = Limits(settings.report_gap_s, settings.sure_lease_s)
         self._unheard: dict[int, list[tuple[str, str]]] = {}
-        self.cut: set[str] = set()  # zones that nothing is heard of
-        self._probes: dict[str, list[Probe]] = {}  # the last that were told of a silent machine
-        self._overheard: dict[str, float] = {}  # machine -> when another than its owner heard it
+        self.cut: set[str] = set()  # zones from which no machine is heard
+        self._probes: dict[str, list[Probe]] = {}  # silent machine -> its latest known probes
+        # Machine -> when it last reported to a controller that does not own it.
+        self._overheard: dict[str, float] = {}
 
     def take_in(self, view: PartView, now: float) -> None:
+        """Takes in which machines of other owners have reported to the sender of a view."""
         for name, ago_s in view.overheard:
             self._overheard[name] = max(self._overheard.get(name, -math.inf), now - ago_s)
 
     def verdicts(self, fleet: Fleet, views: dict[int, PartState], now: float) -> dict[str, Verdict]:
-        """Of the machines that are not well, in the parts that can be seen: those that their
-        owners show as silent, and those that are listed as running and not shown at all,
-        because their lease ran out or a new owner has not heard of them yet."""
+        """The verdicts on all machines that are not well, by name, in the parts with a recent
+        view: machines that their owners show as silent, and machines listed as running that
+        are not in the view at all, because their lease ran out or a new owner has not heard
+        from them yet. Also updates `cut` and the machines to probe (`unheard`)."""
         keep_s = 2 * self._limits.lease_s
         self._overheard = {n: at for n, at in self._overheard.items() if now - at < keep_s}
         by_part: dict[int, list[Rented]] = {part: [] for part in views}
@@ -95,8 +100,9 @@
             if (probe := Probe.of(by, outcome, state.at - ago_s)) is not None
         ]
         if not probes:
-            # Its owner has just given it up, and asks it anew for us. (Until it had, one that
-            # answered or hung was taken for lost and returned, where there were no more.)
+            # Its owner has just removed it and now probes it again on the leader's request.
+            # Earlier probes count until those results arrive: otherwise a machine that answers
+            # or hangs is taken for lost and released if the cloud has no more of its kind.
             keep_s = LOST_GAPS * self._limits.gap_s
             probes = [p for p in self._probes.get(rented.name, ()) if now - p.at < keep_s]
         if probes:
@@ -117,15 +123,16 @@
         )
 
     def _silent_s(self, rented: Rented, state: PartState, now: float) -> float:
-        """Seconds since its last word to an owner."""
+        """Seconds since its last report to an owner."""
         shown = state.machines.get(rented.name)
         if shown is not None:
-            # What is silent is shown anew with each view; what is not was heard since.
+            # Every view includes all silent machines again; one that is no longer included has
+            # reported since.
             silent_s = shown.view.silent_s
             if silent_s > SUSPECT_GAPS * self._limits.gap_s:
                 silent_s += now - shown.at
             return silent_s
-        # Its owner gave it up at the end of its lease, or is new and has not heard it yet.
+        # Its owner removed it at the end of its lease, or is new and has not heard from it yet.
         return now - max(
             state.since, rented.running_since or -math.inf, rented.heard_at or -math.inf
         )
--- a/ryegauge/coordination/urgency.py
+++ b/ryegauge/coordination/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent the jobs in the book are, over the pipelines that they belong to."""
+"""How urgent the jobs in the book are, taking into account the jobs that depend on them."""
 
 from collections.abc import Iterable
 
@@ -12,7 +12,7 @@
 
 
 class Urgencies:
-    """Of one round: what has been worked out is kept."""
+    """The urgencies of jobs within one planning round; each is computed once."""
 
     def __init__(
         self,
@@ -25,21 +25,24 @@
         self._objectives = settings.settings.objectives
         self._estimates = estimates
         self._fetch_gb_per_s = min((t.fetch_gb_per_s for t in types), default=1.0)
-        # From the last end of a stage to the first start of the next: the end is
-        # reported, written, read, and the start allotted and sent.
+        # Time from the last end in a stage to the first start in the next: the end is reported,
+        # written and read, the new tasks are assigned, and their start is sent.
         self._handover_s = settings.report_gap_s
         self._known: dict[str, Urgency] = {}
 
     def of(self, job: Job) -> Urgency:
+        """The latest finish and the rank of a job, its own or those that its dependents impose."""
         uid = job.spec.uid
         if (known := self._known.get(uid)) is not None:
             return known
         return pass_back(uid, self._own, self._after, self._path_s, self._known)
 
     def latest_finish(self, job: Job) -> float:
+        """When the job has to be finished at the latest, as time of day in seconds."""
         return self.of(job).latest_finish
 
     def rank(self, job: Job) -> int:
+        """The rank of the job's priority or of its most urgent dependent's; 0 is most urgent."""
         return self.of(job).rank
 
     def _own(self, uid: str) -> Urgency:
--- a/ryegauge/coordination/views.py
+++ b/ryegauge/coordination/views.py
@@ -1,4 +1,4 @@
-"""What the owners of parts show the leader of their machines, and how old that is.
+"""The owners' views of their parts as the leader has received them, and how old they are.
 
 No I/O and no clock.
 """
@@ -13,7 +13,7 @@
 
 
 class Shown:
-    """A machine as its part's owner described it, with what follows from that."""
+    """A machine as the owner of its part last described it, with what its tasks take."""
 
     __slots__ = ("at", "busy", "cpus", "gpus", "known", "memory_gb", "tasks", "view")
 
@@ -21,9 +21,9 @@
         self.view = view
         self.at = at
         self.cpus = self.memory_gb = self.gpus = 0.0  # taken by its tasks
-        self.known = True  # whether the book has all of its jobs
-        self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the longest ends)
-        # (job class, estimate, when it ends, tasks, CPUs, GB, cards)
+        self.known = True  # whether the book has the jobs of all of its tasks
+        self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the last of them ends)
+        # (job class, estimate, when the last ends, tasks; CPUs, GB and GPUs of each)
         self.busy: list[tuple[str, float, float, int, float, float, float]] = []
         for uid, flat, left_s in view.tasks:
             job = book.jobs.get(uid)
@@ -50,7 +50,7 @@
 
 
 class PartState:
-    """What the leader knows of a part: whole views, and changes to them since."""
+    """What the leader knows of a part: its owner's last full view and the deltas since."""
 
     __slots__ = (
         "at",
@@ -65,20 +65,23 @@
     )
 
     def __init__(self, node: str, token: int, since: float) -> None:
-        self.since = since  # when this owner first showed the part; it has listened since
+        # When this owner's first view arrived; it has listened to the part's machines since.
+        self.since = since
         self.node = node
         self.token = token
         self.seq = 0
         self.at = -math.inf
         self.machines: dict[str, Shown] = {}
-        # Silent machine -> (seconds that its owner stood still, attempts to ask it).
+        # Silent machine -> (seconds for which its owner itself stood still since the machine's
+        # last report, probes of it as (by, outcome, seconds ago)).
         self.silences: dict[str, tuple[float, list[tuple[str, str, float]]]] = {}
-        self.failing: list[Failing] = []  # jobs that fail wherever they are tried
-        self.leaving: dict[str, int] = {}  # job -> tasks that are nowhere, not yet written
+        self.failing: list[Failing] = []  # jobs that fail on every machine
+        # Job -> tasks that are on no machine any more, which is not recorded yet.
+        self.leaving: dict[str, int] = {}
 
 
 class Views:
-    """Of all parts, by the latest views of their owners."""
+    """The states of all parts, by the latest views of their owners."""
 
     def __init__(self, book: JobBook, settings: Settings) -> None:
         self._book = book
@@ -87,15 +90,17 @@
         self._epoch = book.epoch
 
     def late(self, view: PartView) -> bool:
-        """A copy of an earlier view, or one that was held on its way: an owner numbers its
-        views, and tokens only rise. (A whole one took the place of what was known since, and
-        what it had overheard long ago counted as heard just now.)"""
+        """Whether a view is a duplicate or was overtaken by a later one: an owner numbers its
+        views, and tokens only rise. Without this check a delayed full view replaces what is
+        known since, and reports that it overheard long ago count as recent."""
         state = self._parts.get(view.part)
         return state is not None and (view.token, view.seq) <= (state.token, state.seq)
 
     def take_in(self, view: PartView, now: float) -> PartState | None:
-        """None: changes to something that we don't have, since an answer of ours was
-        lost, or we have just begun to lead. The owner has to send everything."""
+        """Applies a view and returns the state of its part.
+
+        Returns None for a delta to a view that is not known here, because an answer to the owner
+        was lost or this leader is new. Then the owner has to send a full view."""
         state = self._parts.get(view.part)
         if view.base == 0:
             same = state is not None and state.token == view.token
@@ -113,7 +118,7 @@
         return state
 
     def renew(self) -> None:
-        """After a full read of the book its jobs are other objects."""
+        """Looks up all jobs again after a full read of the book, which replaces its objects."""
         if self._epoch != self._book.epoch:
             self._epoch = self._book.epoch
             for state in self._parts.values():
@@ -121,6 +126,8 @@
                     state.machines[name] = Shown(shown.view, shown.at, self._book)
 
     def fresh(self, now: float) -> dict[int, PartState]:
+        """The parts, by number, whose present owner sent a view within the longest ordinary
+        pause between reports."""
         views: dict[int, PartState] = {}
         for part, state in self._parts.items():
             owner = self._book.parts.get(part)
@@ -133,7 +140,7 @@
         return views
 
     def heard(self, part: int, name: str, now: float) -> bool:
-        """Whether the part's owner has heard from a machine within its lease."""
+        """Whether the part's owner has heard from a machine within its lease, by a recent view."""
         state = self._parts.get(part)
         if state is None or now - state.at > self._settings.report_gap_s:
             return False
--- a/ryegauge/scheduling/__init__.py
+++ b/ryegauge/scheduling/__init__.py
@@ -1,1 +1,3 @@
-"""The planner: pure functions from a snapshot to decisions."""
+"""The planner and its models of run times, boot times, pipelines and reclaimed spot time.
+
+It does no I/O: the current time and a snapshot of the cluster are passed in."""
--- a/ryegauge/scheduling/boots.py
+++ b/ryegauge/scheduling/boots.py
@@ -1,13 +1,14 @@
-"""What boots were really seen to take, and what is to be expected of those under way.
+"""Learns how long machines take to boot, and estimates the boots under way.
 
-The logarithm of a boot's time over the nominal one is taken for normal, with a spread as the
-protocol tells of (0.6 to 1.5 times the nominal time as a rule). Kinds of machines, by type, zone
-and pricing, learn from themselves, from their type, and from all. Times are in seconds.
+The logarithm of the ratio of actual to nominal boot time is modelled as normal, with a prior
+spread according to the cloud's protocol (usually 0.6 to 1.5 times the nominal time). Each kind
+of machine, by type, zone and pricing, learns from its own boots, from those of its type, and
+from all. Times are in seconds.
 
-A machine that is overdue while others asked for with it or later are up is late for itself, or
-never comes: after the usual bound it is not counted on any more, and what it was for is rented
-anew; later it is returned. If most of those asked for with it are overdue as well, all boots are
-slow: another rental would be as slow and costs as much again, so they are waited for.
+If a machine is overdue while others that were rented with it or later are up, it alone is late or
+never comes: once it is overdue it is no longer expected and a replacement may be rented; later it
+is released. If most machines rented with it are overdue too, all boots are slow. Another rental
+would be as slow and cost as much again, so the machines are waited for.
 """
 
 import math
@@ -18,47 +19,52 @@
 
 Kind = tuple[str, str, bool]  # type, zone, spot
 
-# A boot takes 0.6 to 1.5 times the nominal time as a rule.
+# Usually a boot takes 0.6 to 1.5 times the nominal time.
 USUAL = math.log(1.5)
 USUAL_SPREAD = 0.25
-# Boots' worth of trust that is put into what is known of the wider group.
+# The wider group's estimate counts as much as this many observed boots.
 PRIOR = 4.0
-# What was seen counts half after so many nominal boots: troubles come and go.
+# The weight of an observed boot halves after this many nominal boot times: slow phases pass.
 FADES_BOOTS = 6.0
-MOST_WEIGHT = 12.0  # boots; those before count less with each new one
-# Beyond so many spreads a boot is overdue; past this, times so much, it is given up.
+MOST_WEIGHT = 12.0  # boots; with each new one earlier ones count less
+# A boot is overdue this many standard deviations above the mean.
 OVERDUE_SPREADS = 2.0
+# A machine is given up, and released, after this multiple of the time at which it is overdue,
 GIVE_UP = 1.5
-LEAST_GIVE_UP = 2.5  # nominal boots
-# Where all are overdue and none has come, that they are slow is a guess: so long at least.
+LEAST_GIVE_UP = 2.5  # but not before this many nominal boot times
+# nor, while all boots are slow, before this many: that they are slow and will still come is a
+# guess as long as none has come;
 SLOW_GIVE_UP = 4.0
-MOST_GIVE_UP = 8.0
-# New ones are not expected sooner than this share of the nominal time: a spell in which boots
-# take a second ends without notice, and what is rented for it is paid for.
+MOST_GIVE_UP = 8.0  # otherwise at the latest after this many.
+# A new boot is never expected to take less than this share of the nominal time: a phase in which
+# boots take a second may end at any time, and machines rented in reliance on it cost money.
 LEAST = 0.5
-# Nor much later: all boots of a kind may be slow, or none may come, and neither makes a dearer
-# kind worth any price. (Without it 13 steady machines at ten times the price were rented.)
+# Nor more than this multiple: all boots of a kind may be slow or fail, but that does not justify
+# any price for another kind. (Without this limit 13 on-demand machines at ten times the price were
+# rented.)
 MOST = 3.0
-REMEMBERED = 256  # arrivals, by type and zone
+REMEMBERED = 256  # completed boots kept by type and zone
 
 
 class Pending(NamedTuple):
+    """A rented machine that is not up yet."""
+
     name: str
     kind: Kind
-    nominal_s: float
-    age_s: float  # since it was asked for
+    nominal_s: float  # boot time by the catalogue
+    age_s: float  # seconds since it was rented
 
 
 class Expected(NamedTuple):
-    """Of a machine that has been asked for."""
+    """The estimate for a machine that is not up yet."""
 
-    left_s: float  # until it is up, as likely sooner as later
-    counted: bool  # whether it is still counted on
-    lost: bool  # whether it is to be returned
+    left_s: float  # median of the seconds until it is up
+    counted: bool  # whether it is still expected to come
+    lost: bool  # whether it is given up and to be released
 
 
 class _Seen:
-    """Weighted sums of logarithms; the weight halves with time."""
+    """Weighted sums of the logarithms of actual over nominal boot time; weights decay."""
 
     __slots__ = ("at", "n", "squares", "total")
 
@@ -79,16 +85,22 @@
 
 
 class Boots:
+    """Estimates boot times by kind of machine from the boots observed so far."""
+
     def __init__(self) -> None:
+        # By kind, by type, and for all machines (None).
         self._seen: dict[Kind | tuple[str] | None, _Seen] = {}
-        # (type, zone) -> when those that came up lately had been asked for.
+        # (type, zone) -> when the machines that came up last had been rented.
         self._came: dict[tuple[str, str], deque[float]] = {}
-        self._slow: dict[tuple[str, str], tuple[int, float]] = {}  # as of the last look
-        # Worked out once for a moment: hundreds may be under way at the same time.
+        # (type, zone) with slow boots, as of the last `look` -> (overdue machines, median of
+        # the logarithm of their age over the nominal boot time).
+        self._slow: dict[tuple[str, str], tuple[int, float]] = {}
+        # Computed once for each point in time: hundreds of machines may boot at once.
         self._normals: dict[tuple[Kind, float], tuple[float, float]] = {}
         self._normals_at = -math.inf
 
     def came_up(self, kind: Kind, nominal_s: float, took_s: float, now: float) -> None:
+        """Records that a machine has come up `took_s` seconds after it was rented."""
         value = math.log(max(took_s, 0.01 * nominal_s) / nominal_s)
         self._normals_at = -math.inf
         for group in (kind, (kind[0],), None):
@@ -98,7 +110,8 @@
         came.append(now - took_s)
 
     def look(self, pending: Iterable[Pending], now: float) -> dict[str, Expected]:
-        """What is to be expected of each. Groups that are slow as a whole are found first."""
+        """The estimate for each machine that is not up yet, by name. First finds the groups, by
+        type and zone, whose boots are slow as a whole; `boot_s` relies on them afterwards."""
         waiting = list(pending)
         groups: dict[tuple[str, str], list[Pending]] = {}
         for p in waiting:
@@ -115,7 +128,7 @@
         return {p.name: self._expected(p, now) for p in waiting}
 
     def boot_s(self, kind: Kind, nominal_s: float, now: float) -> float:
-        """What one that is asked for now is expected to take."""
+        """The expected boot time in seconds of a machine rented now."""
         mean, _ = self._normal(kind, nominal_s, now)
         if (slow := self._slow.get(kind[:2])) is not None:
             late, value = slow
@@ -128,14 +141,14 @@
             MOST_GIVE_UP, max(LEAST_GIVE_UP, GIVE_UP * overdue_s / p.nominal_s)
         )
         if p.kind[:2] in self._slow:
-            # As long again as it has taken: nothing is known of how slow they are.
+            # How slow they are is unknown, so an overdue one is expected to need as long again.
             left_s = max(self._left_s(p, now), p.age_s if p.age_s > overdue_s else 0.0)
             give_up_s = max(give_up_s, SLOW_GIVE_UP * p.nominal_s)
             return Expected(left_s, True, p.age_s > give_up_s)
         return Expected(self._left_s(p, now), p.age_s <= overdue_s, p.age_s > give_up_s)
 
     def _left_s(self, p: Pending, now: float) -> float:
-        """The median, given that it has not come yet."""
+        """The median of the remaining boot time, given that the machine is not up yet."""
         mean, spread = self._normal(p.kind, p.nominal_s, now)
         normal = NormalDist(mean, spread)
         past = normal.cdf(math.log(max(p.age_s, 0.01 * p.nominal_s) / p.nominal_s))
@@ -147,7 +160,8 @@
         return nominal_s * math.exp(max(USUAL, mean + OVERDUE_SPREADS * spread))
 
     def _normal(self, kind: Kind, nominal_s: float, now: float) -> tuple[float, float]:
-        """Mean and spread for a kind; each group begins with what the wider one shows."""
+        """Mean and spread of the logarithm for a kind; the estimate of the wider group is the prior
+        of the narrower one."""
         if now != self._normals_at:
             self._normals_at = now
             self._normals.clear()
--- a/ryegauge/scheduling/estimates.py
+++ b/ryegauge/scheduling/estimates.py
@@ -1,23 +1,23 @@
-"""Run times learnt from completed tasks, against what their owners estimated."""
+"""Corrects users' run-time estimates by the run times of completed tasks."""
 
 import math
 
-# Spread of the logarithm of actual over estimated run time before anything is seen: owners'
-# estimates are often wrong by half.
+# Assumed spread of the logarithm of actual over estimated run time before any task of a class has
+# completed: users' estimates are often wrong by half.
 USUAL_SPREAD = math.log(1.5)
-# Of a normal distribution, the point that a quarter lies above.
+# A quarter of a normal distribution lies above this many standard deviations.
 UPPER_QUARTILE = 0.674
 
 
 class Estimates:
-    """Per class, the mean logarithm of actual over estimated run time.
+    """Keeps, by job class, mean and spread of the logarithm of actual over estimated run time.
 
-    Owners' estimates are often wrong by half and on some days all in one direction;
-    a few completed tasks show the direction. `prior` completed tasks' worth of
-    trust is put into the owner's own figure.
+    Users' estimates are often wrong by half, and on some days all in the same direction; a few
+    completed tasks show the direction.
     """
 
     def __init__(self, prior: float = 4.0) -> None:
+        """The user's estimate counts as much as `prior` completed tasks."""
         self._prior = prior
         self._seen: dict[str, tuple[float, float]] = {}
         self._squares: dict[str, tuple[float, float, float]] = {}
@@ -25,13 +25,14 @@
     def add(
         self, job_class: str, count: float, log_ratio_sum: float, log_ratio_squares: float = 0.0
     ) -> None:
+        """Adds `count` completed tasks with the sums of their logarithms and of the squares."""
         n, total = self._seen.get(job_class, (0.0, 0.0))
         n, total = n + count, total + log_ratio_sum
-        # Older days fade: at most this many samples are remembered in weight.
+        # Halving the sums limits the total weight, so that earlier days fade.
         if n > 200:
             n, total = n / 2, total / 2
         self._seen[job_class] = (n, total)
-        if log_ratio_squares > 0:  # versions before this one send none
+        if log_ratio_squares > 0:  # older versions send none
             n, total, squares = self._squares.get(job_class, (0.0, 0.0, 0.0))
             if n > 200:
                 n, total, squares = n / 2, total / 2, squares / 2
@@ -42,6 +43,7 @@
             )
 
     def run_s(self, job_class: str, estimate_s: float) -> float:
+        """The expected run time in seconds of a task that its user estimated at `estimate_s`."""
         n, total = self._seen.get(job_class, (0.0, 0.0))
         return estimate_s * math.exp(total / (n + self._prior))
 
@@ -52,8 +54,8 @@
         return math.sqrt((own + self._prior * USUAL_SPREAD**2) / (n + self._prior))
 
     def overdue_s(self, job_class: str, estimate_s: float) -> float:
-        """How long a task that has outlived its estimate will go on, as likely longer as
-        shorter. With run times spread as they are (lognormal) that hardly changes with its
-        age; it is not nought, as the estimate less the age would have it."""
+        """The median of the remaining run time, in seconds, of a task that has run for longer than
+        estimated. With lognormal run times it hardly depends on how long the task has run. It
+        is not zero, as the estimate minus the elapsed time would suggest."""
         factor = math.exp(UPPER_QUARTILE * self.spread(job_class)) - 1.0
         return self.run_s(job_class, estimate_s) * factor
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -1,8 +1,8 @@
-"""Pipelines: deadlines and priorities passed back from the last job to the first.
+"""Pipelines: propagates deadlines and priorities from dependent jobs back to their dependencies.
 
-The remaining critical path of a job leads over the jobs that need it (equation 1 of the
-paper, with jobs for tasks): a job has to finish early enough for each of them to finish
-in time, and goes as soon as the most urgent of them. Whatever is over weighs nothing.
+The remaining critical path of a job includes the jobs that depend on it (equation 1 of the ECPTR
+paper, with jobs in place of tasks): a job has to finish early enough for each of them to finish in
+time, and is as urgent as the most urgent of them. Jobs that are over do not count.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,8 +10,10 @@
 
 
 class Urgency(NamedTuple):
-    latest_finish: float
-    rank: int  # of its priority, the most urgent is 0
+    """How urgent a job is, by itself or together with its dependents."""
+
+    latest_finish: float  # time of day in seconds, infinite without any deadline
+    rank: int  # of the priority, 0 is the most urgent
 
 
 def pass_back(
@@ -21,9 +23,10 @@
     path_s: Callable[[str], float],
     known: dict[str, Urgency],
 ) -> Urgency:
-    """The urgency of a job, by its own and that of the jobs `after` it, each of which
-    takes `path_s`. What is worked out on the way is kept in `known`. Without recursion:
-    pipelines may be longer than the stack."""
+    """The urgency of the job `start`, from its `own` and that of the jobs `after` it, each of which
+    takes `path_s` seconds. All urgencies computed on the way are stored in `known`.
+
+    It does not recurse, since pipelines may be longer than the stack allows."""
     stack = [start]
     while stack:
         uid = stack[-1]
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -1,9 +1,9 @@
-"""The ECPTR planner: what runs where, what to rent and what to return.
+"""The ECPTR planner: which tasks run on which machines, what to rent and which machines are used.
 
-Pure functions of a snapshot and the time. Task, machine and rental names follow the
-paper: LTO is the latest time to turn to steady machines, EFT and LFT the earliest
-and latest finish. Jobs here are sets of independent tasks, so the critical path of
-a job is the longest remaining task on the type at hand, with its image fetch.
+Pure functions of a snapshot and the time. Algorithm names and abbreviations follow the ECPTR
+paper: LTO is the latest time to turn to on-demand machines, EFT and LFT are the earliest and
+latest finish time. A job is a set of independent tasks, so its critical path on a machine type
+is its longest remaining task there plus the fetch of its image.
 """
 
 import math
@@ -16,13 +16,14 @@
 from ryegauge.protocol.cloud import MachineType
 
 EPSILON = 1e-6
-# Speeds of machines of a type differ by up to this share; less says nothing.
+# Speeds of machines of one type differ by up to this share, so smaller differences between
+# expected completions mean nothing.
 ALIKE = 0.1
 
 
 @dataclass(slots=True)
 class Room:
-    """A machine's free room; `ready_s` is 0 if it runs, else the time until it may."""
+    """The free capacity of a machine that runs, boots or is about to be rented."""
 
     name: str
     type: MachineType
@@ -33,20 +34,22 @@
     memory_gb: float
     gpus: float
     images: set[str] = field(default_factory=set)
-    ready_s: float = 0.0
-    used: bool = False
-    # What its tasks will free: (seconds until then, tasks, CPUs, GB, cards of each).
+    ready_s: float = 0.0  # expected seconds until it is up, 0 if it runs
+    used: bool = False  # runs tasks, or the plan counts on it
+    # What its tasks will free: (seconds until then, tasks; CPUs, GB and GPUs of each).
     busy: list[tuple[float, int, float, float, float]] = field(default_factory=list)
-    # A task that fits nowhere now waits for room here until then.
+    # It is reserved, from so many seconds on, for a task that fits nowhere now: others may run
+    # here only if they end before.
     held_s: float = math.inf
-    # Free room now and what comes free soon, less what waits for it: (CPUs, GB, cards).
+    # What is free now or will be soon, less what waits for it: (CPUs, GB, GPUs).
     soon: tuple[float, float, float] | None = None
 
     def fits(self, need: "Need") -> int:
-        """How many of the need's tasks still fit."""
+        """How many of the demand's tasks fit into what is free now."""
         return _fit(need, self.cpus, self.memory_gb, self.gpus)
 
     def take(self, need: "Need", count: int) -> None:
+        """Subtracts `count` tasks of a demand; its image will be on the machine."""
         self.cpus -= need.cpus * count
         self.memory_gb -= need.memory_gb * count
         self.gpus -= need.gpus * count
@@ -59,12 +62,13 @@
 
 
 def whole_room(type_: MachineType, name: str, zone: str, spot: bool, part: int = -1) -> Room:
+    """The capacity of a machine without tasks."""
     return Room(name, type_, zone, spot, part, type_.cpus, type_.memory_gb, type_.gpus)
 
 
 @dataclass(slots=True)
 class Need:
-    """Tasks of one job that wait for a place."""
+    """Open tasks of one job that wait for capacity; placing some of them lowers `count`."""
 
     uid: str
     count: int
@@ -76,33 +80,36 @@
     spot_ok: bool
     service: bool
     run_s: float
-    # Latest finish, in the clock of `now`; infinite without any deadline.
+    # Time of day in seconds by which it has to be finished; infinite without any deadline.
     latest_finish: float
     types: frozenset[str] | None = None
-    # Zones allowed and how many tasks each may still take; None: any number anywhere.
+    # Zone -> how many more tasks it may take, other zones none; None: any number in any zone.
     zones: dict[str, int] | None = None
-    # All tasks in one zone, not yet chosen.
+    # All tasks have to run in one zone, which is not chosen yet.
     one_zone: bool = False
-    # Starts whole, on one pricing kind.
+    # All tasks start at once, either all on spot machines or all on on-demand ones.
     gang: bool = False
-    # Parts that hold tasks of the job already.
+    # Parts that tasks of the job are assigned to already.
     parts: frozenset[int] = frozenset()
-    # CPUs of larger tasks that are around, ascending: room that one of them fits into
+    # CPUs of the larger tasks that exist, ascending: free capacity that one of them fits into
     # is broken up last.
     larger: tuple[float, ...] = ()
-    # If it finds no room, machines that come free within so long are held for it.
+    # If it finds no capacity, machines that become free within so many seconds are reserved.
     hold_s: float = 0.0
-    due: bool = False  # goes first for its age
-    rents: bool = True  # if not, it takes running room or comes again later
+    due: bool = False  # comes first because of its job's age
+    rents: bool = True  # whether machines may be rented for it
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
-        """The critical path on a type: the fetch and the longest remaining task."""
+        """The critical path on a machine type in seconds: the fetch of the image, unless it is
+        cached, and the run time of a task."""
         fetch = 0.0 if cached or not self.image_gb else self.image_gb / type_.fetch_gb_per_s
         return self.run_s + fetch
 
 
 @dataclass(slots=True, frozen=True)
 class Placement:
+    """Tasks of a job that the plan puts on a running machine."""
+
     uid: str
     count: int
     machine: str
@@ -112,6 +119,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Rental:
+    """Machines of one type, zone and pricing to be rented."""
+
     type: str
     zone: str
     spot: bool
@@ -120,16 +129,18 @@
 
 @dataclass(slots=True)
 class Plan:
+    """The decisions of one planning round."""
+
     placements: list[Placement] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
-    # What found no room on running machines, in order: (job, tasks).
+    # Demands without capacity on running machines, in order of precedence: (job UID, tasks).
     unplaced: list[tuple[str, int]] = field(default_factory=list)
-    # Machines that the plan counts on, starting ones included.
+    # Machines that run tasks or that the plan counts on, including those that still boot.
     used: set[str] = field(default_factory=set)
-    # Of the unplaced tasks: those that wait for a busy machine, and for one that boots.
+    # Unplaced tasks that wait for a busy machine, and those that wait for a booting one.
     wait_busy: int = 0
     wait_boots: int = 0
-    ahead: int = 0  # machines rented for tasks that are most likely lost
+    ahead: int = 0  # machines rented for tasks that are probably lost with their machines
 
 
 def _fit(need: Need, cpus: float, memory_gb: float, gpus: float) -> int:
@@ -144,6 +155,7 @@
 
 
 def allowed(need: Need, type_name: str, zone: str, spot: bool) -> bool:
+    """Whether the demand's tasks may run on such a machine, whatever is free there."""
     return (
         (need.types is None or type_name in need.types)
         and (need.zones is None or need.zones.get(zone, 0) > 0)
@@ -152,20 +164,25 @@
 
 
 def latest_to_steady(need: Need, types: Iterable[MachineType]) -> float:
-    """LTO = D - CP, with the path on the slowest allowed type (Algorithm 1, line 8)."""
+    """LTO = D - CP: when to turn to on-demand machines at the latest, with the critical path on
+    the slowest allowed type (Algorithm 1, line 8)."""
     paths = [need.path_s(t) for t in types if need.types is None or t.name in need.types]
     return need.latest_finish - max(paths, default=need.run_s)
 
 
 def place(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
-    """Takes room for as much of the need as fits (FindFreeSlot and FindRunningVM).
-
-    The earliest completion comes first. Machines of a type differ in speed by a tenth,
-    so completions within a tenth of the path count as equal; of those, a spot machine,
-    so that the dearer steady ones run empty and are returned; of these, room that larger
-    tasks cannot use, machines that have the image, the smallest, few parts, since each
-    part's share of a job is a record of its own, and the fullest, so that others run
-    empty.
+    """Places as much of the demand as fits (FindFreeSlot and FindRunningVM); returns the machines
+    taken and the number of tasks on each.
+
+    The earliest completion comes first. Machines of one type differ in speed by a tenth, so
+    completions within a tenth of the path count as equal. Among equals the order is:
+
+    - spot machines, so that the more expensive on-demand ones become idle and are released;
+    - capacity that larger tasks cannot use;
+    - machines that have the image;
+    - the smallest machine types;
+    - few parts, since each part's share of a job is a record of its own;
+    - the fullest machines, so that others become idle.
     """
     if need.count <= 0:
         return []
@@ -204,7 +221,7 @@
     alike = groupby(candidates, key=lambda c: c[:2])
     for _, group in alike:
         equal = [c[7] for c in group]
-        # First what larger tasks could not use anyway.
+        # First the capacity that larger tasks could not use anyway.
         for whole in (*need.larger, 0.0):
             for room in equal:
                 if need.count <= 0:
@@ -215,7 +232,8 @@
 
 
 def _take(need: Need, room: Room, whole: float) -> int:
-    """Takes what fits; with `whole`, only what is left beside tasks of so many CPUs."""
+    """Places what fits and returns the number of tasks. If `whole` is not 0, only capacity is
+    used that tasks of so many CPUs leave over."""
     n = room.fits(need)
     if whole and need.cpus > 0:
         n = min(n, int((room.cpus % whole + EPSILON) // need.cpus))
@@ -234,8 +252,9 @@
 
 
 def _part_ranks(need: Need, rooms: list[Room]) -> dict[int, int]:
-    """Parts in the order in which a need should take them, so that its job ends up in
-    few: those that hold some of it, then the smallest that fits all, then the roomiest."""
+    """The rank of each part for a demand, chosen so that few parts get tasks of its job: first
+    parts that already have some, then the one with the least capacity that fits all, then
+    those with the most."""
     fitting: dict[int, int] = {}
     for room in rooms:
         fitting[room.part] = fitting.get(room.part, 0) + room.fits(need)
@@ -252,12 +271,13 @@
 
 
 def _completion(need: Need, room: Room, grain: float) -> float:
+    """The expected time until a task completes on a machine, in steps of `grain` seconds."""
     path = room.ready_s + need.path_s(room.type, need.image in room.images)
     return path if grain <= 0 else path // grain
 
 
 def place_gang(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
-    """All tasks at once on machines of one pricing kind, or none."""
+    """Places all tasks of a gang on machines of one pricing, spot first, or none of them."""
     for spot in (False,) if steady_only else (True, False):
         kind = [room for room in rooms if room.spot == spot]
         trial = replace(need, zones=None if need.zones is None else copy(need.zones))
@@ -268,6 +288,7 @@
 
 
 def _best_zone(need: Need, rooms: list[Room]) -> str:
+    """The zone that fits most of the demand's tasks."""
     fitting: dict[str, int] = {}
     for room in rooms:
         fitting[room.zone] = fitting.get(room.zone, 0) + room.fits(need)
@@ -276,26 +297,27 @@
 
 @dataclass(slots=True)
 class Market:
-    """What can be rented and how the spot machines have fared."""
+    """What can be rented, and how often spot machines were reclaimed."""
 
     types: dict[str, MachineType]
-    # (type, zone, spot) refused of late.
+    # (type, zone, spot) that the cloud has refused a short while ago.
     refused: set[tuple[str, str, bool]]
     takeback_share: float
     takeback_threshold: float
-    # How long tasks wait for a busy machine instead of a new one, in boots.
+    # How long tasks wait for a busy machine rather than for a new one, in boot times.
     patience: float = 0.5
     # More was placed in the last round than could be recorded.
     backlog: bool = False
-    # (type, zone, spot) -> what boots are expected to take; else the nominal time.
+    # (type, zone, spot) -> expected boot time in seconds; for others the nominal time counts.
     boots: dict[tuple[str, str, bool], float] = field(default_factory=dict)
 
     def boot_s(self, type_: MachineType, zone: str, spot: bool) -> float:
+        """The expected boot time of such a machine in seconds."""
         return self.boots.get((type_.name, zone, spot), type_.boot_s)
 
     @property
     def longest_boot_s(self) -> float:
-        """Of all types, each where and how it is had soonest."""
+        """The longest expected boot time of all types, each in its fastest zone and pricing."""
         return max(
             (
                 min(
@@ -308,19 +330,20 @@
 
 
 def standby_rule(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
-    """EFT + one boot reaches LFT: there is no time for a new machine after a loss."""
+    """Whether a task needs standby capacity: EFT plus one boot time reaches LFT, so after the
+    loss of its machine there is no time to boot a replacement."""
     return now + run_left_s + boot_s >= latest_finish
 
 
 def hold_standbys(
     critical: dict[str, list[Need]], running: list[Room], coming: list[Room]
 ) -> list[Need]:
-    """Holds room for the tasks without time for a new machine, on running machines that
-    do not hold them, else on starting ones; returns what found none.
+    """Reserves capacity for the tasks that would have no time for a new machine, on other
+    running machines, else on booting ones; returns the demands that found too little.
 
-    Room is held, nothing runs there: two runs of a task at once would break a rule.
-    One machine is taken at a time, so its standbys' room serves those of the others
-    (backup overloading): what the fullest machine needs is held."""
+    Nothing runs on it: a task must not run twice at the same time. Machines are assumed to be
+    lost one at a time, so all can share the same standby capacity (backup overloading): it is
+    reserved for the machine whose critical tasks need the most."""
     if not critical:
         return []
     name = max(sorted(critical), key=lambda m: sum(n.cpus * n.count for n in critical[m]))
@@ -331,9 +354,11 @@
 
 
 class Exhausted:
-    """Kinds of tasks for which a round has found no room left. Room only shrinks within
-    a round, so what asks for as much and runs as long need not look again: with many
-    jobs waiting for a full fleet, a round would else try every machine for each."""
+    """The kinds of demands for which a round has found no capacity left.
+
+    Capacity only shrinks within a round, so a demand whose tasks are as large and run as long
+    need not search again. Without this a round with many jobs waiting for a full fleet would
+    try every machine for each of them."""
 
     def __init__(self) -> None:
         self._kinds: dict[tuple[object, ...], list[tuple[float, float, float, float]]] = {}
@@ -341,17 +366,18 @@
     @staticmethod
     def _kind(need: Need, steady: bool) -> tuple[object, ...] | None:
         if need.gang or need.one_zone or need.zones is not None:
-            return None  # limits of its own
+            return None  # its limits differ from those of all other demands
         return (steady, need.spot_ok, need.types)
 
     def note(self, need: Need, steady: bool = False) -> None:
-        """The need has just looked; if some of it is left, the room is used up."""
+        """Records that a demand has just searched: if tasks are left, nothing fits them."""
         kind = self._kind(need, steady)
         if kind is not None and need.count > 0:
             size = (need.cpus, need.memory_gb, need.gpus, need.run_s)
             self._kinds.setdefault(kind, []).append(size)
 
     def covers(self, need: Need, steady: bool = False) -> bool:
+        """Whether it is known that none of the demand's tasks fit."""
         kind = self._kind(need, steady)
         return kind is not None and any(
             c <= need.cpus and m <= need.memory_gb and g <= need.gpus and r <= need.run_s
@@ -359,15 +385,17 @@
         )
 
     def forget(self) -> None:
+        """Clears all kinds, since capacity was added."""
         self._kinds.clear()
 
 
 def _place_by_part(
     needs: list[Need], running: list[Room], market: Market, now: float, result: Plan
 ) -> None:
-    """Each need takes room in one part first, the one that can take the most of it: a part's
-    share of a job is a record, and with many records to write for few tasks each, machines
-    stand idle beside tasks that wait for being recorded."""
+    """Places each demand in a single part first, the one that can take most of it.
+
+    A part's share of a job is a record. If many records have to be written for few tasks each,
+    machines stay idle while tasks wait for their assignment to be written."""
     by_part: dict[int, list[Room]] = {}
     for room in running:
         if room.cpus > EPSILON:
@@ -404,8 +432,11 @@
     critical: dict[str, list[Need]] | None = None,
     missed: Iterable[Need] = (),
 ) -> Plan:
-    """One round, needs in their order of precedence. Of `missed`, tasks on machines that are
-    most likely lost, nothing is placed: what they will need is rented ahead."""
+    """Plans one round; `needs` come in their order of precedence and `now` is the time of day.
+
+    `critical` are the demands that standby capacity is reserved for, by machine. `missed` are
+    the tasks on machines that are probably lost: they are not placed, but machines are rented
+    in advance for what finds no capacity."""
     result = Plan()
     rented: dict[tuple[str, str, bool], int] = {}
     coming = list(starting)
@@ -424,8 +455,9 @@
             taken = put(need, running, steady_only=True)
             now_full.note(need, steady=True)
         if need.count > 0 and not need.service and not now_full.covers(need):
-            # Past the point this is the exception "late on spot": with no steady room
-            # free, a running spot machine still finishes sooner than waiting for one.
+            # After the LTO this is the paper's exception "late on spot": if no on-demand
+            # capacity is free, a running spot machine still finishes sooner than a machine
+            # that would have to be waited for.
             taken += put(need, running, steady_only=False)
             now_full.note(need)
         for room, count in taken:
@@ -440,8 +472,8 @@
             and market.takeback_share < market.takeback_threshold
         )
         if not spot and need.spot_ok and not need.service and not _in_time(need, market, now):
-            # Exception "no type in time": no new machine of any type meets the deadline,
-            # so a steady one would be dearer and no earlier.
+            # The paper's exception "no type in time": no new machine of any type meets the
+            # deadline, so an on-demand one would cost more and finish no earlier.
             spot = market.takeback_share < market.takeback_threshold
         left = need.count
         if not soon_full.covers(need):
@@ -449,7 +481,7 @@
             soon_full.note(need)
         result.wait_busy += left - need.count
         left = need.count
-        # What is on its way already is rented for someone; room that is left serves.
+        # Machines on their way were rented for earlier demands; the rest of them is free.
         if not coming_full.covers(need, steady=not spot):
             put(need, coming, steady_only=not spot)
             coming_full.note(need, steady=not spot)
@@ -473,9 +505,9 @@
 
 
 def wait_for_room(need: Need, rooms: list[Room], horizon_s: float, *, steady_only: bool) -> None:
-    """FindRunningVM for machines that are busy now: tasks that a running machine can
-    take before a rented one would be up wait for it instead. The machine is held for
-    them: tasks that come later in the order may use it only if they end before."""
+    """FindRunningVM for machines that are busy now: tasks that a running machine can take within
+    `horizon_s` wait for it instead of a rental. The machine is reserved for them: later demands
+    may use it only if they end before."""
     if not need.count or need.gang:
         return
     waits: list[tuple[float, int, Room]] = []
@@ -504,7 +536,7 @@
                 fits += more
     waits.sort(key=lambda w: w[:2])
     for left_s, _, room in waits[: need.count]:
-        # Not more than once: what waits here has taken what will be free.
+        # Take what will be free there, so that it is not given away twice.
         insort(room.busy, (left_s, -1, need.cpus, need.memory_gb, need.gpus))
         room.soon = (
             None
@@ -517,10 +549,12 @@
 
 
 def hold_room(need: Need, rooms: list[Room], horizon_s: float) -> None:
-    """Holds machines for tasks that no rental can help and that small ones would keep from
-    ever fitting: those that have room for one earliest, by what their tasks are expected to
-    take, within the horizon. Until then only what ends before runs there. A gang is held
-    for whole or not at all."""
+    """Reserves machines for tasks that no rental can help and that would never fit anywhere as
+    long as smaller tasks keep taking what becomes free.
+
+    Those machines are reserved that are expected to fit such a task earliest, within
+    `horizon_s`; until then only tasks that end before may run there. For a gang, capacity is
+    reserved for all tasks or for none."""
     found: list[tuple[float, str, int, Room]] = []
     for room in rooms:
         if not allowed(need, room.type.name, room.zone, room.spot):
@@ -545,7 +579,7 @@
         if need.count <= 0:
             return
         n = min(more, need.count)
-        # What waits here has taken what will be free.
+        # Take what will be free there, so that it is not given away twice.
         insort(room.busy, (left_s, -n, need.cpus, need.memory_gb, need.gpus))
         room.soon = None
         room.held_s = min(room.held_s, left_s)
@@ -554,6 +588,7 @@
 
 
 def _soon(room: Room, horizon_s: float) -> tuple[float, float, float]:
+    """The (CPUs, GB, GPUs) that are free on a machine within `horizon_s`."""
     cpus, memory_gb, gpus = room.cpus, room.memory_gb, room.gpus
     for left_s, count, c, m, g in room.busy:
         if left_s > horizon_s:
@@ -563,7 +598,7 @@
 
 
 def _in_time(need: Need, market: Market, now: float) -> bool:
-    """Whether some steady machine rented now would meet the deadline (Algorithm 3)."""
+    """Whether some on-demand machine rented now would meet the deadline (Algorithm 3)."""
     return any(
         now + market.boot_s(t, z, False) + need.path_s(t) <= need.latest_finish
         and _fit(need, t.cpus, t.memory_gb, t.gpus) > 0
@@ -582,8 +617,8 @@
     coming: list[Room],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
-    """New machines for what is left of a need; their spare room serves later needs.
-    Whether any are wanted."""
+    """Rents machines for the rest of a demand and adds them to `coming`, so that later demands
+    can use what they leave free. Returns whether any were rented."""
     before = len(coming)
     while need.count > 0:
         room_type = _choose(need, market, spot, now)
@@ -591,7 +626,7 @@
             break
         type_, zone = room_type
         key = (type_.name, zone, spot)
-        # As many as the need fills, then the choice is made anew for the rest.
+        # As many as the demand fills; for the rest the choice is made again.
         full = need.count // max(1, _fit(need, type_.cpus, type_.memory_gb, type_.gpus))
         for _ in range(max(1, full)):
             rented[key] = rented.get(key, 0) + 1
@@ -604,8 +639,9 @@
 
 
 def _choose(need: Need, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
-    """FindCostPerfEffectiveVM: of the types that meet the deadline (all, if none
-    does), the lowest path time times price for all the tasks that wait."""
+    """FindCostPerfEffectiveVM: the type and zone with the lowest product of path time and price
+    for all waiting tasks, among those that meet the deadline, else among all; None if nothing
+    suitable can be rented."""
     best: tuple[tuple[bool, float, float, str, str], MachineType, str] | None = None
     for type_ in market.types.values():
         n = _fit(need, type_.cpus, type_.memory_gb, type_.gpus)
