--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -158,11 +158,7 @@
             if value_bytes(record) <= limits.value_bytes:
                 changes.append(Put(f"r/c/{name}", record))
             else:
-                log.error(
-                    "machine type %s is not recorded: its description exceeds %d bytes",
-                    name,
-                    limits.value_bytes,
-                )
+                log.error("machine type %s is not recorded: its description is too large", name)
         for first in range(0, len(changes), limits.txn_ops):
             some = changes[first : first + limits.txn_ops]
             self._desk.wrote(await self._desk.state.commit({}, some, timeout_s=1.0))
--- a/ryegauge/scheduling/boots.py
+++ b/ryegauge/scheduling/boots.py
@@ -29,13 +29,14 @@
 MOST_WEIGHT = 12.0  # boots; with each new one earlier ones count less
 # A boot is overdue this many standard deviations above the mean.
 OVERDUE_SPREADS = 2.0
-# A machine is given up, and released, after this multiple of the time at which it is overdue,
+# A machine is given up, and released, at this multiple of the time at which it is overdue.
 GIVE_UP = 1.5
-LEAST_GIVE_UP = 2.5  # but not before this many nominal boot times
-# nor, while all boots are slow, before this many: that they are slow and will still come is a
-# guess as long as none has come;
+# Bounds on that time, in nominal boot times.
+LEAST_GIVE_UP = 2.5
+# While all boots of a group are overdue it is only a guess that they are slow and will still
+# complete; this bounds the wait from below.
 SLOW_GIVE_UP = 4.0
-MOST_GIVE_UP = 8.0  # otherwise at the latest after this many.
+MOST_GIVE_UP = 8.0
 # A new boot is never expected to take less than this share of the nominal time: a phase in which
 # boots take a second may end at any time, and machines rented in reliance on it cost money.
 LEAST = 0.5
