--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -1,4 +1,4 @@
-"""What is expected of boots, against the injected truth, and days on which they are late."""
+"""Boot-time estimates against simulated boots, and simulated days on which boots are late."""
 
 import math
 import random
@@ -18,8 +18,8 @@
 
 
 class Rentals:
-    """Machines asked for one after the other; the truth is a factor and a share of failures
-    for each time and zone. Notes what was said of each, and when."""
+    """Rents one machine after the other. Their boot times follow a given factor by kind and time,
+    and a share of them never comes up. Records the age at which each was given up."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -73,20 +73,20 @@
     assert set(rentals.given_up) <= never
     assert old <= set(rentals.given_up)
     assert max(rentals.given_up.values()) <= 3.0 * NOMINAL_S + 1
-    # What it was for is rented anew sooner than that, and seldom for nothing.
+    # Replacements are rented sooner than that, and seldom needlessly.
     assert all(age <= 2.2 * NOMINAL_S for age in rentals.uncounted.values())
     assert len(set(rentals.uncounted) - never) <= 0.01 * len(rentals.up_at)
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_boots_are_slow_at_once(seed: int) -> None:
-    """Rented anew they would be no faster: they are waited for, and expected to be late."""
+    """New machines would be no faster, so the slow ones are waited for and expected late."""
     rentals = Rentals(seed)
     rentals.play({HERE: [(0.0, 4.0)]}, 0.0, 300.0)
     assert rentals.given_up == {}
     assert len(rentals.uncounted) <= 0.05 * len(rentals.up_at)
     assert rentals.boots.boot_s(HERE, NOMINAL_S, 300.0) > 2.5 * NOMINAL_S
-    # It is over: soon nothing more is expected of it than usual.
+    # After the slow phase the estimates soon return to normal.
     for n in range(20):
         rentals.boots.came_up(HERE, NOMINAL_S, 25.0, 420.0 + 5 * n)
     rentals.boots.look([], 520.0)
@@ -103,7 +103,8 @@
 
 
 def test_a_spell_of_fast_boots_ends() -> None:
-    """Those asked for after it are not taken for lost, nor is much expected of its return."""
+    """Machines rented after a phase of fast boots are not taken for lost, and during it the
+    expected boot time does not fall below its lower bound."""
     rentals = Rentals(2)
     rentals.play({HERE: [(0.0, 0.05), (120.0, 1.0)]}, 0.0, 300.0)
     assert rentals.given_up == {}
@@ -115,14 +116,14 @@
 
 
 def test_what_is_left_is_never_nothing() -> None:
-    """One that was overdue counted as about to come, for as long as three boots."""
+    """An overdue machine was expected to come up at once, for as long as three boot times."""
     boots = Boots()
     ages = [0.0, 10.0, 25.0, 40.0, 60.0, 100.0]
     left = [boots.look([Pending("m", HERE, NOMINAL_S, age)], 0.0)["m"].left_s for age in ages]
     assert left[0] == pytest.approx(NOMINAL_S)
     assert left[0] > left[1] > left[2]
     assert min(left) >= 0.04 * NOMINAL_S
-    # Two of two overdue: as long again as it has taken.
+    # If both of two are overdue, each is expected to need as long again.
     both = [Pending(name, HERE, NOMINAL_S, 60.0) for name in ("m-1", "m-2")]
     assert {e.left_s for e in boots.look(both, 0.0).values()} == {60.0}
 
@@ -149,5 +150,5 @@
     world = play(some_controllers(tmp_path, 3), 7, MIX, script, 330.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # No more is rented than is needed, however late it comes: the small fleet is 12 machines.
+    # No more than needed is rented, however late the machines come: the small fleet has 12.
     assert sum(e.what == "rented" for e in world.happened) < 70
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader's decisions, with parts and cloud described by hand."""
+"""The leader's decisions, with hand-made views of the parts and lists from the cloud."""
 
 import msgspec
 import pytest
@@ -28,6 +28,8 @@
 
 
 class Lead:
+    """A leader with a book of its own and three parts, whose machines are set by hand."""
+
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.book = JobBook()
@@ -39,28 +41,33 @@
         self.leader.fleet.types = {"small": SMALL}
         self.leader.on_list([], NOW)
         self.machines: dict[str, MachineView] = {}
-        self.asked: dict[str, str] = {}  # silent machine -> what became of asking it, twice
+        # Silent machine -> the outcome of probing it, the same from two controllers.
+        self.asked: dict[str, str] = {}
         self.overheard: list[tuple[str, float]] = []
-        self.failing: list[tuple[str, int, int]] = []  # as the owner of part 0 tells
-        self.shown: dict[int, int] = {}  # part -> number of its latest view
+        self.failing: list[tuple[str, int, int]] = []  # as reported by the owner of part 0
+        self.shown: dict[int, int] = {}  # part -> sequence number of its latest view
         self.now = NOW
 
     def part_of(self, name: str) -> int:
-        # No controller of the test's settings is in zone c: all parts take part.
+        # No controller of the test's settings is in zone c, so any part may get the machine.
         return self.parting.part_of(name, "c")
 
     def put(self, key: str, value: object) -> None:
+        """Writes a record to the book at the next revision."""
         self.revision += 1
         self.book.apply([Event(key, value, self.revision)], self.revision)
 
     def job(self, uid: str, **changes: object) -> None:
+        """Records a job that is submitted now."""
         self.put(job_key(uid), job_record(parse_job(job_body(uid, **changes)), self.now, False))
 
     def allot(self, uid: str, part: int, tasks: list[int], zone: str = "") -> None:
+        """Records that these tasks of a job are assigned to a part."""
         flat = [bound for i in tasks for bound in (i, i + 1)]
         self.put(share_key(uid, part), {"t": {zone: flat}, "d": []})
 
     def machine(self, name: str, zone: str = "a", **changes: object) -> None:
+        """Adds or replaces a machine in the next views; by default it is open and empty."""
         fields: dict[str, object] = {
             "name": name,
             "type": "small",
@@ -79,6 +86,7 @@
     def view(
         self, part: int, machines: list[MachineView], *, base: int = 0, **more: object
     ) -> PartView:
+        """The next view of a part, by default a full one."""
         self.shown[part] = seq = self.shown.get(part, 0) + 1
         return PartView(
             "node-0",
@@ -92,6 +100,7 @@
         )
 
     def views(self) -> list[tuple[str, str, int]]:
+        """Sends full views of all parts to the leader; returns the evictions it orders."""
         evicted = []
         for part in range(3):
             mine = [m for n, m in self.machines.items() if self.part_of(n) == part]
@@ -111,7 +120,7 @@
         return evicted
 
     def round(self) -> dict[str, int]:
-        """Tasks newly allotted, by job."""
+        """Sends all views and plans a round; returns the number of newly assigned tasks by job."""
         self.views()
         result: dict[str, int] = {}
         self.last = self.leader.round(self.now, self.now)
@@ -128,7 +137,8 @@
 
 
 def test_a_teams_limit_counts_everything_allotted(lead: Lead) -> None:
-    """Team red may use 32 CPUs: what is on a lost part, unseen or stopping counts."""
+    """Team red may use 32 CPUs. All assigned tasks count, also those of a cancelled job and those
+    that are on no known machine."""
     for i in range(12):
         lead.machine(f"m-{i}")
     lead.job("wk-000001", pieces=10)
@@ -195,8 +205,8 @@
     lead.now += 61.0
     lead.round()
     assert lead.last.releases == []
-    # An unchanged view is not shown again: only the owner's word counts, since it may
-    # have placed something meanwhile.
+    # An owner does not send unchanged machines again, and may have started a task there
+    # meanwhile: only its confirmation counts.
     lead.round()
     assert lead.last.releases == []
     lead.machine("m-1", retiring=True)
@@ -209,7 +219,7 @@
 
 
 def test_a_view_that_comes_late_changes_nothing(lead: Lead) -> None:
-    """Held on its way, a whole view took the place of all that was shown since."""
+    """A full view that was delayed on its way replaced everything received since."""
     lead.machine("m-1", zone="c")
     part = lead.part_of("m-1")
     old = lead.view(part, [])
@@ -220,8 +230,8 @@
 
 
 def test_silent_machines_are_released_unless_many_are_silent(lead: Lead) -> None:
-    """A taken machine's tasks start anew once its release is certain. If a whole part
-    is silent, its owner is cut off, and releasing would lose everything."""
+    """A lost machine's tasks can restart once its release is confirmed. If half of a part is
+    silent, its owner may be cut off, and releasing the machines would lose all their tasks."""
     names = [f"m-{i}" for i in range(60) if lead.part_of(f"m-{i}") == 0][:12]
     for name in names:
         lead.machine(name, empty=False)
@@ -235,9 +245,9 @@
 
 
 def test_the_dead_are_told_from_a_deaf_owner_by_others(lead: Lead) -> None:
-    """Found by days of mass loss: a part of which a quarter was silent returned nothing until
-    the cloud listed the dead as failed, 35 to 45 s later. Where others tried in vain as well,
-    and no more machines are to be had, they are returned after three reports."""
+    """If more than a quarter of a part was silent, no machine of it was released until the cloud
+    listed the dead ones as failed, 35 to 45 s later. They are released after three missed
+    reports if a second controller cannot reach them either and the cloud has no more."""
     names = [f"m-{i}" for i in range(60) if lead.part_of(f"m-{i}") == 0][:12]
     for name in names:
         lead.machine(name, empty=False)
@@ -246,7 +256,7 @@
         lead.machine(name, empty=False, open=False, silent_s=5.0)
         lead.asked[name] = "no_connection"
     lead.round()
-    assert lead.last.releases == []  # more can be had: no need to give up what they hold
+    assert lead.last.releases == []  # the cloud has more, so they are not given up yet
     lead.leader.fleet.refused(Rental("small", "a", True, 1), lead.now)
     lead.overheard = [(names[0], 1.0)]
     lead.asked[names[1]] = "no_answer"
@@ -261,8 +271,8 @@
 def test_machines_whose_lease_is_over_are_returned_where_they_hold_the_last_room(
     lead: Lead,
 ) -> None:
-    """Found by days of mass loss: what its owner had given up at the end of its lease was in
-    nobody's view any more, and was kept until the cloud listed it as failed."""
+    """A machine that its owner had removed at the end of its lease was in no view any more, and
+    was kept until the cloud listed it as failed."""
     names = [f"m-{i}" for i in range(60) if lead.part_of(f"m-{i}") == 0][:12]
     lead.leader.on_list([listed(name) for name in names], lead.now)
     for name in names:
@@ -293,7 +303,8 @@
         lead.machines[name] = changed
         lead.asked[name] = "no_connection"
     lead.round()
-    # Six tasks of two CPUs are missed; half of the fleet's 16 CPUs are two machines.
+    # Six tasks with two CPUs each are probably lost; half of the fleet's 16 CPUs, the share for
+    # replacements, are two machines.
     assert sum(r.count for r in lead.last.rentals) == 2
     assert lead.last.allotments == {}
     for outcome in ("answered", "no_answer"):
@@ -303,7 +314,7 @@
 
 
 def test_nothing_is_rented_in_a_zone_that_is_cut_off(lead: Lead) -> None:
-    """They come back together, and what is rented there meanwhile is cut off as well."""
+    """Its machines come back together, and one rented there meanwhile is cut off as well."""
     far = [f"m-{i}" for i in range(10)]
     for name in far:
         lead.machine(name, zone="b", empty=False)
@@ -335,7 +346,7 @@
 
 
 def test_work_within_its_guarantee_stops_what_others_run_beyond_theirs(lead: Lead) -> None:
-    """Only what has just begun is stopped, and not for work of the same team."""
+    """Only tasks that have just begun are evicted."""
     lead.job("wk-000001", crew="blue", pieces=12, cpus=4.0)  # beyond blue's 8 CPUs
     flat = list(range(12))
     lead.allot("wk-000001", 0, flat)
@@ -344,7 +355,7 @@
         lead.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], left_s)])
     lead.job("wk-000002", pieces=1)
     lead.round()
-    assert lead.views() == []  # a new machine may be up first
+    assert lead.views() == []  # a new machine may be up sooner
     lead.now += 21.0
     lead.round()
     assert lead.views() == [("m-3", "wk-000001", 1)]
@@ -394,7 +405,8 @@
 
 
 def test_what_waits_for_others_holds_and_causes_nothing(lead: Lead) -> None:
-    """No allotments, rentals or part of the guarantee before its time."""
+    """A job that waits for its dependencies is not assigned, causes no rentals and takes up none
+    of its team's guarantee."""
     lead.job("wk-000001", pieces=4, cpus=1.0)
     lead.job("wk-000002", pieces=16, cpus=2.0, awaits=["wk-000001"], urgency="high")
     lead.job("wk-000003", pieces=4, cpus=2.0)
@@ -408,12 +420,12 @@
     done(lead, "wk-000001")
     for n in range(2, 12):
         lead.machine(f"m-{n}")
-    assert lead.round() == {"wk-000002": 12}  # the limit of the team, 32 CPUs
+    assert lead.round() == {"wk-000002": 12}  # up to the team's limit of 32 CPUs
 
 
 def test_deadline_and_priority_pass_back_to_the_first_stage(lead: Lead) -> None:
-    """Of two jobs alike the one goes first that an urgent job waits for, also when that
-    one arrives later; one that is cancelled passes nothing back."""
+    """Of two equal jobs the one that an urgent job depends on goes first, also if the urgent one
+    arrives later. A cancelled dependent no longer counts."""
     lead.machine("m-1")
     for n in (1, 2):
         lead.job(f"wk-00000{n}", pieces=2, urgency="best_effort", dueS=None, crew="blue")
@@ -431,8 +443,8 @@
 
 
 def test_a_share_is_given_no_more_than_its_record_can_hold(lead: Lead) -> None:
-    """Each task may come to be a range of its own; a record that has become too large
-    could never be written again, and its tasks would be lost to the job."""
+    """Each task may become a range of its own in the record. A record that has grown too large
+    can never be written again, and the job would lose its tasks."""
     team = msgspec.structs.replace(lead.settings.settings.teams[0], cpus_max=1e6)
     state = msgspec.structs.replace(
         lead.settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
@@ -457,7 +469,7 @@
         0,
     )
     assert value_bytes(worst.to_record()) <= limit
-    # What is held and what is done count already.
+    # Assigned and done tasks in the record count too.
     lead.put(share_key("wk-000001", part), {"t": {"": [0, 60]}, "d": [100, 101, 102, 103]})
     lead.round()
     again = lead.last.allotments["wk-000001", part]
@@ -465,8 +477,8 @@
 
 
 def test_room_of_tasks_that_have_ended_is_free_before_they_are_written(lead: Lead) -> None:
-    """Found by measurement: what a part held by the book took its room until the outcome
-    was written, and writes were scarce: hundreds of tasks waited beside free machines."""
+    """Tasks that had ended took capacity until their outcome was written. While writes were
+    scarce, hundreds of tasks waited although machines were free."""
     lead.machine("m-1", zone="c")
     part = lead.part_of("m-1")
     lead.job("wk-000001", pieces=4, cpus=2.0)
@@ -484,8 +496,8 @@
 def test_a_leader_that_begins_knows_the_types_and_what_it_learnt_before(
     lead: Lead, settings: Settings
 ) -> None:
-    """Found by measurement: after fencing off its own allotment a leader had no types until
-    it could read the catalogue, and the cloud was away for a minute: no round at all."""
+    """A leader that had renewed its token, to fence off an assignment, knew no machine types
+    until it could read the catalogue. While the cloud was unreachable it planned no round."""
     new = Leader(10, lead.book, settings, NOW, {"small": SMALL})
     assert new.fleet.types == {"small": SMALL}
     assert not new.fleet.listed_once
@@ -511,13 +523,14 @@
     assert lead.round() == {"wk-000001": 1}
     lead.leader.allotted(["wk-000001"], lead.now)
     assert lead.round() == {}
-    # A task that is done shows that it was not the job's fault.
+    # A task that succeeds shows that the job was not at fault.
     lead.put(share_key("wk-000001", 1), {"t": {}, "d": [0, 1]})
     assert lead.round() == {"wk-000001": 10}
 
 
 def test_a_limit_of_zero_is_none(lead: Lead) -> None:
-    """With much work waiting as well: nothing is divided by what has no end."""
+    """A limit of 0 in the settings means no limit, for the planner and for admission. Counts
+    derived from an infinite limit must not fail, even with many waiting tasks."""
     teams = lead.leader._teams
     teams["guest"] = msgspec.structs.replace(teams["red"], name="guest", cpus=0.0, cpus_max=0.0)
     for i in range(20):
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -1,5 +1,5 @@
-"""Teams at their limits while jobs are cancelled and leaders change: a task's room counts until it
-is surely gone, and is had again soon after."""
+"""Teams at their limits while jobs are cancelled and leaders change: the capacity of a cancelled
+task counts until the task has certainly ended, and is used again soon after."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,8 +17,8 @@
 
 from ryegauge.emulator.fleet import SMALL_FLEET
 
-# Red may use 32 CPUs and blue 48. Of each team's first jobs every second is cancelled; as many
-# wait for the room.
+# Team red may use 32 CPUs and blue 48. Half of each team's first jobs are cancelled; as many
+# others wait for their capacity.
 CREWS = [crew for crew, cpus in (("red", 32), ("blue", 48)) for _ in range(cpus // 8)]
 JOBS: list[dict[str, Any]] = [
     {
@@ -33,7 +33,7 @@
     for really, delay in ((400.0, 0.0), (6.0, 40.0))
     for crew in CREWS
 ]
-# All of it at the low price, so that nobody waits for a cheaper machine: 84 CPUs.
+# Spot machines only, so that no task waits for a cheaper machine: 84 CPUs.
 FLEET = tuple(
     msgspec.structs.replace(type_, steady=0, spot=spot)
     for type_, spot in zip(SMALL_FLEET, (9, 3), strict=True)
@@ -55,7 +55,8 @@
 
 
 async def until_room(world: Day) -> None:
-    """Machines come that nobody asked for: only the limits keep the jobs that wait from them."""
+    """Waits until both teams are at their limits, then adds machines without a request: now only
+    the limits keep the waiting jobs from running."""
     await until_full(world)
     for zone in "ab" * 3:
         world.rent("small", zone, True)
@@ -69,7 +70,8 @@
 
 
 def check(world: Day) -> None:
-    """Its last half minute was without trouble: nobody waits for longer beside room that fits."""
+    """Checks the end of a day. Its last half minute was free of faults: by then no task that fits
+    may still be waiting."""
     assert world.checker.broken == []
     assert set(world.checker.cancelled_at) == set(CANCELLED)
     assert world.unfinished == KEPT
@@ -104,8 +106,8 @@
 
 @pytest.mark.parametrize("how", TROUBLES)
 def test_cancelled_at_the_limit_as_the_leader_ends(tmp_path: Path, how: str) -> None:
-    """Half of the cancellations just before the leader ends, the others while its machines can't
-    be asked and another one begins."""
+    """Half of the jobs are cancelled just before the leader crashes, the others while its machines
+    cannot be reached and another leader takes over."""
 
     async def script(world: Day) -> None:
         await until_room(world)
@@ -124,7 +126,7 @@
 
 @pytest.mark.parametrize("how", ["held up", "late allotments"])
 def test_cancelled_at_the_limit_as_ten_leaders_end(tmp_path: Path, how: str) -> None:
-    """In two minutes, with the trouble now and then."""
+    """Ten leaders crash within two minutes, with repeated phases of faults."""
 
     async def script(world: Day) -> None:
         await until_full(world)
@@ -147,8 +149,9 @@
 def test_cancelled_as_the_leader_is_refused_alone_and_then_everybody(
     tmp_path: Path, seed: int
 ) -> None:
-    """One by one for a second; the outage begins with the last, which no other one has read, and
-    lasts for longer than `cancel_s`."""
+    """The jobs are cancelled one by one within a second. With the write of the last cancellation,
+    before any other controller has read it, the state service fails for longer than
+    `cancel_s`."""
 
     async def script(world: Day) -> None:
         await until_full(world)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelines in the book and in the planner, against slow plain models."""
+"""Pipelines in the job book and in the planner, against slow reference models."""
 
 import math
 import random
@@ -27,7 +27,7 @@
 
 # -- deadlines and priorities ----------------------------------------------------------
 
-graphs = st.lists(  # job n may need any of the earlier ones: chains, fans, diamonds
+graphs = st.lists(  # job n may depend on any earlier one: chains, fans, diamonds
     st.tuples(
         st.sets(st.integers(0, 8), max_size=4),
         st.integers(0, 3),
@@ -43,7 +43,7 @@
 def test_urgency_is_that_of_the_worst_path_to_any_later_job(
     jobs: list[tuple[set[int], int, float, int]],
 ) -> None:
-    """The plain model walks every path from a job to every job that needs it."""
+    """The reference model walks every path from a job to every job that depends on it."""
     after = {
         str(n): [str(m) for m, job in enumerate(jobs) if n in job[0] and n < m]
         for n in range(len(jobs))
@@ -87,7 +87,7 @@
 
 
 class Plain:
-    """What the records mean, worked out anew from the definition for every question."""
+    """A reference model of job states, which evaluates their definition for every query."""
 
     def __init__(self) -> None:
         self.needs: dict[str, set[str]] = {}
@@ -124,8 +124,9 @@
 
 @given(st.integers(0, 10_000))
 def test_the_book_derives_what_the_definition_says(seed: int) -> None:
-    """Submissions, allotments, ends and cancellations as luck has it; after each, and
-    after reading everything anew in any order, the book says what the plain model says."""
+    """After each of a random sequence of submissions, assignments, ends and cancellations the book
+    agrees with the reference model, and so does a book that reads all records in another
+    order."""
     rng = random.Random(seed)
     book, plain = JobBook(), Plain()
     records: dict[str, tuple[object, int]] = {}
@@ -168,7 +169,7 @@
         again = JobBook()
         shuffled = [Event(key, value, version) for key, (value, version) in records.items()]
         rng.shuffle(shuffled)
-        # Shares follow their job in the order of keys; nothing else follows anything.
+        # Shares come after their job, as in the order of keys; the rest may come in any order.
         shuffled.sort(key=lambda event: event.key.count("/") == 3 and "r/j/" in event.key)
         again.replace(shuffled, book.ledger)
         for each in (book, again):
@@ -195,7 +196,7 @@
 
 
 def test_waiting_jobs_become_ready_when_the_last_need_is_done() -> None:
-    """The other times of a job count from then, as the controller has seen it."""
+    """The other times of a job count from the moment at which the controller saw that."""
     now = 100.0
     book = JobBook(lambda: now)
     records: dict[str, tuple[object, int]] = {}
@@ -229,7 +230,7 @@
     left: list[str] = []
     finals: dict[str, object] = {}
     while book.jobs:
-        (job,) = to_move_out(book, 0)  # the others are needed
+        (job,) = to_move_out(book, 0)  # other jobs depend on the others
         guards, changes = move_out(job, 5)
         assert len(guards) == 6
         assert len(changes) == 2
@@ -249,8 +250,8 @@
 
 @pytest.mark.parametrize("outcome", ["done", "cancelled"])
 def test_a_job_recorded_after_one_that_it_needs_was_archived(outcome: str) -> None:
-    """Its submission was on its way for so long: the outcome has to be looked up, since
-    whoever reads the book alone would let it wait forever."""
+    """A submission may be recorded so late that its dependency has been archived. The outcome of
+    that one has to be looked up: by the book alone the job would wait forever."""
     book = JobBook()
     records: dict[str, tuple[object, int]] = {}
     spec = parse_job(job_body(uid_of(2), awaits=[uid_of(1)]))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner against a slow plain model, and its choices one by one."""
+"""The planner against a slow reference model, and its single decisions."""
 
 import math
 import random
@@ -75,9 +75,9 @@
     machines: list[tuple[str, str, bool, int, bool]],
     wants: list[tuple[int, float, float, bool, str | None, bool, tuple[float, ...]]],
 ) -> None:
-    """The plain model tries every machine anew for every single task: the earliest
-    completion (within a tenth), then spot; of those, what larger tasks leave, then
-    machines with the image, the smallest type, the fullest, the first."""
+    """The reference model tries every machine again for every single task: the earliest
+    completion (within a tenth), then spot; among those, capacity that larger tasks leave over,
+    then machines with the image, the smallest type, the fullest, the first."""
     rooms = []
     for i, (kind, zone, spot, used, cached) in enumerate(machines):
         r = room(f"m{i}", TYPES[kind], zone, spot)
@@ -135,8 +135,8 @@
 def test_a_round_at_size_decides_as_one_that_tries_everything(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The plain model forgets which kinds of tasks have found no room, and tries all of
-    some hundred machines for each of many jobs."""
+    """Remembering which kinds of demands found no capacity must not change the plan: the
+    reference tries all of 300 machines for each of 60 jobs."""
 
     def a_round() -> tuple[object, ...]:
         rng = random.Random(seed)
@@ -178,7 +178,8 @@
 
 
 def test_small_tasks_leave_room_for_large_ones() -> None:
-    """Found by measurement: with hundreds of CPUs free in pieces, tasks of 16 waited."""
+    """Small tasks fragmented the free capacity: hundreds of CPUs were free, and tasks with 16
+    CPUs had to wait."""
     rooms = [room("m1", LARGE), room("m2", LARGE)]
     rooms[1].cpus = 14.0
     place(need(6, cpus=1.0, larger=(8.0,)), rooms, steady_only=False)
@@ -197,7 +198,7 @@
     ("changes", "kind"),
     [
         ({"latest_finish": 60.0}, False),  # slack, but less than one boot
-        ({"latest_finish": 20.0}, True),  # too late for any new machine: the cheap one
+        ({"latest_finish": 20.0}, True),  # too late on any new machine, so the cheaper one
         ({"spot_ok": False}, False),
         ({"latest_finish": math.inf}, True),
     ],
@@ -238,8 +239,8 @@
 
 
 def test_standbys_hold_room_elsewhere_and_share_it() -> None:
-    """What the fullest machine needs is held once, never on that machine, and a
-    machine is rented if there is no room; nothing is placed."""
+    """Standby capacity for the machine with the most critical tasks is reserved once, never on
+    that machine itself; without free capacity a machine is rented. Nothing is placed."""
     critical = {"m1": [need(2)], "m2": [need(1)]}
     rooms = [room("m1"), room("m2")]
     rooms[1].cpus = 4.0
@@ -259,14 +260,14 @@
     busy.busy = [(5.0, 2, 2.0, 4.0, 0.0)]
     result = plan([need(3)], [busy], [], market(), 0.0)
     assert [(r.type, r.count) for r in result.rentals] == [("small", 1)]
-    # What comes later in the order may use the machine only if it ends before.
+    # Later demands may use the machine only if they end before.
     assert not place(need(1, run_s=30.0), [busy], steady_only=False)
 
 
 def test_with_a_backlog_of_records_each_job_takes_one_part_first() -> None:
-    """Found by measurement: jobs spread over all parts took two records for each few tasks,
-    and hundreds of placed tasks waited for the state service's rate of changes. What is
-    left over is placed as usual, so no room stays free that would be used without."""
+    """Jobs spread over all parts take one record in each of them for a few tasks, and hundreds of
+    placed tasks waited for the state service's write rate. Tasks that do not fit into one
+    part are placed as usual, so that no capacity stays unused."""
 
     def machines(cpus: float) -> list[Room]:
         rooms = [room(f"m-{part}", LARGE) for part in range(2)]
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -1,5 +1,5 @@
-"""Machines that are up within two seconds and get work at once, while writes and the cloud's
-answers lag and the leader ends; and jobs bound to one zone that lose their machines."""
+"""Machines that boot within two seconds and get tasks at once, while writes and the cloud's
+answers lag and leaders crash; and jobs bound to one zone that lose their machines."""
 
 from pathlib import Path
 from typing import Any
@@ -17,8 +17,8 @@
 
 
 def test_a_list_older_than_the_one_before_drops_nothing(settings: Settings) -> None:
-    """Found by reading: what had just been listed and was not up yet left the fleet, was rented
-    again, and counted as taken by the cloud if it was a spot machine."""
+    """A machine missing from a list older than the previous one was dropped from the fleet and
+    rented again; a spot machine also counted as reclaimed by the cloud."""
     lead = Lead(settings)
     new = ListedMachine("m-1", "small", "a", True, "starting", 1.0)
     lead.leader.on_list([new], lead.now)
@@ -29,7 +29,7 @@
         lead.round()
         assert lead.last.rentals == []
     lead.leader.on_list([new], lead.now)
-    lead.now += 8.5  # twice the lag, and more: it is gone
+    lead.now += 8.5  # more than twice the list lag: it is gone
     lead.leader.on_list([], lead.now)
     assert lead.leader.fleet.machines == {}
     lead.round()
@@ -37,8 +37,8 @@
 
 
 def test_what_is_listed_as_starting_is_kept_until_its_owner_is_heard(settings: Settings) -> None:
-    """Found by reading: the list lags, so a machine that came up late may run tasks while it is
-    listed as starting; a new leader returned it before its owner had shown anything."""
+    """Since the list lags, a machine that came up late may run tasks while it is still listed as
+    starting. A new leader released it before it had a view from the owner."""
     lead = Lead(settings)
     lead.leader = Leader(10, lead.book, settings, lead.now, {"small": SMALL})
     lead.leader.on_list([ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now)
@@ -54,8 +54,8 @@
 
 
 def test_a_machine_that_shows_itself_before_its_rental_is_answered(settings: Settings) -> None:
-    """Found by reading: it is one of those that were asked for; as long as their request had no
-    answer, work waited for as many besides it."""
+    """It belongs to the pending rental, but counted in addition to it: as long as the rental had
+    no answer, tasks waited for machines that did not exist."""
     lead = Lead(settings)
     lead.job("wk-000001", pieces=2)
     lead.round()
@@ -74,8 +74,8 @@
 
 
 def test_new_machines_do_not_hold_the_barrier(settings: Settings) -> None:
-    """Found by reading: each is there without our token for a report, and while some came every
-    second nothing was concluded of the tasks that the earlier owner had."""
+    """Each new machine reports once without the new owner's token. While new ones came every
+    second, nothing was concluded about the tasks of the previous owner."""
     part = Part(settings, [0])
     for n in range(13):
         part.tick(1.0)
@@ -87,7 +87,7 @@
 
 
 def unused_s(world: Day, name: str) -> float:
-    """The longest time for which a machine was charged and had no task."""
+    """The longest time in seconds for which a machine was charged and had no task."""
     worker = world.workers[name]
     end = trio_end(world) if worker.ended_at is None else worker.ended_at
     longest, since, busy = 0.0, worker.since, 0
@@ -121,7 +121,7 @@
 def test_quick_boots_while_writes_lag_and_the_leader_ends(tmp_path: Path, seed: int) -> None:
     async def script(world: Day) -> None:
         world.slow_zones, world.boot_factor = {"a", "b"}, 0.05
-        world.network.slow["10.2.0.2"] = 4.0  # many report before the cloud has answered
+        world.network.slow["10.2.0.2"] = 4.0  # many machines report before the cloud's answer
         with world.late_writes(0.3), world.late_writes(0.2, at_once=True):
             for _ in range(4):
                 await trio.sleep(15.0)
@@ -133,7 +133,7 @@
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert [w.name for w in world.workers.values() if w.alive] == []
-    # What nobody needs is kept for the minute that it costs anyway.
+    # Unneeded machines are kept for the minute that is paid for anyway.
     assert max(unused_s(world, name) for name in world.workers) < 90.0
 
 
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -1,6 +1,8 @@
-"""An explicit-state model of one task between owner, helper, worker and cloud: under every
-order of events (to a bounded time) it starts elsewhere only when it surely runs no more, with
-the real verdicts deciding about the release. Seeded faults are found."""
+"""An explicit-state model of one task, its owner, a second controller, the worker and the cloud.
+
+In every order of events, up to a bounded time, the task is started elsewhere only when it has
+certainly ended; the real verdicts decide about the release. Seeded faults are found.
+"""
 
 from collections import deque
 from collections.abc import Iterator
@@ -17,16 +19,17 @@
 class State(NamedTuple):
     now: int = 0
     power: bool = True
-    cut: bool = False  # the machine from all controllers
+    cut: bool = False  # the machine is cut off from all controllers
     on: bool = True  # the task runs on the machine
     lease_from: int = 0
-    report: int | None = None  # sent at, under way
-    answer: int | None = None  # to the report sent at, under way
-    heard: int = 0  # by the owner
-    asked: tuple[bool, bool] = (False, False)  # in vain: by the owner, by a helper
-    release: str = "none"  # sent, executed, answered, lost
-    free: bool = False  # the owner lets it start elsewhere
-    elsewhere: bool = False
+    report: int | None = None  # a report on its way: when it was sent
+    answer: int | None = None  # an answer on its way: when the report to it was sent
+    heard: int = 0  # when the owner last received a report
+    # Probes without an answer, by the owner and by the second controller.
+    asked: tuple[bool, bool] = (False, False)
+    release: str = "none"  # none, sent, executed, answered or lost
+    free: bool = False  # the owner may start it elsewhere
+    elsewhere: bool = False  # it was started elsewhere
 
 
 def grade(s: State) -> Grade:
@@ -36,7 +39,7 @@
         for by, asked in zip(("owner", "helper"), s.asked, strict=True)
         if asked
     ]
-    # The owner hears few of its machines: only others' word can call this one lost.
+    # The owner hears few of its machines, so this one is lost only if others cannot reach it.
     return judge(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).grade
 
 
@@ -46,7 +49,7 @@
         yield later._replace(on=s.on and later.now <= s.lease_from + LEASE)
     if s.power and not s.cut and s.report is None and s.answer is None:
         yield s._replace(report=s.now)
-    if s.report is not None and not s.cut:  # delivered, late if it was held; or lost
+    if s.report is not None and not s.cut:  # delivered, perhaps late, or lost
         yield s._replace(report=None, answer=s.report, heard=s.now, asked=(False, False))
         yield s._replace(report=None)
     if s.answer is not None:
@@ -61,7 +64,7 @@
         yield s._replace(asked=(s.asked[0], True))
     if s.release == "none" and grade(s) >= Grade.LOST:
         yield s._replace(release="sent", free=s.free or fault == "sent")
-    if s.release in ("sent", "lost"):  # a request without an answer may be executed late
+    if s.release in ("sent", "lost"):  # an unanswered request may be executed late
         yield s._replace(
             release="executed" if s.release == "sent" else "lost", power=False, on=False
         )
@@ -76,7 +79,7 @@
 
 
 def explore(fault: str) -> tuple[State | None, int]:
-    """The first state in which the task runs twice, and how many states there are."""
+    """The first state in which the task runs twice, if any, and the number of states reached."""
     todo, seen = deque([State()]), {State()}
     while todo:
         state = todo.popleft()
@@ -97,7 +100,7 @@
 
 @pytest.mark.parametrize("fault", ["verdict", "sent", "unanswered", "early"])
 def test_seeded_faults_are_found(fault: str) -> None:
-    """verdict: a machine that is called lost counts as gone. sent: so does one whose return
-    was asked for. unanswered: so does one whose return got no answer. early: the lease is
-    counted short."""
+    """Faults: a machine counts as gone once its verdict is lost (`verdict`), once its release was
+    requested (`sent`) or was not answered (`unanswered`); a lease is counted one second short
+    (`early`)."""
     assert explore(fault)[0] is not None
