--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -57,8 +57,9 @@
         self.seen_at = -math.inf  # when the latest list that contains it was read
         self.failed = False  # listed as failed
         self.reported = False  # has reported to an owner of its part
-        self.heard_at: float | None = None  # its last report, as far as the owner's views tell
-        self.noticed = False  # has a notice that the cloud will reclaim it
+        # Its last report, as far as the views of its owners show.
+        self.heard_at: float | None = None
+        self.noticed = False  # the cloud has announced that it will reclaim it
         self.idle_since: float | None = None
         self.running_since: float | None = None  # when it was first listed as running
 
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -35,6 +35,7 @@
 
     @property
     def machine(self) -> MachineView:
+        """The machine that the tasks run on."""
         return self.shown.view
 
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -36,6 +36,8 @@
         seconds: float,
         every_s: float = 1.0,
     ) -> None:
+        """Rents one machine every `every_s` seconds. `factor_at` gives for each kind the factors on
+        the nominal boot time as (from when, factor), and `never` the share that fails."""
         now, following = 0.0, 0.0
         while now < seconds:
             while following <= now:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -49,6 +49,7 @@
         self.now = NOW
 
     def part_of(self, name: str) -> int:
+        """The part that a machine belongs to."""
         # No controller of the test's settings is in zone c, so any part may get the machine.
         return self.parting.part_of(name, "c")
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -96,12 +96,15 @@
         self.holding: set[str] = set()
 
     def cancelled(self, uid: str) -> bool:
+        """Whether it or any job that it depends on, directly or not, was cancelled."""
         return uid in self.flagged or any(self.cancelled(name) for name in self.needs[uid])
 
     def ready(self, uid: str) -> bool:
+        """Whether all of its dependencies are done."""
         return self.needs[uid] <= self.finished
 
     def status(self, uid: str) -> str:
+        """The status that users are shown."""
         if self.cancelled(uid):
             return "cancelled"
         if uid in self.finished:
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -17,6 +17,8 @@
 
 
 class State(NamedTuple):
+    """The whole system at one moment; times are whole seconds."""
+
     now: int = 0
     power: bool = True
     cut: bool = False  # the machine is cut off from all controllers
@@ -33,6 +35,7 @@
 
 
 def grade(s: State) -> Grade:
+    """The verdict's grade for the machine, by what the owner knows."""
     silent = float(s.now - s.heard)
     probes = [
         Probe(by, Outcome.NO_CONNECTION, float(s.now))
@@ -44,6 +47,7 @@
 
 
 def steps(s: State, fault: str) -> Iterator[State]:
+    """The states that can follow; `fault` names a seeded fault, none if it is empty."""
     if s.now < UNTIL:
         later = s._replace(now=s.now + 1)
         yield later._replace(on=s.on and later.now <= s.lease_from + LEASE)
