--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -7,20 +7,26 @@
 from dataclasses import dataclass
 
 from ryegauge.config import Settings
-from ryegauge.coordination.parting import Parting
-from ryegauge.coordination.views import PartState
-from ryegauge.detection.verdicts import HOPE_LEASES, WELL, Cause, Grade, Verdict
+from ryegauge.coordination.shard_views import ShardState
+from ryegauge.coordination.sharding import ShardMap
+from ryegauge.detection.failure_diagnosis import (
+    HEALTHY,
+    RECOVERY_LEASES,
+    Cause,
+    Diagnosis,
+    Severity,
+)
 from ryegauge.protocol.cloud import ListedMachine, MachineType
 from ryegauge.protocol.peers import MachineView
-from ryegauge.scheduling.boots import Boots, Expected, Kind, Pending
-from ryegauge.scheduling.planner import Plan, Rental, Room, whole_room
-from ryegauge.scheduling.takeback import TakebackShare
+from ryegauge.scheduling.boot_times import BootTimes, Expected, Kind, Pending
+from ryegauge.scheduling.planner import MachineCapacity, Plan, Rental, unused_capacity
+from ryegauge.scheduling.takeback_share import TakebackShare
 
 # Causes of silence after which a machine usually comes back, sooner than a new one would boot.
-COMES_BACK = {Cause.HUNG, Cause.OWNER_DEAF, Cause.OWNER_STOOD_STILL, Cause.ZONE_CUT}
+COMES_BACK = {Cause.HUNG, Cause.OWNER_UNREACHABLE, Cause.OWNER_STALLED, Cause.ZONE_CUT}
 
 
-class Rented:
+class FleetMachine:
     """A machine of the fleet. Times are seconds of the leader's monotonic clock."""
 
     __slots__ = (
@@ -32,9 +38,9 @@
         "listed",
         "name",
         "noticed",
-        "part",
+        "shard",
         "reported",
-        "running_since",
+        "listed_running_since",
         "seen_at",
         "since",
         "spot",
@@ -43,10 +49,10 @@
     )
 
     def __init__(
-        self, name: str, part: int, type_: str, zone: str, spot: bool, since: float
+        self, name: str, shard: int, type_: str, zone: str, spot: bool, since: float
     ) -> None:
         self.name = name
-        self.part = part
+        self.shard = shard
         self.type = type_
         self.zone = zone
         self.spot = spot
@@ -61,11 +67,11 @@
         self.heard_at: float | None = None
         self.noticed = False  # the cloud has announced that it will reclaim it
         self.idle_since: float | None = None
-        self.running_since: float | None = None  # when it was first listed as running
+        self.listed_running_since: float | None = None  # when it was first listed as running
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingRental:
     """A rental request that is under way or whose outcome is unknown."""
 
     rental: Rental
@@ -87,28 +93,28 @@
     def __init__(self, settings: Settings, now: float) -> None:
         self._settings = settings
         self._since = now
-        self._parting = Parting(settings)
+        self._shard_map = ShardMap(settings)
         self.types: dict[str, MachineType] = {}  # by name, with current prices
-        self.machines: dict[str, Rented] = {}
-        self.listed_once = False
-        self._asked: list[Asked] = []
+        self.machines: dict[str, FleetMachine] = {}
+        self.has_listing = False
+        self._asked: list[PendingRental] = []
         self._refused: dict[tuple[str, str, bool], tuple[float, float]] = {}
         self.gone: dict[str, float] = {}  # machines certainly released -> when
         # To be released once the owner of their part confirms that they are empty.
         self.retire: set[str] = set()
-        self.boots = Boots()
+        self.boots = BootTimes()
         self._expecting: dict[str, Expected] = {}  # machines that are not up yet, by name
         self.takeback = TakebackShare(settings.properties.takeback_window_s)
 
-    def add(self, name: str, type_: str, zone: str, spot: bool, since: float) -> Rented:
+    def add(self, name: str, type_: str, zone: str, spot: bool, since: float) -> FleetMachine:
         """Adds a machine that was rented at `since`."""
-        part = self._parting.part_of(name, zone)
-        rented = self.machines[name] = Rented(name, part, type_, zone, spot, since)
+        shard = self._shard_map.shard_of(name, zone)
+        rented = self.machines[name] = FleetMachine(name, shard, type_, zone, spot, since)
         if spot:
             self.takeback.began(name, since)
         return rented
 
-    def on_list(
+    def on_machine_list(
         self, machines: list[ListedMachine], now: float, heard: Callable[[int, str, float], bool]
     ) -> None:
         """Takes in a complete list of machines. `heard(part, machine, now)` tells whether the
@@ -117,7 +123,7 @@
         The cloud lists a machine until it is gone, but a list may be older than the one before
         it: a machine is dropped from the fleet only after it was missing for twice the list
         lag, and nothing is concluded about its tasks."""
-        self.listed_once = True
+        self.has_listing = True
         seen: set[str] = set()
         for entry in machines:
             if entry.name in self.gone:
@@ -132,8 +138,8 @@
             rented.listed, rented.seen_at = True, now
             rented.address = entry.addr or rented.address
             rented.failed = entry.state == "failed"
-            if entry.state == "running" and rented.running_since is None:
-                rented.running_since = now
+            if entry.state == "running" and rented.listed_running_since is None:
+                rented.listed_running_since = now
         for rented in list(self.machines.values()):
             # If an older list dropped machines at once, those listed shortly before would be
             # rented again, and each spot machine of them would count as reclaimed.
@@ -142,7 +148,7 @@
                 and rented.name not in seen
                 and (now - rented.seen_at > 2 * self._settings.settings.cloud.list_lag_s)
             )
-            if missing and not heard(rented.part, rented.name, now):
+            if missing and not heard(rented.shard, rented.name, now):
                 self._lost(rented, now, taken=rented.spot)
 
     def shown(self, machine: MachineView, now: float) -> None:
@@ -166,7 +172,7 @@
         else:
             rented.idle_since = None
 
-    def _appeared(self, rented: Rented) -> None:
+    def _appeared(self, rented: FleetMachine) -> None:
         """A machine has appeared that no answer of the cloud has named. It may belong to a rental
         request that is still unanswered, which then has one machine less to wait for. Otherwise
         both would be expected, and tasks would wait for a machine that never comes instead of
@@ -178,14 +184,14 @@
                 asked.left -= 1
                 return
 
-    def _came_up(self, rented: Rented, at: float, now: float) -> None:
+    def _came_up(self, rented: FleetMachine, at: float, now: float) -> None:
         type_ = self.types.get(rented.type)
         if rented.asked_at is not None and type_ is not None:
             took_s = max(0.0, at - rented.asked_at)
             kind = (rented.type, rented.zone, rented.spot)
-            self.boots.came_up(kind, type_.boot_s, took_s, now)
+            self.boots.record_boot(kind, type_.boot_s, took_s, now)
 
-    def _lost(self, rented: Rented, now: float, taken: bool) -> None:
+    def _lost(self, rented: FleetMachine, now: float, taken: bool) -> None:
         del self.machines[rented.name]
         self.retire.discard(rented.name)
         # The cloud may have capacity of this kind again.
@@ -193,11 +199,11 @@
         if rented.spot:
             self.takeback.ended(rented.name, now, taken)
 
-    def renting(self, rental: Rental, now: float) -> None:
+    def on_rental_sent(self, rental: Rental, now: float) -> None:
         """A rental request is being sent; its machines are expected until it is answered, or
         until they would have been listed."""
         until = now + 2 * self._settings.settings.cloud.list_lag_s + 5
-        self._asked.append(Asked(rental, now, until, rental.count))
+        self._asked.append(PendingRental(rental, now, until, rental.count))
 
     def rented(self, rental: Rental, names: list[str], now: float) -> None:
         """The cloud has granted a request, with these machines. Fewer than requested mean that
@@ -208,9 +214,9 @@
                 added = self.add(name, rental.type, rental.zone, rental.spot, now)
                 added.asked_at = now
         if len(names) < rental.count:
-            self.refused(rental, now)
+            self.on_rental_refused(rental, now)
 
-    def refused(self, rental: Rental, now: float, settle: bool = False) -> None:
+    def on_rental_refused(self, rental: Rental, now: float, settle: bool = False) -> None:
         """The cloud has no more machines of this kind: none is requested for one list lag,
         after a repeated refusal for two. `settle` ends the request itself."""
         if settle:
@@ -221,7 +227,7 @@
         pause = min(max(least, 2 * pause), 2 * least)
         self._refused[key] = (now + pause, pause)
 
-    def not_executed(self, rental: Rental) -> None:
+    def on_rental_failed(self, rental: Rental) -> None:
         """The cloud has rejected a request for another reason than a lack of machines."""
         self._settle(rental)
 
@@ -242,14 +248,14 @@
         lasting = 10 * self._settings.settings.workers.lease_s
         self.gone = {name: at for name, at in self.gone.items() if now - at < lasting}
 
-    def refused_now(self, now: float) -> set[tuple[str, str, bool]]:
+    def refused_kinds(self, now: float) -> set[tuple[str, str, bool]]:
         """The kinds (type, zone, spot) that are not requested for now, after a refusal."""
         return {key for key, (until, _) in self._refused.items() if until > now}
 
-    def starting(self, now: float, silent: Container[str] = ()) -> list[Room]:
+    def starting(self, now: float, silent: Container[str] = ()) -> list[MachineCapacity]:
         """The capacity of machines that boot or are being rented, with the expected time until
         each is up. Those in `silent` are left out."""
-        rooms: list[Room] = []
+        rooms: list[MachineCapacity] = []
         coming = [
             (r, type_)
             for r in self.machines.values()
@@ -268,8 +274,8 @@
                 continue  # it is up but silent, or about to be released: not expected to join
             if not expected.counted:
                 continue
-            room = whole_room(type_, r.name, r.zone, r.spot)
-            room.ready_s = expected.left_s
+            room = unused_capacity(type_, r.name, r.zone, r.spot)
+            room.available_in_s = expected.left_s
             rooms.append(room)
         self._asked = [asked for asked in self._asked if asked.until > now]
         for asked in self._asked:
@@ -277,8 +283,8 @@
             if type_ is not None:
                 for i in range(asked.left):
                     _, zone, spot = asked.kind
-                    room = whole_room(type_, f"?{asked.since}-{i}", zone, spot)
-                    room.ready_s = self.boots.boot_s(asked.kind, type_.boot_s, now)
+                    room = unused_capacity(type_, f"?{asked.since}-{i}", zone, spot)
+                    room.available_in_s = self.boots.boot_s(asked.kind, type_.boot_s, now)
                     rooms.append(room)
         return rooms
 
@@ -295,31 +301,31 @@
         self,
         decided: Plan,
         now: float,
-        views: dict[int, PartState],
-        verdicts: Mapping[str, Verdict],
+        views: dict[int, ShardState],
+        diagnoses: Mapping[str, Diagnosis],
     ) -> list[str]:
         """Names of the machines to release now, at most 100. Also chooses the idle machines
         that their owners are to empty and keep empty first (`retire`)."""
         props = self._settings.properties
-        full = self.refused_now(now)
+        full = self.refused_kinds(now)
         releases: list[str] = []
         for r in self.machines.values():
             type_ = self.types.get(r.type)
             age = now - r.since
-            shown = views[r.part].machines.get(r.name) if r.part in views else None
+            shown = views[r.shard].machines.get(r.name) if r.shard in views else None
             view = None if shown is None else shown.view
-            verdict = verdicts.get(r.name, WELL)
-            grade, is_full = verdict.grade, (r.type, r.zone, r.spot) in full
+            diagnosis = diagnoses.get(r.name, HEALTHY)
+            severity, is_full = diagnosis.severity, (r.type, r.zone, r.spot) in full
             if r.failed:
                 releases.append(r.name)
             elif type_ is None:
                 continue
-            elif grade is Grade.OVER and is_full and verdict.cause not in COMES_BACK:
+            elif severity is Severity.EXPIRED and is_full and diagnosis.cause not in COMES_BACK:
                 # Its lease is over, so nothing runs there any more, and the cloud has no more
                 # of this kind until it is released. While the cloud has more it is kept: a
                 # hung or cut-off machine is back sooner than a new one would boot.
                 releases.append(r.name)
-            elif grade is Grade.OVER and self._is_given_up(r, verdict, now):
+            elif severity is Severity.EXPIRED and self._is_given_up(r, diagnosis, now):
                 releases.append(r.name)
             elif not r.reported:
                 # A machine that never boots is charged until it is released. But one that is
@@ -327,13 +333,13 @@
                 # is new, or cannot reach the owner. Releasing it would lose its tasks. The same
                 # goes for one listed as starting, since the list lags: its owner's view has to
                 # come first.
-                unheard = r.part not in views or (
-                    r.running_since is not None
-                    and now - max(r.running_since, self._since)
+                unreported = r.shard not in views or (
+                    r.listed_running_since is not None
+                    and now - max(r.listed_running_since, self._since)
                     < 2 * self._settings.settings.workers.lease_s
                 )
                 expected = self._expecting.get(r.name)
-                if expected is not None and expected.lost and not unheard:
+                if expected is not None and expected.lost and not unreported:
                     releases.append(r.name)
             elif view is None:
                 continue
@@ -352,7 +358,7 @@
             ):
                 # Retired first, released once its owner confirms that it stays empty.
                 self.retire.add(r.name)
-            elif grade is Grade.LOST and (is_full or verdict.isolated):
+            elif severity is Severity.LOST and (is_full or diagnosis.silent_alone):
                 # The release proves that its tasks ended, before its lease runs out, so that
                 # they can start elsewhere. If many machines are silent at once, more of them
                 # may come back and the lease ends soon anyway: then it is released only if
@@ -360,11 +366,15 @@
                 releases.append(r.name)
         return releases[:100]
 
-    def _is_given_up(self, rented: Rented, verdict: Verdict, now: float) -> bool:
+    def _is_given_up(self, rented: FleetMachine, diagnosis: Diagnosis, now: float) -> bool:
         """Whether a silent machine that may come back has been waited for long enough.
 
         It is charged and of no use meanwhile. Without this limit a machine that reaches no
         controller but answers probes is kept for as long as that lasts. Only for a machine that
         is silent alone: if many are, they have a common cause and may come back together."""
-        hope_s = HOPE_LEASES * self._settings.sure_lease_s
-        return verdict.isolated and rented.heard_at is not None and now - rented.heard_at > hope_s
+        hope_s = RECOVERY_LEASES * self._settings.max_lease_s
+        return (
+            diagnosis.silent_alone
+            and rented.heard_at is not None
+            and now - rented.heard_at > hope_s
+        )
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -13,38 +13,43 @@
 
 import msgspec
 
-from ryegauge.bookkeeping.jobbook import Job, JobBook, Share
+from ryegauge.bookkeeping.state_replica import Assignment, Job, StateReplica
 from ryegauge.config import Settings
-from ryegauge.coordination.allotting import allot, open_needs, within_guarantee
+from ryegauge.coordination.capacity import (
+    replacement_demands,
+    running_capacity,
+    standby_demands,
+    subtract_in_transit,
+)
 from ryegauge.coordination.fleet import Fleet
 from ryegauge.coordination.preemption import Preemption
-from ryegauge.coordination.rooms import critical_tasks, missed_tasks, running_rooms, take_in_transit
-from ryegauge.coordination.silences import Silences
+from ryegauge.coordination.shard_views import ShardState, ShardViews
+from ryegauge.coordination.silent_machines import SilentMachines
+from ryegauge.coordination.task_assignment import assign_tasks, ordered_demands, within_guarantee
 from ryegauge.coordination.urgency import Urgencies
-from ryegauge.coordination.views import PartState, Views
-from ryegauge.detection.blame import HeldBack
-from ryegauge.detection.verdicts import Verdict
-from ryegauge.ordering import policy_of
+from ryegauge.detection.failure_diagnosis import Diagnosis
+from ryegauge.detection.fault_attribution import RetryBackoff
+from ryegauge.ordering import create_policy
 from ryegauge.protocol.cloud import ListedMachine, MachineType
-from ryegauge.protocol.peers import PartOrders, PartView
+from ryegauge.protocol.peers import ShardOrders, ShardView
 from ryegauge.scheduling.estimates import Estimates
-from ryegauge.scheduling.planner import Market, Plan, Rental, Room, plan
+from ryegauge.scheduling.planner import MachineCapacity, Market, Plan, Rental, plan
 
 log = logging.getLogger(__name__)
 
 # A job that fails on every machine is retried with a single task: first after one lease, then
 # at growing intervals up to this many leases.
-LONGEST_PAUSE_LEASES = 8.0
+MAX_RETRY_PAUSE_LEASES = 8.0
 # Held-back jobs that one answer to an owner lists at most.
 MOST_TOLD = 200
 
 
 @dataclass(slots=True)
-class Round:
+class RoundResult:
     """What one planning round decided; nothing of it has been carried out yet."""
 
     # (job UID, part) -> the share to write.
-    allotments: dict[tuple[str, int], Share] = field(default_factory=dict)
+    new_assignments: dict[tuple[str, int], Assignment] = field(default_factory=dict)
     rentals: list[Rental] = field(default_factory=list)
     releases: list[str] = field(default_factory=list)  # names of machines
 
@@ -55,11 +60,11 @@
     def __init__(
         self,
         token: int,
-        book: JobBook,
+        replica: StateReplica,
         settings: Settings,
         now: float,
         types: Mapping[str, MachineType] | None = None,
-        former: "Leader | None" = None,
+        previous_leader: "Leader | None" = None,
     ) -> None:
         """Starts to lead under the fencing token `token`.
 
@@ -70,37 +75,43 @@
         writes, just before the cloud fails, plans no round for a minute (see
         `docs/incidents/ramdin-curepipe-next-rounds.md`)."""
         self.token = token
-        self._book = book
+        self._replica = replica
         self._settings = settings
         self._teams = {team.name: team for team in settings.settings.teams}
-        self._views = Views(book, settings)
-        self._silences = Silences(settings)
-        self.fleet: Fleet = Fleet(settings, now) if former is None else former.fleet
+        self._views = ShardViews(replica, settings)
+        self._silences = SilentMachines(settings)
+        self.fleet: Fleet = (
+            Fleet(settings, now) if previous_leader is None else previous_leader.fleet
+        )
         if not self.fleet.types:
             self.fleet.types = dict(types or {})
         # More of the last round's assignments are unwritten than one transaction takes.
         self.backlog = False
         self._logged_at = -math.inf
-        self.estimates: Estimates = Estimates() if former is None else former.estimates
-        self._policy = policy_of(settings)
-        self._preemption = Preemption(book, settings, self.estimates, self._policy)
-        self._urgencies = Urgencies(book, settings, self.estimates, ())
+        self.estimates: Estimates = (
+            Estimates() if previous_leader is None else previous_leader.estimates
+        )
+        self._policy = create_policy(settings)
+        self._preemption = Preemption(replica, settings, self.estimates, self._policy)
+        self._urgencies = Urgencies(replica, settings, self.estimates, ())
         lease_s = settings.settings.workers.lease_s
-        self._held: HeldBack = (
-            HeldBack(lease_s, LONGEST_PAUSE_LEASES * lease_s) if former is None else former._held
+        self._held: RetryBackoff = (
+            RetryBackoff(lease_s, MAX_RETRY_PAUSE_LEASES * lease_s)
+            if previous_leader is None
+            else previous_leader._held
         )
 
-    def on_view(self, view: PartView, now: float) -> PartOrders:
+    def on_shard_view(self, view: ShardView, now: float) -> ShardOrders:
         """Takes in an owner's view of its part; returns the orders for that owner.
 
         The answer asks for a full view (`resync`) if this one is outdated or is a delta to a
         view that this leader does not have."""
         if self._views.late(view):
-            return PartOrders(self._book.ledger, [], [], resync=True)
+            return ShardOrders(self._replica.state_revision, [], [], resync=True)
         self._silences.take_in(view, now)
         state = self._views.take_in(view, now)
         if state is None:
-            return PartOrders(self._book.ledger, [], [], resync=True)
+            return ShardOrders(self._replica.state_revision, [], [], resync=True)
         for sample in view.samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
         for machine in view.machines:
@@ -108,43 +119,43 @@
         mine = [name for name in state.machines if name in self.fleet.gone]
         retire = [name for name in self.fleet.retire if name in state.machines]
         evict = self._preemption.orders(state.machines)
-        return PartOrders(
-            self._book.ledger,
+        return ShardOrders(
+            self._replica.state_revision,
             retire,
             mine,
             evict,
-            unheard=self._silences.unheard(view.part),
-            mistaken=self._held.latest(MOST_TOLD),
+            unreported=self._silences.unreported(view.shard),
+            failing_jobs=self._held.newest(MOST_TOLD),
         )
 
-    def on_list(self, machines: list[ListedMachine], now: float) -> None:
+    def on_machine_list(self, machines: list[ListedMachine], now: float) -> None:
         """Takes in a complete list of machines from the cloud."""
-        self.fleet.on_list(machines, now, self._views.heard)
+        self.fleet.on_machine_list(machines, now, self._views.heard)
 
-    def round(self, now: float, wall: float) -> Round:
+    def round(self, now: float, wall: float) -> RoundResult:
         """Plans one round.
 
         `now` is the monotonic clock and `wall` the time of day, both in seconds. Without any
         known machine type the result is empty."""
-        result = Round()
+        result = RoundResult()
         self._views.renew()
         self.fleet.forget(now)
         types = self.fleet.types
         if not types:
             return result
         views = self._views.fresh(now)
-        running = running_rooms(self._book, self.fleet, views, self.estimates, now)
-        verdicts = self._silences.verdicts(self.fleet, views, now)
-        take_in_transit(self._book, self.estimates, running, views)
+        running = running_capacity(self._replica, self.fleet, views, self.estimates, now)
+        diagnoses = self._silences.diagnoses(self.fleet, views, now)
+        subtract_in_transit(self._replica, self.estimates, running, views)
         self._hold_back(views, now)
-        within = within_guarantee(self._book, self._teams, lambda job: job.ready_at)
-        self._urgencies = Urgencies(self._book, self._settings, self.estimates, types.values())
+        within = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
+        self._urgencies = Urgencies(self._replica, self._settings, self.estimates, types.values())
         # A team's most urgent jobs are covered by its guarantee too, whichever came earlier.
         first = within_guarantee(
-            self._book, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
+            self._replica, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
         )
-        needs, jobs = open_needs(
-            self._book,
+        needs, jobs = ordered_demands(
+            self._replica,
             self._teams,
             self._urgencies,
             self.estimates,
@@ -157,13 +168,13 @@
         )
         market = Market(
             types=types,
-            refused=self.fleet.refused_now(now) | self._cut_off(types),
+            refused=self.fleet.refused_kinds(now) | self._cut_off(types),
             takeback_share=self.fleet.takeback.share(now),
             takeback_threshold=self._settings.properties.takeback_threshold,
             patience=self._settings.properties.patience_boots,
             backlog=self.backlog,
         )
-        starting = self.fleet.starting(now, verdicts)
+        starting = self.fleet.starting(now, diagnoses)
         market.boots = self.fleet.boot_times(now)
         due = [(need.uid, need.count) for need in needs if need.due]
         decided = plan(
@@ -172,11 +183,11 @@
             starting,
             market,
             wall,
-            critical_tasks(self.fleet, views, self._urgencies, self.estimates, now, wall),
-            missed_tasks(
+            standby_demands(self.fleet, views, self._urgencies, self.estimates, now, wall),
+            replacement_demands(
                 self.fleet,
                 views,
-                verdicts,
+                diagnoses,
                 self._urgencies,
                 self.estimates,
                 self._settings.properties.ahead_share,
@@ -185,7 +196,7 @@
         if now - self._logged_at > 10:
             self._logged_at = now
             self._log(decided, jobs, running, market)
-            self._log_silent(verdicts)
+            self._log_silent(diagnoses)
             if self._held:
                 log.info("held back: %s", self._held.describe(now))
             if due:
@@ -197,17 +208,19 @@
                     due[0][0],
                     wall - jobs[due[0][0]].ready_at,
                 )
-        result.allotments = allot(decided, jobs, self._settings.state_limits.value_bytes)
-        if self.fleet.listed_once:
+        result.new_assignments = assign_tasks(
+            decided, jobs, self._settings.state_limits.value_bytes
+        )
+        if self.fleet.has_listing:
             result.rentals = decided.rentals
-        result.releases = self.fleet.returns(decided, now, views, verdicts)
+        result.releases = self.fleet.returns(decided, now, views, diagnoses)
         self._preemption.decide(decided, jobs, within, self._urgencies, types, views, now, wall)
         return result
 
-    def _hold_back(self, views: dict[int, PartState], now: float) -> None:
+    def _hold_back(self, views: dict[int, ShardState], now: float) -> None:
         def may_be_mistaken(uid: str) -> bool:
-            job = self._book.live.get(uid)
-            return job is not None and not job.over and not job.done_count
+            job = self._replica.live.get(uid)
+            return job is not None and not job.is_terminal and not job.done_count
 
         self._held.keep(may_be_mistaken)
         told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
@@ -222,10 +235,10 @@
                 self._held.wait_s(uid, now),
             )
 
-    def allotted(self, uids: Iterable[str], now: float) -> None:
+    def assigned(self, uids: Iterable[str], now: float) -> None:
         """Tasks of these jobs have been assigned; for a held-back job that counts as a retry."""
         for uid in uids:
-            self._held.tried(uid, now)
+            self._held.on_retry(uid, now)
 
     def _cut_off(self, types: dict[str, MachineType]) -> set[tuple[str, str, bool]]:
         """All kinds of machines in unreachable zones: one rented there could not be used."""
@@ -236,16 +249,18 @@
             for spot in (True, False)
         }
 
-    def _log_silent(self, verdicts: dict[str, Verdict]) -> None:
-        counts = Counter((v.grade.name.lower(), v.cause.value) for v in verdicts.values())
+    def _log_silent(self, diagnoses: dict[str, Diagnosis]) -> None:
+        counts = Counter((v.severity.name.lower(), v.cause.value) for v in diagnoses.values())
         if counts:
             log.info(
                 "silent machines: %s",
-                ", ".join(f"{n} {grade} ({cause})" for (grade, cause), n in sorted(counts.items())),
+                ", ".join(
+                    f"{n} {severity} ({cause})" for (severity, cause), n in sorted(counts.items())
+                ),
             )
 
     def _log(
-        self, decided: Plan, jobs: dict[str, Job], running: list[Room], market: Market
+        self, decided: Plan, jobs: dict[str, Job], running: list[MachineCapacity], market: Market
     ) -> None:
         waiting: dict[float, int] = {}
         for job in jobs.values():
@@ -262,8 +277,8 @@
             "renting %s, %d of them for tasks on lost machines; refused %s; take-back share %.2f",
             dict(sorted(waiting.items())),
             sum(n for _, n in decided.unplaced),
-            decided.wait_busy,
-            decided.wait_boots,
+            decided.waiting_for_busy,
+            decided.waiting_for_boot,
             sum(p.count for p in decided.placements),
             len(self.fleet.machines),
             len(running),
--- a/ryegauge/scheduling/boots.py
+++ b/ryegauge/scheduling/boot_times.py
@@ -85,7 +85,7 @@
         self.at = now
 
 
-class Boots:
+class BootTimes:
     """Estimates boot times by kind of machine from the boots observed so far."""
 
     def __init__(self) -> None:
@@ -100,7 +100,7 @@
         self._normals: dict[tuple[Kind, float], tuple[float, float]] = {}
         self._normals_at = -math.inf
 
-    def came_up(self, kind: Kind, nominal_s: float, took_s: float, now: float) -> None:
+    def record_boot(self, kind: Kind, nominal_s: float, took_s: float, now: float) -> None:
         """Records that a machine has come up `took_s` seconds after it was rented."""
         value = math.log(max(took_s, 0.01 * nominal_s) / nominal_s)
         self._normals_at = -math.inf
--- a/ryegauge/scheduling/estimates.py
+++ b/ryegauge/scheduling/estimates.py
@@ -53,7 +53,7 @@
         own = max(0.0, squares - total * total / n) if n else 0.0
         return math.sqrt((own + self._prior * USUAL_SPREAD**2) / (n + self._prior))
 
-    def overdue_s(self, job_class: str, estimate_s: float) -> float:
+    def expected_overrun_s(self, job_class: str, estimate_s: float) -> float:
         """The median of the remaining run time, in seconds, of a task that has run for longer than
         estimated. With lognormal run times it hardly depends on how long the task has run. It
         is not zero, as the estimate minus the elapsed time would suggest."""
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -16,7 +16,7 @@
     rank: int  # of the priority, 0 is the most urgent
 
 
-def pass_back(
+def propagate_back(
     start: str,
     own: Callable[[str], Urgency],
     after: Callable[[str], Iterable[str]],
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -18,23 +18,23 @@
 EPSILON = 1e-6
 # Speeds of machines of one type differ by up to this share, so smaller differences between
 # expected completions mean nothing.
-ALIKE = 0.1
+SPEED_TOLERANCE = 0.1
 
 
 @dataclass(slots=True)
-class Room:
+class MachineCapacity:
     """The free capacity of a machine that runs, boots or is about to be rented."""
 
     name: str
     type: MachineType
     zone: str
     spot: bool
-    part: int
+    shard: int
     cpus: float
     memory_gb: float
     gpus: float
     images: set[str] = field(default_factory=set)
-    ready_s: float = 0.0  # expected seconds until it is up, 0 if it runs
+    available_in_s: float = 0.0  # expected seconds until it is up, 0 if it runs
     used: bool = False  # runs tasks, or the plan counts on it
     # What its tasks will free: (seconds until then, tasks; CPUs, GB and GPUs of each).
     busy: list[tuple[float, int, float, float, float]] = field(default_factory=list)
@@ -44,11 +44,11 @@
     # What is free now or will be soon, less what waits for it: (CPUs, GB, GPUs).
     soon: tuple[float, float, float] | None = None
 
-    def fits(self, need: "Need") -> int:
+    def fits(self, need: "Demand") -> int:
         """How many of the demand's tasks fit into what is free now."""
         return _fit(need, self.cpus, self.memory_gb, self.gpus)
 
-    def take(self, need: "Need", count: int) -> None:
+    def take(self, need: "Demand", count: int) -> None:
         """Subtracts `count` tasks of a demand; its image will be on the machine."""
         self.cpus -= need.cpus * count
         self.memory_gb -= need.memory_gb * count
@@ -61,13 +61,15 @@
         self.used = True
 
 
-def whole_room(type_: MachineType, name: str, zone: str, spot: bool, part: int = -1) -> Room:
+def unused_capacity(
+    type_: MachineType, name: str, zone: str, spot: bool, shard: int = -1
+) -> MachineCapacity:
     """The capacity of a machine without tasks."""
-    return Room(name, type_, zone, spot, part, type_.cpus, type_.memory_gb, type_.gpus)
+    return MachineCapacity(name, type_, zone, spot, shard, type_.cpus, type_.memory_gb, type_.gpus)
 
 
 @dataclass(slots=True)
-class Need:
+class Demand:
     """Open tasks of one job that wait for capacity; placing some of them lowers `count`."""
 
     uid: str
@@ -77,7 +79,7 @@
     gpus: float
     image: str
     image_gb: float
-    spot_ok: bool
+    allows_spot: bool
     service: bool
     run_s: float
     # Time of day in seconds by which it has to be finished; infinite without any deadline.
@@ -90,14 +92,14 @@
     # All tasks start at once, either all on spot machines or all on on-demand ones.
     gang: bool = False
     # Parts that tasks of the job are assigned to already.
-    parts: frozenset[int] = frozenset()
+    shards: frozenset[int] = frozenset()
     # CPUs of the larger tasks that exist, ascending: free capacity that one of them fits into
     # is broken up last.
     larger: tuple[float, ...] = ()
     # If it finds no capacity, machines that become free within so many seconds are reserved.
     hold_s: float = 0.0
     due: bool = False  # comes first because of its job's age
-    rents: bool = True  # whether machines may be rented for it
+    may_rent: bool = True  # whether machines may be rented for it
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
         """The critical path on a machine type in seconds: the fetch of the image, unless it is
@@ -113,7 +115,7 @@
     uid: str
     count: int
     machine: str
-    part: int
+    shard: int
     zone: str
 
 
@@ -138,12 +140,12 @@
     # Machines that run tasks or that the plan counts on, including those that still boot.
     used: set[str] = field(default_factory=set)
     # Unplaced tasks that wait for a busy machine, and those that wait for a booting one.
-    wait_busy: int = 0
-    wait_boots: int = 0
+    waiting_for_busy: int = 0
+    waiting_for_boot: int = 0
     ahead: int = 0  # machines rented for tasks that are probably lost with their machines
 
 
-def _fit(need: Need, cpus: float, memory_gb: float, gpus: float) -> int:
+def _fit(need: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
     n = math.inf
     if need.cpus > 0:
         n = min(n, (cpus + EPSILON) // need.cpus)
@@ -154,23 +156,25 @@
     return int(min(n, need.count))
 
 
-def allowed(need: Need, type_name: str, zone: str, spot: bool) -> bool:
+def allowed(need: Demand, type_name: str, zone: str, spot: bool) -> bool:
     """Whether the demand's tasks may run on such a machine, whatever is free there."""
     return (
         (need.types is None or type_name in need.types)
         and (need.zones is None or need.zones.get(zone, 0) > 0)
-        and (need.spot_ok or not spot)
+        and (need.allows_spot or not spot)
     )
 
 
-def latest_to_steady(need: Need, types: Iterable[MachineType]) -> float:
+def latest_on_demand_start(need: Demand, types: Iterable[MachineType]) -> float:
     """LTO = D - CP: when to turn to on-demand machines at the latest, with the critical path on
     the slowest allowed type (Algorithm 1, line 8)."""
     paths = [need.path_s(t) for t in types if need.types is None or t.name in need.types]
     return need.latest_finish - max(paths, default=need.run_s)
 
 
-def place(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
+def place(
+    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+) -> list[tuple[MachineCapacity, int]]:
     """Places as much of the demand as fits (FindFreeSlot and FindRunningVM); returns the machines
     taken and the number of tasks on each.
 
@@ -186,8 +190,8 @@
     """
     if need.count <= 0:
         return []
-    grain = ALIKE * need.run_s
-    taken: list[tuple[Room, int]] = []
+    grain = SPEED_TOLERANCE * need.run_s
+    taken: list[tuple[MachineCapacity, int]] = []
     cpus, run_s = need.cpus - EPSILON, need.run_s
     memory_gb = need.memory_gb - EPSILON
     fitting = [
@@ -196,21 +200,21 @@
         if room.cpus >= cpus
         and room.memory_gb >= memory_gb
         and run_s <= room.held_s
-        and not (steady_only and room.spot)
+        and not (on_demand_only and room.spot)
         and allowed(need, room.type.name, room.zone, room.spot)
         and room.fits(need) > 0
     ]
     if need.one_zone and fitting:
         zone = _best_zone(need, fitting)
         fitting = [room for room in fitting if room.zone == zone]
-    ranks = _part_ranks(need, fitting)
+    ranks = _shard_ranks(need, fitting)
     candidates = [
         (
             _completion(need, room, grain),
             not room.spot,
             need.image not in room.images,
             room.type.cpus,
-            ranks[room.part],
+            ranks[room.shard],
             room.cpus,
             i,
             room,
@@ -231,7 +235,7 @@
     return taken
 
 
-def _take(need: Need, room: Room, whole: float) -> int:
+def _take(need: Demand, room: MachineCapacity, whole: float) -> int:
     """Places what fits and returns the number of tasks. If `whole` is not 0, only capacity is
     used that tasks of so many CPUs leave over."""
     n = room.fits(need)
@@ -251,43 +255,45 @@
     return n
 
 
-def _part_ranks(need: Need, rooms: list[Room]) -> dict[int, int]:
+def _shard_ranks(need: Demand, rooms: list[MachineCapacity]) -> dict[int, int]:
     """The rank of each part for a demand, chosen so that few parts get tasks of its job: first
     parts that already have some, then the one with the least capacity that fits all, then
     those with the most."""
     fitting: dict[int, int] = {}
     for room in rooms:
-        fitting[room.part] = fitting.get(room.part, 0) + room.fits(need)
+        fitting[room.shard] = fitting.get(room.shard, 0) + room.fits(need)
     ordered = sorted(
         fitting,
-        key=lambda part: (
-            part not in need.parts,
-            fitting[part] < need.count,
-            fitting[part] if fitting[part] >= need.count else -fitting[part],
-            part,
+        key=lambda shard: (
+            shard not in need.shards,
+            fitting[shard] < need.count,
+            fitting[shard] if fitting[shard] >= need.count else -fitting[shard],
+            shard,
         ),
     )
-    return {part: rank for rank, part in enumerate(ordered)}
+    return {shard: rank for rank, shard in enumerate(ordered)}
 
 
-def _completion(need: Need, room: Room, grain: float) -> float:
+def _completion(need: Demand, room: MachineCapacity, grain: float) -> float:
     """The expected time until a task completes on a machine, in steps of `grain` seconds."""
-    path = room.ready_s + need.path_s(room.type, need.image in room.images)
+    path = room.available_in_s + need.path_s(room.type, need.image in room.images)
     return path if grain <= 0 else path // grain
 
 
-def place_gang(need: Need, rooms: list[Room], *, steady_only: bool) -> list[tuple[Room, int]]:
+def place_gang(
+    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+) -> list[tuple[MachineCapacity, int]]:
     """Places all tasks of a gang on machines of one pricing, spot first, or none of them."""
-    for spot in (False,) if steady_only else (True, False):
+    for spot in (False,) if on_demand_only else (True, False):
         kind = [room for room in rooms if room.spot == spot]
         trial = replace(need, zones=None if need.zones is None else copy(need.zones))
-        place(trial, [replace(room) for room in kind], steady_only=False)
+        place(trial, [replace(room) for room in kind], on_demand_only=False)
         if trial.count <= 0:
-            return place(need, kind, steady_only=False)
+            return place(need, kind, on_demand_only=False)
     return []
 
 
-def _best_zone(need: Need, rooms: list[Room]) -> str:
+def _best_zone(need: Demand, rooms: list[MachineCapacity]) -> str:
     """The zone that fits most of the demand's tasks."""
     fitting: dict[str, int] = {}
     for room in rooms:
@@ -329,15 +335,15 @@
         )
 
 
-def standby_rule(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
+def needs_standby(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
     """Whether a task needs standby capacity: EFT plus one boot time reaches LFT, so after the
     loss of its machine there is no time to boot a replacement."""
     return now + run_left_s + boot_s >= latest_finish
 
 
-def hold_standbys(
-    critical: dict[str, list[Need]], running: list[Room], coming: list[Room]
-) -> list[Need]:
+def reserve_standbys(
+    critical: dict[str, list[Demand]], running: list[MachineCapacity], coming: list[MachineCapacity]
+) -> list[Demand]:
     """Reserves capacity for the tasks that would have no time for a new machine, on other
     running machines, else on booting ones; returns the demands that found too little.
 
@@ -349,11 +355,11 @@
     name = max(sorted(critical), key=lambda m: sum(n.cpus * n.count for n in critical[m]))
     others = [room for room in (*running, *coming) if room.name != name]
     for need in critical[name]:
-        place(need, others, steady_only=False)
+        place(need, others, on_demand_only=False)
     return [need for need in critical[name] if need.count > 0]
 
 
-class Exhausted:
+class ExhaustedKinds:
     """The kinds of demands for which a round has found no capacity left.
 
     Capacity only shrinks within a round, so a demand whose tasks are as large and run as long
@@ -364,19 +370,19 @@
         self._kinds: dict[tuple[object, ...], list[tuple[float, float, float, float]]] = {}
 
     @staticmethod
-    def _kind(need: Need, steady: bool) -> tuple[object, ...] | None:
+    def _kind(need: Demand, steady: bool) -> tuple[object, ...] | None:
         if need.gang or need.one_zone or need.zones is not None:
             return None  # its limits differ from those of all other demands
-        return (steady, need.spot_ok, need.types)
+        return (steady, need.allows_spot, need.types)
 
-    def note(self, need: Need, steady: bool = False) -> None:
+    def note(self, need: Demand, steady: bool = False) -> None:
         """Records that a demand has just searched: if tasks are left, nothing fits them."""
         kind = self._kind(need, steady)
         if kind is not None and need.count > 0:
             size = (need.cpus, need.memory_gb, need.gpus, need.run_s)
             self._kinds.setdefault(kind, []).append(size)
 
-    def covers(self, need: Need, steady: bool = False) -> bool:
+    def covers(self, need: Demand, steady: bool = False) -> bool:
         """Whether it is known that none of the demand's tasks fit."""
         kind = self._kind(need, steady)
         return kind is not None and any(
@@ -389,23 +395,23 @@
         self._kinds.clear()
 
 
-def _place_by_part(
-    needs: list[Need], running: list[Room], market: Market, now: float, result: Plan
+def _place_by_shard(
+    needs: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
 ) -> None:
     """Places each demand in a single part first, the one that can take most of it.
 
     A part's share of a job is a record. If many records have to be written for few tasks each,
     machines stay idle while tasks wait for their assignment to be written."""
-    by_part: dict[int, list[Room]] = {}
+    by_shard: dict[int, list[MachineCapacity]] = {}
     for room in running:
         if room.cpus > EPSILON:
-            by_part.setdefault(room.part, []).append(room)
+            by_shard.setdefault(room.shard, []).append(room)
     for need in needs:
         if need.gang or need.service:
             continue
-        late = latest_to_steady(need, market.types.values()) <= now
+        late = latest_on_demand_start(need, market.types.values()) <= now
         best: tuple[int, bool, int] | None = None
-        for part, rooms in by_part.items():
+        for shard, rooms in by_shard.items():
             fits = sum(
                 room.fits(need)
                 for room in rooms
@@ -413,24 +419,24 @@
                 and allowed(need, room.type.name, room.zone, room.spot)
             )
             if fits > 0:
-                key = (min(fits, need.count), part in need.parts, -part)
+                key = (min(fits, need.count), shard in need.shards, -shard)
                 best = key if best is None else max(best, key)
         if best is None:
             continue
-        rooms = by_part[-best[2]]
-        taken = place(need, rooms, steady_only=True) if late else []
-        for room, count in taken + place(need, rooms, steady_only=False):
-            result.placements.append(Placement(need.uid, count, room.name, room.part, room.zone))
+        rooms = by_shard[-best[2]]
+        taken = place(need, rooms, on_demand_only=True) if late else []
+        for room, count in taken + place(need, rooms, on_demand_only=False):
+            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
 
 
 def plan(
-    needs: list[Need],
-    running: list[Room],
-    starting: list[Room],
+    needs: list[Demand],
+    running: list[MachineCapacity],
+    starting: list[MachineCapacity],
     market: Market,
     now: float,
-    critical: dict[str, list[Need]] | None = None,
-    missed: Iterable[Need] = (),
+    critical: dict[str, list[Demand]] | None = None,
+    missed: Iterable[Demand] = (),
 ) -> Plan:
     """Plans one round; `needs` come in their order of precedence and `now` is the time of day.
 
@@ -440,77 +446,79 @@
     result = Plan()
     rented: dict[tuple[str, str, bool], int] = {}
     coming = list(starting)
-    now_full, soon_full, coming_full = Exhausted(), Exhausted(), Exhausted()
+    now_full, soon_full, coming_full = ExhaustedKinds(), ExhaustedKinds(), ExhaustedKinds()
     boot_s = market.longest_boot_s
     if market.backlog:
-        _place_by_part(needs, running, market, now, result)
+        _place_by_shard(needs, running, market, now, result)
     for need in needs:
         if need.count <= 0:
             continue
-        slack = latest_to_steady(need, market.types.values()) - now
+        slack = latest_on_demand_start(need, market.types.values()) - now
         ahead = slack > 0 and not need.service
         put = place_gang if need.gang else place
-        taken: list[tuple[Room, int]] = []
+        taken: list[tuple[MachineCapacity, int]] = []
         if not ahead and not now_full.covers(need, steady=True):
-            taken = put(need, running, steady_only=True)
+            taken = put(need, running, on_demand_only=True)
             now_full.note(need, steady=True)
         if need.count > 0 and not need.service and not now_full.covers(need):
             # After the LTO this is the paper's exception "late on spot": if no on-demand
             # capacity is free, a running spot machine still finishes sooner than a machine
             # that would have to be waited for.
-            taken += put(need, running, steady_only=False)
+            taken += put(need, running, on_demand_only=False)
             now_full.note(need)
         for room, count in taken:
-            result.placements.append(Placement(need.uid, count, room.name, room.part, room.zone))
-        if need.count <= 0 or not need.rents:
+            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
+        if need.count <= 0 or not need.may_rent:
             continue
         result.unplaced.append((need.uid, need.count))
         spot = (
             ahead
-            and need.spot_ok
+            and need.allows_spot
             and slack - boot_s > 0
             and market.takeback_share < market.takeback_threshold
         )
-        if not spot and need.spot_ok and not need.service and not _in_time(need, market, now):
+        if not spot and need.allows_spot and not need.service and not _in_time(need, market, now):
             # The paper's exception "no type in time": no new machine of any type meets the
             # deadline, so an on-demand one would cost more and finish no earlier.
             spot = market.takeback_share < market.takeback_threshold
         left = need.count
         if not soon_full.covers(need):
-            wait_for_room(need, running, market.patience * boot_s, steady_only=False)
+            queue_on_busy_machines(need, running, market.patience * boot_s, on_demand_only=False)
             soon_full.note(need)
-        result.wait_busy += left - need.count
+        result.waiting_for_busy += left - need.count
         left = need.count
         # Machines on their way were rented for earlier demands; the rest of them is free.
         if not coming_full.covers(need, steady=not spot):
-            put(need, coming, steady_only=not spot)
+            put(need, coming, on_demand_only=not spot)
             coming_full.note(need, steady=not spot)
-        result.wait_boots += left - need.count
+        result.waiting_for_boot += left - need.count
         if _rent(need, market, spot, now, coming, rented):
             coming_full.forget()
         if need.count > 0 and need.hold_s > 0:
-            hold_room(need, running, need.hold_s)
+            reserve_capacity(need, running, need.hold_s)
     for need in missed:
-        place(need, running, steady_only=False)
-        place(need, coming, steady_only=False)
+        place(need, running, on_demand_only=False)
+        place(need, coming, on_demand_only=False)
         before = sum(rented.values())
-        spot = need.spot_ok and market.takeback_share < market.takeback_threshold
+        spot = need.allows_spot and market.takeback_share < market.takeback_threshold
         _rent(need, market, spot, now, coming, rented)
         result.ahead += sum(rented.values()) - before
-    for need in hold_standbys(critical or {}, running, coming):
+    for need in reserve_standbys(critical or {}, running, coming):
         _rent(need, market, True, now, coming, rented)
     result.rentals = [Rental(t, z, s, n) for (t, z, s), n in rented.items()]
     result.used = {room.name for room in (*running, *coming) if room.used}
     return result
 
 
-def wait_for_room(need: Need, rooms: list[Room], horizon_s: float, *, steady_only: bool) -> None:
+def queue_on_busy_machines(
+    need: Demand, rooms: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
+) -> None:
     """FindRunningVM for machines that are busy now: tasks that a running machine can take within
     `horizon_s` wait for it instead of a rental. The machine is reserved for them: later demands
     may use it only if they end before."""
     if not need.count or need.gang:
         return
-    waits: list[tuple[float, int, Room]] = []
+    waits: list[tuple[float, int, MachineCapacity]] = []
     for i, room in enumerate(rooms):
         if not room.busy:
             continue
@@ -521,7 +529,7 @@
             room.soon[0] + EPSILON < need.cpus
             or room.soon[1] + EPSILON < need.memory_gb
             or room.soon[2] + EPSILON < need.gpus
-            or (steady_only and room.spot)
+            or (on_demand_only and room.spot)
             or not allowed(need, room.type.name, room.zone, room.spot)
         ):
             continue
@@ -548,14 +556,14 @@
         need.count -= 1
 
 
-def hold_room(need: Need, rooms: list[Room], horizon_s: float) -> None:
+def reserve_capacity(need: Demand, rooms: list[MachineCapacity], horizon_s: float) -> None:
     """Reserves machines for tasks that no rental can help and that would never fit anywhere as
     long as smaller tasks keep taking what becomes free.
 
     Those machines are reserved that are expected to fit such a task earliest, within
     `horizon_s`; until then only tasks that end before may run there. For a gang, capacity is
     reserved for all tasks or for none."""
-    found: list[tuple[float, str, int, Room]] = []
+    found: list[tuple[float, str, int, MachineCapacity]] = []
     for room in rooms:
         if not allowed(need, room.type.name, room.zone, room.spot):
             continue
@@ -587,7 +595,7 @@
         need.count -= n
 
 
-def _soon(room: Room, horizon_s: float) -> tuple[float, float, float]:
+def _soon(room: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
     """The (CPUs, GB, GPUs) that are free on a machine within `horizon_s`."""
     cpus, memory_gb, gpus = room.cpus, room.memory_gb, room.gpus
     for left_s, count, c, m, g in room.busy:
@@ -597,7 +605,7 @@
     return cpus, memory_gb, gpus
 
 
-def _in_time(need: Need, market: Market, now: float) -> bool:
+def _in_time(need: Demand, market: Market, now: float) -> bool:
     """Whether some on-demand machine rented now would meet the deadline (Algorithm 3)."""
     return any(
         now + market.boot_s(t, z, False) + need.path_s(t) <= need.latest_finish
@@ -610,11 +618,11 @@
 
 
 def _rent(
-    need: Need,
+    need: Demand,
     market: Market,
     spot: bool,
     now: float,
-    coming: list[Room],
+    coming: list[MachineCapacity],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
     """Rents machines for the rest of a demand and adds them to `coming`, so that later demands
@@ -630,15 +638,15 @@
         full = need.count // max(1, _fit(need, type_.cpus, type_.memory_gb, type_.gpus))
         for _ in range(max(1, full)):
             rented[key] = rented.get(key, 0) + 1
-            room = whole_room(type_, f"new-{len(coming)}", zone, spot)
-            room.ready_s = market.boot_s(type_, zone, spot)
+            room = unused_capacity(type_, f"new-{len(coming)}", zone, spot)
+            room.available_in_s = market.boot_s(type_, zone, spot)
             coming.append(room)
-            if not place(need, [room], steady_only=False):
+            if not place(need, [room], on_demand_only=False):
                 return True
     return len(coming) > before
 
 
-def _choose(need: Need, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
+def _choose(need: Demand, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
     """FindCostPerfEffectiveVM: the type and zone with the lowest product of path time and price
     for all waiting tasks, among those that meet the deadline, else among all; None if nothing
     suitable can be rented."""
@@ -655,7 +663,7 @@
             path = market.boot_s(type_, zone, spot) + need.path_s(type_)
             late = now + path > need.latest_finish
             machines = math.ceil(need.count / n)
-            cost = machines * type_.price_of(spot) * path
+            cost = machines * type_.hourly_price(spot) * path
             key = (late, cost, path, type_.name, zone)
             if best is None or key < best[0]:
                 best = (key, type_, zone)
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -10,10 +10,17 @@
 
 import pytest
 
-from ryegauge.detection.verdicts import Evidence, Grade, Limits, Outcome, Probe, judge
+from ryegauge.detection.failure_diagnosis import (
+    DetectionLimits,
+    Evidence,
+    ProbeOutcome,
+    ProbeResult,
+    Severity,
+    diagnose,
+)
 
 LEASE, ANSWER, UNTIL = 3, 1, 8
-LIMITS = Limits(gap_s=0.5, lease_s=float(LEASE))
+LIMITS = DetectionLimits(gap_s=0.5, lease_s=float(LEASE))
 
 
 class State(NamedTuple):
@@ -34,16 +41,16 @@
     elsewhere: bool = False  # it was started elsewhere
 
 
-def grade(s: State) -> Grade:
+def severity(s: State) -> Severity:
     """The verdict's grade for the machine, by what the owner knows."""
     silent = float(s.now - s.heard)
     probes = [
-        Probe(by, Outcome.NO_CONNECTION, float(s.now))
+        ProbeResult(by, ProbeOutcome.NO_CONNECTION, float(s.now))
         for by, asked in zip(("owner", "helper"), s.asked, strict=True)
         if asked
     ]
     # The owner hears few of its machines, so this one is lost only if others cannot reach it.
-    return judge(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).grade
+    return diagnose(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).severity
 
 
 def steps(s: State, fault: str) -> Iterator[State]:
@@ -66,7 +73,7 @@
     if s.cut or not s.power:
         yield s._replace(asked=(True, s.asked[1]))
         yield s._replace(asked=(s.asked[0], True))
-    if s.release == "none" and grade(s) >= Grade.LOST:
+    if s.release == "none" and severity(s) >= Severity.LOST:
         yield s._replace(release="sent", free=s.free or fault == "sent")
     if s.release in ("sent", "lost"):  # an unanswered request may be executed late
         yield s._replace(
@@ -76,7 +83,7 @@
     if s.release == "executed":
         yield s._replace(release="answered", free=True)
     surely_over = s.now > s.heard + LEASE - (1 if fault == "early" else 0)
-    if surely_over or (fault == "verdict" and grade(s) >= Grade.LOST):
+    if surely_over or (fault == "verdict" and severity(s) >= Severity.LOST):
         yield s._replace(free=True)
     if s.free and not s.elsewhere:
         yield s._replace(elsewhere=True)
