--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -224,7 +224,7 @@
 
         self._held.keep(may_be_mistaken)
         told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
-        for uid, machines, tries in self._held.told(told, now):
+        for uid, machines, tries in self._held.on_failing(told, now):
             log.warning(
                 "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
                 "one task is retried after %.0f s, then at growing intervals, until it succeeds "
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -55,9 +55,9 @@
     __slots__ = (
         "at",
         "failing",
-        "pending_removal",
         "machines",
         "node",
+        "pending_removal",
         "seq",
         "silences",
         "since",
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -181,7 +181,7 @@
             for uid in plain.needs:
                 job = each.jobs[uid]
                 assert job.status == plain.status(uid)
-                over = job.over and uid not in plain.holding
+                over = job.is_terminal and uid not in plain.holding
                 waits = not plain.ready(uid)
                 assert (uid in each.waiting) == (waits and not over)
                 assert (uid in each.live) == (not waits and not over)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -32,7 +32,7 @@
         "gpus": 0.0,
         "image": "i",
         "image_gb": 1.0,
-        "spot_ok": True,
+        "allows_spot": True,
         "service": False,
         "run_s": 30.0,
         "latest_finish": 1000.0,
@@ -209,7 +209,7 @@
     [
         ({"latest_finish": 60.0}, False),  # slack, but less than one boot
         ({"latest_finish": 20.0}, True),  # too late on any new machine, so the cheaper one
-        ({"spot_ok": False}, False),
+        ({"allows_spot": False}, False),
         ({"latest_finish": math.inf}, True),
     ],
 )
