--- a/ryegauge/coordination/capacity.py
+++ b/ryegauge/coordination/capacity.py
@@ -30,60 +30,82 @@
     """The free capacity of the machines that take tasks, by their owners' views, and of the
     machines of parts whose owner cannot be heard."""
     expected_overrun_s: dict[tuple[str, float], float] = {}
-    rooms: list[MachineCapacity] = []
+    capacities: list[MachineCapacity] = []
     for shard, state in views.items():
-        for name, shown in state.machines.items():
-            m = shown.view
-            type_ = fleet.types.get(m.type)
-            if type_ is None or not m.open or name in fleet.retire or name in fleet.gone:
+        for name, observed in state.machines.items():
+            view = observed.view
+            type_ = fleet.types.get(view.type)
+            if (
+                type_ is None
+                or not view.open
+                or name in fleet.to_retire
+                or name in fleet.released_at
+            ):
                 continue
-            if not shown.known:
+            if not observed.jobs_known:
                 # The book may have lagged behind the view: look the jobs up again.
-                shown = state.machines[name] = ObservedMachine(m, shown.at, replica)
-                if not shown.known:
+                observed = state.machines[name] = ObservedMachine(
+                    view, observed.received_at, replica
+                )
+                if not observed.jobs_known:
                     continue  # runs tasks of an unknown job, so its free capacity is unknown
-            room = MachineCapacity(
+            capacity = MachineCapacity(
                 name,
                 type_,
-                m.zone,
-                m.spot,
+                view.zone,
+                view.spot,
                 shard,
-                type_.cpus - shown.cpus,
-                type_.memory_gb - shown.memory_gb,
-                type_.gpus - shown.gpus,
+                type_.cpus - observed.cpus,
+                type_.memory_gb - observed.memory_gb,
+                type_.gpus - observed.gpus,
             )
-            room.images = set(m.images)
-            room.used = bool(m.tasks)
-            for job_class, estimate_s, until, n, cpus, memory_gb, gpus in shown.busy:
+            capacity.images = set(view.images)
+            capacity.used = bool(view.tasks)
+            for (
+                job_class,
+                estimate_s,
+                ends_at,
+                count,
+                cpus,
+                memory_gb,
+                gpus,
+            ) in observed.ending_tasks:
                 kind = (job_class, estimate_s)
-                if (least_s := expected_overrun_s.get(kind)) is None:
-                    least_s = expected_overrun_s[kind] = estimates.expected_overrun_s(*kind)
-                room.busy.append((max(least_s, until - now), n, cpus, memory_gb, gpus))
-            rooms.append(room)
-    return rooms + _out_of_sight(replica, fleet, views)
+                if (overrun_s := expected_overrun_s.get(kind)) is None:
+                    overrun_s = expected_overrun_s[kind] = estimates.expected_overrun_s(*kind)
+                capacity.ending_tasks.append(
+                    (max(overrun_s, ends_at - now), count, cpus, memory_gb, gpus)
+                )
+            capacities.append(capacity)
+    return capacities + _unseen_machines(replica, fleet, views)
 
 
-def _out_of_sight(
+def _unseen_machines(
     replica: StateReplica, fleet: Fleet, views: dict[int, ShardState]
 ) -> list[MachineCapacity]:
     """Machines of parts whose owner is alive but cannot be heard, as when controllers refuse each
     other's connections. Each counts as unused if the cloud lists it as running; the tasks
     that the book shows for its part are subtracted as in transit. An owner that finds no
     capacity for an assigned task hands it back."""
-    rooms: list[MachineCapacity] = []
-    for r in fleet.machines.values():
-        if r.shard in views or r.listed_running_since is None or r.failed or r.noticed:
+    capacities: list[MachineCapacity] = []
+    for machine in fleet.machines.values():
+        if (
+            machine.shard in views
+            or machine.listed_running_since is None
+            or machine.failed
+            or machine.has_reclaim_notice
+        ):
             continue
-        owner = replica.shards.get(r.shard)
-        type_ = fleet.types.get(r.type)
+        owner = replica.shards.get(machine.shard)
+        type_ = fleet.types.get(machine.type)
         if type_ is None or owner is None or owner.node not in replica.nodes:
             continue
-        if r.name in fleet.retire:
+        if machine.name in fleet.to_retire:
             continue
-        room = unused_capacity(type_, r.name, r.zone, r.spot, r.shard)
-        room.used = True
-        rooms.append(room)
-    return rooms
+        capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot, machine.shard)
+        capacity.used = True
+        capacities.append(capacity)
+    return capacities
 
 
 def subtract_in_transit(
@@ -94,15 +116,15 @@
 ) -> None:
     """Subtracts the tasks that are assigned to a part and not on any of its machines yet from the
     capacity of its machines. Tasks that have ended, though that is not recorded yet, take none."""
-    placed: dict[tuple[str, int], int] = {}
+    placed_counts: dict[tuple[str, int], int] = {}
     for shard, state in views.items():
-        for shown in state.machines.values():
-            for job, count, _ in shown.tasks:
+        for observed in state.machines.values():
+            for job, count, _ in observed.tasks:
                 key = (job.spec.uid, shard)
-                placed[key] = placed.get(key, 0) + count
+                placed_counts[key] = placed_counts.get(key, 0) + count
     by_shard: dict[int, list[MachineCapacity]] = {}
-    for room in running:
-        by_shard.setdefault(room.shard, []).append(room)
+    for capacity in running:
+        by_shard.setdefault(capacity.shard, []).append(capacity)
     sizes = task_sizes(replica)
     for uid, job in replica.live.items():
         if job.cancelled:
@@ -110,12 +132,12 @@
         for shard, held in job.held.items():
             if shard not in by_shard:
                 continue
-            count = held - placed.get((uid, shard), 0)
+            count = held - placed_counts.get((uid, shard), 0)
             if shard in views:
                 count -= views[shard].pending_removal.get(uid, 0)
             if count > 0:
-                need = make_demand(job, count, None, estimates, math.inf, sizes)
-                place(need, by_shard[shard], on_demand_only=False)
+                demand = make_demand(job, count, None, estimates, math.inf, sizes)
+                place(demand, by_shard[shard], on_demand_only=False)
 
 
 def standby_demands(
@@ -127,22 +149,22 @@
     wall: float,
 ) -> dict[str, list[Demand]]:
     """The tasks for which standby capacity is reserved, by machine: those of the one spot machine
-    whose critical tasks have the most CPUs (see `hold_standbys`).
+    whose critical tasks have the most CPUs (see `reserve_standbys`).
 
     A task is critical if there is no time left to boot a replacement after a loss."""
     boot_s = min((t.boot_s for t in fleet.types.values()), default=0.0)
     fullest: tuple[float, str, list[tuple[Job, int]]] | None = None
     for state in views.values():
-        for name, shown in state.machines.items():
-            if not shown.view.spot:
+        for name, observed in state.machines.items():
+            if not observed.view.spot:
                 continue
             tasks: list[tuple[Job, int]] = []
             cpus = 0.0
-            for job, count, until in shown.tasks:
+            for job, count, ends_at in observed.tasks:
                 finish = urgencies.latest_finish(job)
                 if finish < wall or job.is_terminal or job.spec.kind == "standing":
                     continue
-                if needs_standby(max(0.0, until - now), boot_s, finish, wall):
+                if needs_standby(max(0.0, ends_at - now), boot_s, finish, wall):
                     tasks.append((job, count))
                     cpus += job.spec.cpus * count
             if tasks and (fullest is None or (-cpus, name) < fullest[:2]):
@@ -163,31 +185,35 @@
     diagnoses: Mapping[str, Diagnosis],
     urgencies: Urgencies,
     estimates: Estimates,
-    share: float,
+    max_share: float,
 ) -> list[Demand]:
     """The tasks on machines that are probably lost, the most urgent first, as far as their CPUs
-    stay within `share` of the fleet's. Replacement machines are rented for them before it is
+    stay within `max_share` of the fleet's. Replacement machines are rented for them before it is
     certain that they have to run again."""
-    lost: dict[str, tuple[Job, int]] = {}
+    lost_tasks: dict[str, tuple[Job, int]] = {}
     fleet_cpus = 0.0
     for state in views.values():
-        for name, shown in state.machines.items():
-            type_ = fleet.types.get(shown.view.type)
+        for name, observed in state.machines.items():
+            type_ = fleet.types.get(observed.view.type)
             fleet_cpus += 0.0 if type_ is None else type_.cpus
             if name not in diagnoses or not worth_replacing(diagnoses[name]):
                 continue
-            for job, count, _ in shown.tasks:
+            for job, count, _ in observed.tasks:
                 if not job.is_terminal and job.spec.kind == "sweep" and zone_limits(job) is None:
-                    lost[job.spec.uid] = (job, lost.get(job.spec.uid, (job, 0))[1] + count)
+                    lost_tasks[job.spec.uid] = (
+                        job,
+                        lost_tasks.get(job.spec.uid, (job, 0))[1] + count,
+                    )
     ordered = sorted(
-        lost.values(), key=lambda entry: (*urgencies.of(entry[0])[::-1], entry[0].spec.uid)
+        lost_tasks.values(),
+        key=lambda entry: (*urgencies.urgency_of(entry[0])[::-1], entry[0].spec.uid),
     )
-    needs: list[Demand] = []
-    left = share * fleet_cpus
+    demands: list[Demand] = []
+    left_cpus = max_share * fleet_cpus
     for job, count in ordered:
         spec = job.spec
-        count = min(count, int(left / spec.cpus) if spec.cpus > 0 else count)
+        count = min(count, int(left_cpus / spec.cpus) if spec.cpus > 0 else count)
         if count > 0:
-            left -= count * spec.cpus
-            needs.append(make_demand(job, count, None, estimates, urgencies.latest_finish(job)))
-    return needs
+            left_cpus -= count * spec.cpus
+            demands.append(make_demand(job, count, None, estimates, urgencies.latest_finish(job)))
+    return demands
--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -32,16 +32,16 @@
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         settings = context.settings
-        self._cloud = context.network.client(
+        self._client = context.network.client(
             settings.outside.cloud, max_connections=MAX_CLOUD_CONNECTIONS, idle_s=context.idle_s
         )
         # Only the leader calls the cloud, so it may use nearly the whole rate. Not all of it: a
         # new leader may start calling while the calls of the old one still count.
         rps = settings.settings.cloud.rps
-        self._cloud_budget = Budget(0.8 * rps, rps)
+        self._rate_budget = Budget(0.8 * rps, rps)
         self._releasing: set[str] = set()  # machines whose release is under way
 
-    def start(
+    def start_calls(
         self,
         nursery: trio.Nursery,
         leader: Leader,
@@ -66,11 +66,11 @@
         """Requests machines in calls of at most 50 each, as far as the cloud's rate allows; the
         next round plans the rest again."""
         left = rental.count
-        while left > 0 and self._cloud_budget.try_take():
-            some = Rental(rental.type, rental.zone, rental.spot, min(left, 50))
-            left -= some.count
-            leader.fleet.on_rental_sent(some, now)
-            nursery.start_soon(self._rent, leader, some)
+        while left > 0 and self._rate_budget.try_take():
+            batch = Rental(rental.type, rental.zone, rental.spot, min(left, 50))
+            left -= batch.count
+            leader.fleet.on_rental_sent(batch, now)
+            nursery.start_soon(self._rent, leader, batch)
 
     async def _rent(self, leader: Leader, rental: Rental) -> None:
         body = {
@@ -82,8 +82,8 @@
             "count": rental.count,
         }
         try:
-            status, answer, _ = await self._cloud.request(
-                "POST", "/hosts", body, timeout_s=self._cloud_timeout_s
+            status, answer, _ = await self._client.request(
+                "POST", "/hosts", body, timeout_s=self._timeout_s
             )
         except Unreachable as error:
             log.info("renting %s: outcome unknown: %s", rental, error)
@@ -92,18 +92,18 @@
         if status == 200:
             names = parse_reply(answer, RentalReply).machines
             log.info("rented %d of %s", len(names), rental)
-            leader.fleet.rented(rental, names, now)
+            leader.fleet.on_rental_granted(rental, names, now)
         elif status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
-            leader.fleet.on_rental_refused(rental, now, settle=True)
+            leader.fleet.on_rental_refused(rental, now, drop_pending=True)
         else:
             log.info("renting %s: status %d", rental, status)
             leader.fleet.on_rental_failed(rental)
 
     async def _release(self, leader: Leader, names: list[str]) -> None:
         try:
-            await self._cloud_budget.take()
-            status, _, _ = await self._cloud.request(
-                "POST", "/hosts/release", {"hosts": names}, timeout_s=self._cloud_timeout_s
+            await self._rate_budget.take()
+            status, _, _ = await self._client.request(
+                "POST", "/hosts/release", {"hosts": names}, timeout_s=self._timeout_s
             )
         except Unreachable as error:
             log.info("releasing %s: outcome unknown: %s", names, error)
@@ -112,40 +112,42 @@
             self._releasing.difference_update(names)
         if status == 200:
             log.info("released %s", ", ".join(names))
-            leader.fleet.released(names, trio.current_time())
+            leader.fleet.on_released(names, trio.current_time())
         else:
             log.info("releasing %s: status %d", names, status)
 
     @property
-    def _cloud_timeout_s(self) -> float:
+    def _timeout_s(self) -> float:
         return max(3.0, self._context.settings.settings.workers.lease_s / 4)
 
     async def watch_catalog(self) -> None:
         """Reads the catalogue for the leader, who needs its prices, and publishes the machine
         types to all controllers through the book; never returns."""
-        read_for: Leader | None = None  # it was read for this leader, at `read_at`
+        read_for_leader: Leader | None = None  # it was read for this leader, at `read_at`
         read_at = float("-inf")
         while True:
             leader = self._context.leading()
             now = trio.current_time()
-            lasting_s = 2 * self._context.settings.settings.workers.lease_s
-            pause = self._context.report_s / 10
-            if leader is not None and (leader is not read_for or now > read_at + lasting_s):
+            reread_after_s = 2 * self._context.settings.settings.workers.lease_s
+            pause_s = self._context.report_s / 10
+            if leader is not None and (
+                leader is not read_for_leader or now > read_at + reread_after_s
+            ):
                 try:
-                    await self._cloud_budget.take()
-                    status, answer, _ = await self._cloud.request(
-                        "GET", "/catalog", timeout_s=self._cloud_timeout_s
+                    await self._rate_budget.take()
+                    status, answer, _ = await self._client.request(
+                        "GET", "/catalog", timeout_s=self._timeout_s
                     )
                     if status == 200:
                         types = {t.name: t for t in parse_reply(answer, Catalog).types}
                         if self._context.leader is not None:
                             self._context.leader.fleet.types = types
-                        read_for, read_at = leader, now
+                        read_for_leader, read_at = leader, now
                         await self._publish_types(types)
                 except (Unreachable, Malformed, *RETRYABLE_ERRORS) as error:
                     log.info("reading the catalogue failed: %s", error)
-                    pause = self._context.report_s
-            await trio.sleep(pause)
+                    pause_s = self._context.report_s
+            await trio.sleep(pause_s)
 
     async def _publish_types(self, types: dict[str, MachineType]) -> None:
         """Writes new machine types to the book. Known ones are not written again: prices change,
@@ -159,9 +161,9 @@
                 changes.append(Put(f"r/c/{name}", record))
             else:
                 log.error("machine type %s is not recorded: its description is too large", name)
-        for first in range(0, len(changes), limits.txn_ops):
-            some = changes[first : first + limits.txn_ops]
-            self._context.announce_write(await self._context.state.commit({}, some, timeout_s=1.0))
+        for offset in range(0, len(changes), limits.txn_ops):
+            batch = changes[offset : offset + limits.txn_ops]
+            self._context.announce_write(await self._context.state.commit({}, batch, timeout_s=1.0))
 
     async def watch_fleet(self) -> None:
         """Reads the list of machines for the leader, four times per list lag but at most once a
@@ -184,10 +186,8 @@
         machines: list[ListedMachine] = []
         target = "/hosts?page=500"
         while True:
-            await self._cloud_budget.take()
-            status, answer, _ = await self._cloud.request(
-                "GET", target, timeout_s=self._cloud_timeout_s
-            )
+            await self._rate_budget.take()
+            status, answer, _ = await self._client.request("GET", target, timeout_s=self._timeout_s)
             if status != 200:
                 return None
             page = parse_reply(answer, MachinePage)
--- a/ryegauge/coordination/demands.py
+++ b/ryegauge/coordination/demands.py
@@ -10,7 +10,7 @@
 from ryegauge.scheduling.planner import EPSILON, Demand
 
 # Tasks with more than this many times the CPUs count as another size.
-SIZE_STEP = 1.5
+MIN_SIZE_RATIO = 1.5
 
 
 def make_demand(
@@ -18,10 +18,10 @@
     count: int,
     zones: dict[str, int] | None,
     estimates: Estimates,
-    latest: float,
+    latest_finish: float,
     sizes: tuple[float, ...] = (),
 ) -> Demand:
-    """The demand of `count` open tasks of a job, with the allowed `zones` and the `latest` finish
+    """The demand of `count` open tasks of a job, with the allowed `zones` and the latest finish
     (time of day in seconds). `sizes` are those of `task_sizes`."""
     spec = job.spec
     return Demand(
@@ -37,21 +37,21 @@
         # A gang starts as a whole; tasks lost after its start rejoin one by one.
         gang=spec.kind == "gang" and count == spec.tasks,
         run_s=estimates.run_s(spec.job_class, spec.estimate_s),
-        latest_finish=latest,
+        latest_finish=latest_finish,
         types=None if spec.types is None else frozenset(spec.types),
         zones=zones,
         one_zone=spec.one_zone and zones is None,
-        larger=tuple(size for size in sizes if size > spec.cpus + EPSILON),
-        shards=frozenset(job.held),
+        larger_sizes=tuple(size for size in sizes if size > spec.cpus + EPSILON),
+        assigned_shards=frozenset(job.held),
     )
 
 
 def task_sizes(replica: StateReplica) -> tuple[float, ...]:
     """The CPUs per task that occur among unfinished jobs, ascending. Sizes of at most
-    `SIZE_STEP` times the previous one are left out, so that there are few."""
+    `MIN_SIZE_RATIO` times the previous one are left out, so that there are few."""
     sizes: list[float] = []
     for cpus in sorted({job.spec.cpus for job in replica.live.values() if not job.is_terminal}):
-        if not sizes or cpus > SIZE_STEP * sizes[-1]:
+        if not sizes or cpus > MIN_SIZE_RATIO * sizes[-1]:
             sizes.append(cpus)
     return tuple(sizes)
 
@@ -69,12 +69,12 @@
         return job.submitted_at + job.spec.deadline_s
     if not job.ready:
         return math.inf
-    within = [
-        o.within_s if o.kind == "finished" else o.within_s + run_s
-        for o in objectives
-        if o.kind in ("finished", "wait") and o.job_class == job.spec.job_class
+    limits_s = [
+        objective.within_s if objective.kind == "finished" else objective.within_s + run_s
+        for objective in objectives
+        if objective.kind in ("finished", "wait") and objective.job_class == job.spec.job_class
     ]
-    return job.ready_at + min(within, default=math.inf)
+    return job.ready_at + min(limits_s, default=math.inf)
 
 
 def zone_limits(job: Job) -> dict[str, int] | None:
@@ -84,22 +84,22 @@
     spec = job.spec
     if spec.zone is None and not spec.one_zone and not spec.spread:
         return None
-    live: dict[str, int] = {}
+    assigned_by_zone: dict[str, int] = {}
     for assignment in job.assignments.values():
         for zone, tasks in assignment.assigned.items():
-            live[zone] = live.get(zone, 0) + len(tasks)
-    limits = _Limits(spec.tasks if not spec.spread else (spec.tasks + 1) // 2)
-    for zone, count in live.items():
+            assigned_by_zone[zone] = assigned_by_zone.get(zone, 0) + len(tasks)
+    limits = _ZoneLimits(spec.tasks if not spec.spread else (spec.tasks + 1) // 2)
+    for zone, count in assigned_by_zone.items():
         limits[zone] = max(0, limits.default - count)
     if spec.zone is not None:
         return {spec.zone: limits[spec.zone]}
     if spec.one_zone:
-        chosen = next((zone for zone, count in live.items() if count), None)
-        return None if chosen is None else {chosen: limits[chosen]}
+        chosen_zone = next((zone for zone, count in assigned_by_zone.items() if count), None)
+        return None if chosen_zone is None else {chosen_zone: limits[chosen_zone]}
     return limits
 
 
-class _Limits(dict[str, int]):
+class _ZoneLimits(dict[str, int]):
     """Limits by zone; zones that are not named may take `default` tasks."""
 
     def __init__(self, default: int) -> None:
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -41,7 +41,7 @@
 # at growing intervals up to this many leases.
 MAX_RETRY_PAUSE_LEASES = 8.0
 # Held-back jobs that one answer to an owner lists at most.
-MOST_TOLD = 200
+MAX_FAILING_JOBS_SENT = 200
 
 
 @dataclass(slots=True)
@@ -106,31 +106,31 @@
 
         The answer asks for a full view (`resync`) if this one is outdated or is a delta to a
         view that this leader does not have."""
-        if self._views.late(view):
+        if self._views.is_outdated(view):
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
-        self._silences.take_in(view, now)
-        state = self._views.take_in(view, now)
+        self._silences.on_view(view, now)
+        state = self._views.apply_view(view, now)
         if state is None:
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
         for sample in view.samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
         for machine in view.machines:
-            self.fleet.shown(machine, now)
-        mine = [name for name in state.machines if name in self.fleet.gone]
-        retire = [name for name in self.fleet.retire if name in state.machines]
-        evict = self._preemption.orders(state.machines)
+            self.fleet.on_machine_view(machine, now)
+        released_machines = [name for name in state.machines if name in self.fleet.released_at]
+        to_retire = [name for name in self.fleet.to_retire if name in state.machines]
+        evict = self._preemption.take_evictions(state.machines)
         return ShardOrders(
             self._replica.state_revision,
-            retire,
-            mine,
+            to_retire,
+            released_machines,
             evict,
             unreported=self._silences.unreported(view.shard),
-            failing_jobs=self._held.newest(MOST_TOLD),
+            failing_jobs=self._held.newest(MAX_FAILING_JOBS_SENT),
         )
 
     def on_machine_list(self, machines: list[ListedMachine], now: float) -> None:
         """Takes in a complete list of machines from the cloud."""
-        self.fleet.on_machine_list(machines, now, self._views.heard)
+        self.fleet.on_machine_list(machines, now, self._views.heard_recently)
 
     def round(self, now: float, wall: float) -> RoundResult:
         """Plans one round.
@@ -138,28 +138,28 @@
         `now` is the monotonic clock and `wall` the time of day, both in seconds. Without any
         known machine type the result is empty."""
         result = RoundResult()
-        self._views.renew()
-        self.fleet.forget(now)
+        self._views.refresh_jobs()
+        self.fleet.forget_released(now)
         types = self.fleet.types
         if not types:
             return result
-        views = self._views.fresh(now)
+        views = self._views.fresh_shards(now)
         running = running_capacity(self._replica, self.fleet, views, self.estimates, now)
         diagnoses = self._silences.diagnoses(self.fleet, views, now)
         subtract_in_transit(self._replica, self.estimates, running, views)
-        self._hold_back(views, now)
-        within = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
+        self._update_retry_backoff(views, now)
+        guaranteed = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
         self._urgencies = Urgencies(self._replica, self._settings, self.estimates, types.values())
         # A team's most urgent jobs are covered by its guarantee too, whichever came earlier.
-        first = within_guarantee(
+        guaranteed_by_urgency = within_guarantee(
             self._replica, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
         )
-        needs, jobs = ordered_demands(
+        demands, jobs = ordered_demands(
             self._replica,
             self._teams,
             self._urgencies,
             self.estimates,
-            within | first,
+            guaranteed | guaranteed_by_urgency,
             self._policy,
             running,
             wall,
@@ -168,17 +168,17 @@
         )
         market = Market(
             types=types,
-            refused=self.fleet.refused_kinds(now) | self._cut_off(types),
+            refused=self.fleet.refused_kinds(now) | self._kinds_in_unreachable_zones(types),
             takeback_share=self.fleet.takeback.share(now),
             takeback_threshold=self._settings.properties.takeback_threshold,
-            patience=self._settings.properties.patience_boots,
+            patience_boots=self._settings.properties.patience_boots,
             backlog=self.backlog,
         )
-        starting = self.fleet.starting(now, diagnoses)
-        market.boots = self.fleet.boot_times(now)
-        due = [(need.uid, need.count) for need in needs if need.due]
-        decided = plan(
-            needs,
+        starting = self.fleet.starting_capacity(now, diagnoses)
+        market.boots = self.fleet.expected_boot_times(now)
+        due_by_age = [(demand.uid, demand.count) for demand in demands if demand.due_by_age]
+        round_plan = plan(
+            demands,
             running,
             starting,
             market,
@@ -195,35 +195,42 @@
         )
         if now - self._logged_at > 10:
             self._logged_at = now
-            self._log(decided, jobs, running, market)
-            self._log_silent(diagnoses)
+            self._log_round(round_plan, jobs, running, market)
+            self._log_verdicts(diagnoses)
             if self._held:
                 log.info("held back: %s", self._held.describe(now))
-            if due:
+            if due_by_age:
                 log.info(
                     "first in line because of their age: %d tasks of %d jobs, first %s, "
                     "waiting for %.0f s",
-                    sum(n for _, n in due),
-                    len(due),
-                    due[0][0],
-                    wall - jobs[due[0][0]].ready_at,
+                    sum(n for _, n in due_by_age),
+                    len(due_by_age),
+                    due_by_age[0][0],
+                    wall - jobs[due_by_age[0][0]].ready_at,
                 )
         result.new_assignments = assign_tasks(
-            decided, jobs, self._settings.state_limits.value_bytes
+            round_plan, jobs, self._settings.state_limits.value_bytes
         )
         if self.fleet.has_listing:
-            result.rentals = decided.rentals
-        result.releases = self.fleet.returns(decided, now, views, diagnoses)
-        self._preemption.decide(decided, jobs, within, self._urgencies, types, views, now, wall)
+            result.rentals = round_plan.rentals
+        result.releases = self.fleet.machines_to_release(round_plan, now, views, diagnoses)
+        self._preemption.choose_evictions(
+            round_plan, jobs, guaranteed, self._urgencies, types, views, now, wall
+        )
         return result
 
-    def _hold_back(self, views: dict[int, ShardState], now: float) -> None:
+    def _update_retry_backoff(self, views: dict[int, ShardState], now: float) -> None:
         def may_be_mistaken(uid: str) -> bool:
             job = self._replica.live.get(uid)
             return job is not None and not job.is_terminal and not job.done_count
 
         self._held.keep(may_be_mistaken)
-        told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
+        told = [
+            report
+            for state in views.values()
+            for report in state.failing
+            if may_be_mistaken(report.uid)
+        ]
         for uid, machines, tries in self._held.on_failing(told, now):
             log.warning(
                 "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
@@ -240,16 +247,18 @@
         for uid in uids:
             self._held.on_retry(uid, now)
 
-    def _cut_off(self, types: dict[str, MachineType]) -> set[tuple[str, str, bool]]:
+    def _kinds_in_unreachable_zones(
+        self, types: dict[str, MachineType]
+    ) -> set[tuple[str, str, bool]]:
         """All kinds of machines in unreachable zones: one rented there could not be used."""
         return {
             (name, zone, spot)
-            for zone in self._silences.cut
+            for zone in self._silences.unreachable_zones
             for name in types
             for spot in (True, False)
         }
 
-    def _log_silent(self, diagnoses: dict[str, Diagnosis]) -> None:
+    def _log_verdicts(self, diagnoses: dict[str, Diagnosis]) -> None:
         counts = Counter((v.severity.name.lower(), v.cause.value) for v in diagnoses.values())
         if counts:
             log.info(
@@ -259,34 +268,36 @@
                 ),
             )
 
-    def _log(
-        self, decided: Plan, jobs: dict[str, Job], running: list[MachineCapacity], market: Market
+    def _log_round(
+        self, round_plan: Plan, jobs: dict[str, Job], running: list[MachineCapacity], market: Market
     ) -> None:
-        waiting: dict[float, int] = {}
+        open_by_cpus: dict[float, int] = {}
         for job in jobs.values():
-            size = job.spec.cpus
-            waiting[size] = waiting.get(size, 0) + len(job.open_tasks)
-        pieces: dict[float, int] = {}
-        for room in running:
-            if room.cpus > 0:
-                pieces[room.cpus] = pieces.get(room.cpus, 0) + 1
+            task_cpus = job.spec.cpus
+            open_by_cpus[task_cpus] = open_by_cpus.get(task_cpus, 0) + len(job.open_tasks)
+        machines_by_free_cpus: dict[float, int] = {}
+        for capacity in running:
+            if capacity.cpus > 0:
+                machines_by_free_cpus[capacity.cpus] = (
+                    machines_by_free_cpus.get(capacity.cpus, 0) + 1
+                )
         log.info(
             "open tasks by CPUs %s, %d of them without capacity (%d wait for a busy machine, "
             "%d for a booting one), %d placed now; %d machines, "
             "%d of them open, %.0f of %.0f CPUs free, machines by free CPUs %s; "
             "renting %s, %d of them for tasks on lost machines; refused %s; take-back share %.2f",
-            dict(sorted(waiting.items())),
-            sum(n for _, n in decided.unplaced),
-            decided.waiting_for_busy,
-            decided.waiting_for_boot,
-            sum(p.count for p in decided.placements),
+            dict(sorted(open_by_cpus.items())),
+            sum(n for _, n in round_plan.unplaced),
+            round_plan.waiting_for_busy,
+            round_plan.waiting_for_boot,
+            sum(p.count for p in round_plan.placements),
             len(self.fleet.machines),
             len(running),
             sum(max(0.0, r.cpus) for r in running),
             sum(r.type.cpus for r in running),
-            dict(sorted(pieces.items())),
-            [(r.type, r.zone, r.spot, r.count) for r in decided.rentals],
-            decided.ahead,
+            dict(sorted(machines_by_free_cpus.items())),
+            [(r.type, r.zone, r.spot, r.count) for r in round_plan.rentals],
+            round_plan.rented_ahead,
             sorted(market.refused),
             market.takeback_share,
         )
--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -26,7 +26,7 @@
 
 # After a round the leader pauses for this many times the round's duration, so that planning
 # takes at most a seventh of the controller's time.
-ROUND_SHARE = 6.0
+PAUSE_PER_ROUND_TIME = 6.0
 
 
 class LeaderLoops:
@@ -36,7 +36,7 @@
         self._context = context
         self._cloud = cloud
         # When this controller's last assignment was committed; the book may not show it yet.
-        self._wrote_at = float("-inf")
+        self._last_commit_at = float("-inf")
 
     async def run_rounds(self) -> None:
         """Plans rounds and carries out what they decide; never returns."""
@@ -54,7 +54,7 @@
                     or self._context.data_loss_suspected()
                 ):
                     continue
-                if self._context.syncer.last_read_sent_at < self._wrote_at:
+                if self._context.syncer.last_read_sent_at < self._last_commit_at:
                     # In this book the tasks just assigned still look open and would be
                     # assigned to another part as well, which no guard prevents. That happens
                     # if the read after an assignment fails (see `tests/test_era_model.py`).
@@ -63,12 +63,12 @@
                     except Unavailable as error:
                         log.debug("reading the book after an assignment failed: %s", error)
                     continue
-                wanted = leader.round(now, self._context.wall())
+                decisions = leader.round(now, self._context.wall())
                 took_s = trio.current_time() - now
-                self._cloud.start(nursery, leader, wanted.rentals, wanted.releases, now)
-                await self._write_assignments(leader, wanted.new_assignments)
+                self._cloud.start_calls(nursery, leader, decisions.rentals, decisions.releases, now)
+                await self._write_assignments(leader, decisions.new_assignments)
                 # Leave most of the time to check-ins and lease renewals.
-                await trio.sleep(min(ROUND_SHARE * took_s, self._context.report_s))
+                await trio.sleep(min(PAUSE_PER_ROUND_TIME * took_s, self._context.report_s))
 
     async def _write_assignments(
         self, leader: Leader, new_assignments: dict[tuple[str, int], Assignment]
@@ -77,11 +77,11 @@
 
         The rest is left to the next round, since more urgent work may have arrived by then."""
         limit = self._context.settings.state_limits.txn_ops
-        todo = list(new_assignments.items())
+        remaining = list(new_assignments.items())
         written, leader.backlog = 0, False
-        while todo:
+        while remaining:
             count = max(1, min(limit, int(self._context.state.writes.available())))
-            batch, todo = todo[:count], todo[count:]
+            batch, remaining = remaining[:count], remaining[count:]
             guards = {LEADER_KEY: leader.token}
             changes: list[Put | Delete] = []
             for (uid, shard), assignment in batch:
@@ -100,21 +100,21 @@
                 continue
             try:
                 state_revision = await self._context.state.commit(guards, changes, timeout_s=1.0)
-                self._wrote_at = trio.current_time()
+                self._last_commit_at = trio.current_time()
                 self._context.announce_to_owners(state_revision, {shard for (_, shard), _ in batch})
-                leader.assigned({uid for (uid, _), _ in batch}, self._wrote_at)
+                leader.assigned({uid for (uid, _), _ in batch}, self._last_commit_at)
                 written += len(changes)
             except OutcomeUnknown:
                 # The transaction may still be executed. It is guarded by the version of the
                 # leader's record: a new version prevents execution after the next read.
                 log.info("the outcome of an assignment is unknown: fencing it off")
-                await self._refence(leader)
+                await self._renew_leader_record(leader)
                 return
             except RETRYABLE_ERRORS as error:
                 log.info("writing %d assignments failed: %s", len(changes), error)
-                todo = []
+                remaining = []
             if self._context.state.writes.available() < 1.0:
-                todo = []
+                remaining = []
             # A large rest shows that writes are scarce, whatever the next round decides.
             leader.backlog = len(new_assignments) - written > limit
             try:
@@ -135,33 +135,33 @@
             if leader is None or self._context.data_loss_suspected():
                 continue
             try:
-                await self._look_up(leader)
+                await self._restore_outcomes(leader)
                 for job in archive.jobs_to_archive(self._context.replica, limit):
                     # The book is re-read between the transactions of this loop: by now another
                     # job may depend on this one.
                     if job.spec.uid not in self._context.replica.dependents:
                         guards, changes = archive.archive_job(job, shared.nodes)
-                        if not writes.has(len(changes), self._spared(limit)):
+                        if not writes.has(len(changes), self._background_reserve(limit)):
                             break
-                        await self._clear(leader, guards, changes, self._spared(limit))
+                        await self._commit(leader, guards, changes, self._background_reserve(limit))
                 # Groups that fit between the idle reserve and a full token bucket: a larger
                 # one would be let through only when the bucket is full.
                 count = max(1, min(ops, int((1 - RESERVE_BACKGROUND) * writes.burst)))
                 while (
                     changes := archive.records_to_delete(self._context.replica, count)
-                ) and writes.has(len(changes), self._spared(limit)):
-                    await self._clear(leader, {}, changes, self._spared(limit))
+                ) and writes.has(len(changes), self._background_reserve(limit)):
+                    await self._commit(leader, {}, changes, self._background_reserve(limit))
             except RETRYABLE_ERRORS as error:
                 log.debug("archiving failed: %s", error)
 
-    def _spared(self, limit: int) -> float:
+    def _background_reserve(self, limit: int) -> float:
         """The share of the write budget that archiving leaves to others: it comes last when
         writes are scarce, unless the book is more than twice as large as its limit."""
         return (
             RESERVE_DEFAULT if len(self._context.replica.jobs) > 2 * limit else RESERVE_BACKGROUND
         )
 
-    async def _clear(
+    async def _commit(
         self,
         leader: Leader,
         guards: dict[str, int],
@@ -174,18 +174,18 @@
         )
         await self._context.syncer.wait_for_read()
 
-    async def _look_up(self, leader: Leader) -> None:
+    async def _restore_outcomes(self, leader: Leader) -> None:
         """Restores missing outcomes of archived jobs to the book.
 
         A job may be recorded late, after a job that it depends on has left the book; whoever
         reads only the book needs that job's outcome."""
         for uid in sorted(self._context.replica.unresolved_needs):
-            found = await self._context.state.get(archive_key(uid), timeout_s=1.0)
-            if found is not None:
-                change = Put(outcome_key(uid), {"st": found[0]["st"]})
-                await self._clear(leader, {outcome_key(uid): 0}, [change])
+            archived = await self._context.state.get(archive_key(uid), timeout_s=1.0)
+            if archived is not None:
+                change = Put(outcome_key(uid), {"st": archived[0]["st"]})
+                await self._commit(leader, {outcome_key(uid): 0}, [change])
 
-    async def _refence(self, leader: Leader) -> None:
+    async def _renew_leader_record(self, leader: Leader) -> None:
         """Renews the leader's record and re-reads the book, retrying while still the leader."""
         while self._context.leader is leader:
             try:
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 # A task counts as just begun during this first share of its run time.
-RECENT_SHARE = 0.25
+RECENT_RUN_SHARE = 0.25
 # A team's guarantee is enforced once its job has waited for this many boot times.
 GUARANTEE_BOOTS = 2.0
 
@@ -29,36 +29,38 @@
     """Tasks of one job on one machine that may be evicted for others."""
 
     running: RunningTasks
-    shown: ObservedMachine
+    observed: ObservedMachine
     job: Job
     count: int
 
     @property
     def machine(self) -> MachineView:
         """The machine that the tasks run on."""
-        return self.shown.view
+        return self.observed.view
 
 
-def _fewest(job: Job, victims: list[Victim], type_: MachineType) -> list[tuple[Victim, int]] | None:
+def _sufficient_victims(
+    job: Job, victims: list[Victim], type_: MachineType
+) -> list[tuple[Victim, int]] | None:
     """The victims on one machine, in the given order, whose eviction makes room for one task of
     a job, with how many tasks of each; None if all of them are not enough."""
-    cpus = job.spec.cpus - (type_.cpus - victims[0].shown.cpus)
-    memory_gb = job.spec.memory_gb - (type_.memory_gb - victims[0].shown.memory_gb)
-    way: list[tuple[Victim, int]] = []
+    cpus = job.spec.cpus - (type_.cpus - victims[0].observed.cpus)
+    memory_gb = job.spec.memory_gb - (type_.memory_gb - victims[0].observed.memory_gb)
+    selection: list[tuple[Victim, int]] = []
     for victim in victims:
         if cpus <= EPSILON and memory_gb <= EPSILON:
             break
         spec = victim.job.spec
-        wanted = max(
+        needed = max(
             math.ceil((cpus - EPSILON) / spec.cpus) if spec.cpus > 0 else 0,
             math.ceil((memory_gb - EPSILON) / spec.memory_gb) if spec.memory_gb > 0 else 0,
         )
-        stop = min(victim.count, wanted)
-        if stop > 0:
-            way.append((victim, stop))
-            cpus -= stop * spec.cpus
-            memory_gb -= stop * spec.memory_gb
-    return way if way and cpus <= EPSILON and memory_gb <= EPSILON else None
+        evict_count = min(victim.count, needed)
+        if evict_count > 0:
+            selection.append((victim, evict_count))
+            cpus -= evict_count * spec.cpus
+            memory_gb -= evict_count * spec.memory_gb
+    return selection if selection and cpus <= EPSILON and memory_gb <= EPSILON else None
 
 
 class Preemption:
@@ -72,21 +74,23 @@
         self._settings = settings
         self._estimates = estimates
         self._teams = {team.name: team for team in settings.settings.teams}
-        self._evict: list[tuple[str, str, int]] = []
+        self._pending_evictions: list[tuple[str, str, int]] = []
         self._evicted_at = -math.inf
 
-    def orders(self, machines: Collection[str]) -> list[tuple[str, str, int]]:
+    def take_evictions(self, machines: Collection[str]) -> list[tuple[str, str, int]]:
         """The evictions chosen for these machines, as (machine, job UID, tasks). Each is
         returned once."""
-        told = [entry for entry in self._evict if entry[0] in machines]
-        self._evict = [entry for entry in self._evict if entry not in told]
-        return told
+        evictions = [entry for entry in self._pending_evictions if entry[0] in machines]
+        self._pending_evictions = [
+            entry for entry in self._pending_evictions if entry not in evictions
+        ]
+        return evictions
 
-    def decide(
+    def choose_evictions(
         self,
-        decided: Plan,
+        round_plan: Plan,
         jobs: dict[str, Job],
-        within: set[str],
+        guaranteed_jobs: set[str],
         urgencies: Urgencies,
         types: dict[str, MachineType],
         views: dict[int, ShardState],
@@ -105,20 +109,20 @@
             return
         boot_s = max((t.boot_s for t in types.values()), default=0.0)
         rank_of = urgencies.rank
-        lowest = max((rank_of(job) for job in self._replica.live.values()), default=0)
+        lowest_rank = max((rank_of(job) for job in self._replica.live.values()), default=0)
         waiting: list[tuple[Job, int, PreemptionRequest]] = []
-        for uid, count in decided.unplaced:
+        for uid, count in round_plan.unplaced:
             job = jobs[uid]
             waited_s = wall - job.ready_at
-            guaranteed = uid in within and waited_s > GUARANTEE_BOOTS * boot_s
+            guaranteed = uid in guaranteed_jobs and waited_s > GUARANTEE_BOOTS * boot_s
             if zone_limits(job) is not None or job.spec.types is not None or job.spec.gpus:
                 continue
             claim = PreemptionRequest(job.spec.team, rank_of(job), guaranteed, waited_s)
-            if policy.may_request_preemption(claim, lowest):
+            if policy.may_request_preemption(claim, lowest_rank):
                 waiting.append((job, count, claim))
         if not waiting:
             return
-        victims = self._victims(now, wall, views, urgencies, boot_s, within)
+        victims = self._find_victims(now, wall, views, urgencies, boot_s, guaranteed_jobs)
         for job, count, claim in waiting:
             uid = job.spec.uid
             for victim in victims:
@@ -132,23 +136,25 @@
                     or not policy.may_preempt(claim, victim.running)
                 ):
                     continue
-                each = min(
+                fits_per_victim = min(
                     (job.spec.cpus and spec.cpus / job.spec.cpus) or 1.0,
                     (job.spec.memory_gb and spec.memory_gb / job.spec.memory_gb) or 1.0,
                 )
-                if each < 1.0 or each > 2 * count:
+                if fits_per_victim < 1.0 or fits_per_victim > 2 * count:
                     continue  # one of its tasks frees too little, or far more than is needed
-                stop = min(victim.count, math.ceil(count / int(each)))
+                evict_count = min(victim.count, math.ceil(count / int(fits_per_victim)))
                 machine = victim.machine.name
-                self._evict.append((machine, spec.uid, stop))
-                victim.count -= stop
-                count -= stop * int(each)
+                self._pending_evictions.append((machine, spec.uid, evict_count))
+                victim.count -= evict_count
+                count -= evict_count * int(fits_per_victim)
                 self._evicted_at = now
-                log.info("evicting %d tasks of %s on %s for %s", stop, spec.uid, machine, uid)
+                log.info(
+                    "evicting %d tasks of %s on %s for %s", evict_count, spec.uid, machine, uid
+                )
             if count > 0 and policy.preempts_long_running:
-                self._stop_several(job, claim, count, victims, types, now)
+                self._evict_several(job, claim, count, victims, types, now)
 
-    def _stop_several(
+    def _evict_several(
         self,
         job: Job,
         claim: PreemptionRequest,
@@ -172,29 +178,33 @@
                 and self._policy.may_preempt(claim, victim.running)
             ):
                 by_machine.setdefault(victim.machine.name, []).append(victim)
-        ways: list[tuple[float, str, list[tuple[Victim, int]]]] = []
-        for name, some in by_machine.items():
-            type_ = types.get(some[0].machine.type)
-            if type_ is not None and (way := _fewest(job, some, type_)) is not None:
+        selections: list[tuple[float, str, list[tuple[Victim, int]]]] = []
+        for name, on_machine in by_machine.items():
+            type_ = types.get(on_machine[0].machine.type)
+            if (
+                type_ is not None
+                and (selection := _sufficient_victims(job, on_machine, type_)) is not None
+            ):
                 lost_cpu_s = sum(
-                    n * v.job.spec.cpus * max(0.0, v.running.elapsed_s) for v, n in way
+                    n * victim.job.spec.cpus * max(0.0, victim.running.elapsed_s)
+                    for victim, n in selection
                 )
-                ways.append((lost_cpu_s, name, way))
-        ways.sort(key=lambda way: way[:2])
-        for _, name, way in ways[:count]:
-            for victim, stop in way:
-                self._evict.append((name, victim.job.spec.uid, stop))
-                victim.count -= stop
+                selections.append((lost_cpu_s, name, selection))
+        selections.sort(key=lambda selection: selection[:2])
+        for _, name, selection in selections[:count]:
+            for victim, evict_count in selection:
+                self._pending_evictions.append((name, victim.job.spec.uid, evict_count))
+                victim.count -= evict_count
                 log.info(
                     "evicting %d tasks of %s on %s for %s, together with others there",
-                    stop,
+                    evict_count,
                     victim.job.spec.uid,
                     name,
                     job.spec.uid,
                 )
             self._evicted_at = now
 
-    def _beyond_guarantee(self) -> set[str]:
+    def _teams_beyond_guarantee(self) -> set[str]:
         """Teams whose assigned tasks use more CPUs than they are guaranteed."""
         used: dict[str, float] = {}
         for job in self._replica.live.values():
@@ -202,33 +212,33 @@
             used[team] = used.get(team, 0.0) + job.assigned_count * job.spec.cpus
         return {name for name, team in self._teams.items() if used.get(name, 0.0) > team.cpus}
 
-    def _victims(
+    def _find_victims(
         self,
         now: float,
         wall: float,
         views: dict[int, ShardState],
         urgencies: Urgencies,
         boot_s: float,
-        within: set[str],
+        guaranteed_jobs: set[str],
     ) -> list[Victim]:
         """The tasks that may be evicted, in the policy's order: of sweeps only, and only those
         that have just begun and have time for another run, unless the policy evicts any."""
         policy = self._policy
-        beyond = self._beyond_guarantee()
+        teams_beyond_guarantee = self._teams_beyond_guarantee()
         is_protected_by_age: dict[str, bool] = {}
         result: list[Victim] = []
         for state in views.values():
-            for shown in state.machines.values():
-                if not shown.view.open:
+            for observed in state.machines.values():
+                if not observed.view.open:
                     continue
-                for job, count, until in shown.tasks:
+                for job, count, until in observed.tasks:
                     if job.is_terminal or job.spec.kind != "sweep":
                         continue
                     run_s = self._estimates.run_s(job.spec.job_class, job.spec.estimate_s)
                     left_s = max(0.0, until - now)
-                    elapsed = run_s - left_s
-                    slack = urgencies.latest_finish(job) - wall - run_s
-                    recent = elapsed < RECENT_SHARE * run_s and slack > boot_s
+                    elapsed_s = run_s - left_s
+                    slack_s = urgencies.latest_finish(job) - wall - run_s
+                    recent = elapsed_s < RECENT_RUN_SHARE * run_s and slack_s > boot_s
                     if not recent and not policy.preempts_long_running:
                         continue
                     uid, rank = job.spec.uid, urgencies.rank(job)
@@ -240,15 +250,19 @@
                     running = RunningTasks(
                         job.spec.team,
                         rank,
-                        uid in within,
-                        job.spec.team in beyond,
+                        uid in guaranteed_jobs,
+                        job.spec.team in teams_beyond_guarantee,
                         recent,
-                        elapsed,
+                        elapsed_s,
                         left_s,
                         is_protected_by_age.get(uid, False),
                     )
-                    result.append(Victim(running, shown, job, count))
+                    result.append(Victim(running, observed, job, count))
         result.sort(
-            key=lambda v: (*policy.preemption_key(v.running), v.machine.name, v.job.spec.uid)
+            key=lambda victim: (
+                *policy.preemption_key(victim.running),
+                victim.machine.name,
+                victim.job.spec.uid,
+            )
         )
         return result
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -15,62 +15,71 @@
 class ObservedMachine:
     """A machine as the owner of its part last described it, with what its tasks take."""
 
-    __slots__ = ("at", "busy", "cpus", "gpus", "known", "memory_gb", "tasks", "view")
+    __slots__ = (
+        "cpus",
+        "ending_tasks",
+        "gpus",
+        "jobs_known",
+        "memory_gb",
+        "received_at",
+        "tasks",
+        "view",
+    )
 
-    def __init__(self, view: MachineView, at: float, replica: StateReplica) -> None:
+    def __init__(self, view: MachineView, received_at: float, replica: StateReplica) -> None:
         self.view = view
-        self.at = at
+        self.received_at = received_at
         self.cpus = self.memory_gb = self.gpus = 0.0  # taken by its tasks
-        self.known = True  # whether the book has the jobs of all of its tasks
+        self.jobs_known = True  # whether the book has the jobs of all of its tasks
         self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the last of them ends)
         # (job class, estimate, when the last ends, tasks; CPUs, GB and GPUs of each)
-        self.busy: list[tuple[str, float, float, int, float, float, float]] = []
+        self.ending_tasks: list[tuple[str, float, float, int, float, float, float]] = []
         for uid, flat, left_s in view.tasks:
             job = replica.jobs.get(uid)
             if job is None:
-                self.known = False
+                self.jobs_known = False
                 continue
-            n = len(Ranges.from_flat(flat))
+            count = len(Ranges.from_flat(flat))
             spec = job.spec
-            self.tasks.append((job, n, at + left_s))
-            self.busy.append(
+            self.tasks.append((job, count, received_at + left_s))
+            self.ending_tasks.append(
                 (
                     spec.job_class,
                     spec.estimate_s,
-                    at + left_s,
-                    n,
+                    received_at + left_s,
+                    count,
                     spec.cpus,
                     spec.memory_gb,
                     spec.gpus,
                 )
             )
-            self.cpus += n * spec.cpus
-            self.memory_gb += n * spec.memory_gb
-            self.gpus += n * spec.gpus
+            self.cpus += count * spec.cpus
+            self.memory_gb += count * spec.memory_gb
+            self.gpus += count * spec.gpus
 
 
 class ShardState:
     """What the leader knows of a part: its owner's last full view and the deltas since."""
 
     __slots__ = (
-        "at",
         "failing",
+        "listening_since",
         "machines",
         "node",
         "pending_removal",
+        "received_at",
         "seq",
         "silences",
-        "since",
         "token",
     )
 
-    def __init__(self, node: str, token: int, since: float) -> None:
+    def __init__(self, node: str, token: int, listening_since: float) -> None:
         # When this owner's first view arrived; it has listened to the part's machines since.
-        self.since = since
+        self.listening_since = listening_since
         self.node = node
         self.token = token
         self.seq = 0
-        self.at = -math.inf
+        self.received_at = -math.inf
         self.machines: dict[str, ObservedMachine] = {}
         # Silent machine -> (seconds for which its owner itself stood still since the machine's
         # last report, probes of it as (by, outcome, seconds ago)).
@@ -86,29 +95,33 @@
     def __init__(self, replica: StateReplica, settings: Settings) -> None:
         self._replica = replica
         self._settings = settings
-        self._shards: dict[int, ShardState] = {}
+        self._states: dict[int, ShardState] = {}
         self._full_read_count = replica.full_read_count
 
-    def late(self, view: ShardView) -> bool:
+    def is_outdated(self, view: ShardView) -> bool:
         """Whether a view is a duplicate or was overtaken by a later one: an owner numbers its
         views, and tokens only rise. Without this check a delayed full view replaces what is
         known since, and reports that it overheard long ago count as recent."""
-        state = self._shards.get(view.shard)
+        state = self._states.get(view.shard)
         return state is not None and (view.token, view.seq) <= (state.token, state.seq)
 
-    def take_in(self, view: ShardView, now: float) -> ShardState | None:
+    def apply_view(self, view: ShardView, now: float) -> ShardState | None:
         """Applies a view and returns the state of its part.
 
         Returns None for a delta to a view that is not known here, because an answer to the owner
         was lost or this leader is new. Then the owner has to send a full view."""
-        state = self._shards.get(view.shard)
+        state = self._states.get(view.shard)
         if view.base == 0:
             same = state is not None and state.token == view.token
-            since = state.since if state is not None and same else now
-            state = self._shards[view.shard] = ShardState(view.node, view.token, since)
+            listening_since = state.listening_since if state is not None and same else now
+            state = self._states[view.shard] = ShardState(view.node, view.token, listening_since)
         elif state is None or (state.token, state.seq) != (view.token, view.base):
             return None
-        state.seq, state.at, state.pending_removal = view.seq, now, dict(view.pending_removal)
+        state.seq, state.received_at, state.pending_removal = (
+            view.seq,
+            now,
+            dict(view.pending_removal),
+        )
         state.silences = {name: (stood_s, probes) for name, stood_s, probes in view.silences}
         state.failing = [FailingJob(*entry) for entry in view.failing]
         for name in view.gone:
@@ -117,32 +130,34 @@
             state.machines[machine.name] = ObservedMachine(machine, now, self._replica)
         return state
 
-    def renew(self) -> None:
+    def refresh_jobs(self) -> None:
         """Looks up all jobs again after a full read of the book, which replaces its objects."""
         if self._full_read_count != self._replica.full_read_count:
             self._full_read_count = self._replica.full_read_count
-            for state in self._shards.values():
+            for state in self._states.values():
                 for name, shown in state.machines.items():
-                    state.machines[name] = ObservedMachine(shown.view, shown.at, self._replica)
+                    state.machines[name] = ObservedMachine(
+                        shown.view, shown.received_at, self._replica
+                    )
 
-    def fresh(self, now: float) -> dict[int, ShardState]:
+    def fresh_shards(self, now: float) -> dict[int, ShardState]:
         """The parts, by number, whose present owner sent a view within the longest ordinary
         pause between reports."""
         views: dict[int, ShardState] = {}
-        for shard, state in self._shards.items():
+        for shard, state in self._states.items():
             owner = self._replica.shards.get(shard)
             if (
                 owner is not None
                 and owner.token == state.token
-                and now - state.at < self._settings.report_gap_s
+                and now - state.received_at < self._settings.report_gap_s
             ):
                 views[shard] = state
         return views
 
-    def heard(self, shard: int, name: str, now: float) -> bool:
+    def heard_recently(self, shard: int, name: str, now: float) -> bool:
         """Whether the part's owner has heard from a machine within its lease, by a recent view."""
-        state = self._shards.get(shard)
-        if state is None or now - state.at > self._settings.report_gap_s:
+        state = self._states.get(shard)
+        if state is None or now - state.received_at > self._settings.report_gap_s:
             return False
         shown = state.machines.get(name)
         lease_s = self._settings.settings.workers.lease_s
--- a/ryegauge/coordination/silent_machines.py
+++ b/ryegauge/coordination/silent_machines.py
@@ -21,7 +21,7 @@
 
 # Machines that an owner is asked to probe at once; as they answer or are released, others
 # follow.
-MOST_UNHEARD = 100
+MAX_PROBED_MACHINES = 100
 
 
 class SilentMachines:
@@ -29,13 +29,13 @@
 
     def __init__(self, settings: Settings) -> None:
         self._limits = DetectionLimits(settings.report_gap_s, settings.max_lease_s)
-        self._unheard: dict[int, list[tuple[str, str]]] = {}
-        self.cut: set[str] = set()  # zones from which no machine is heard
+        self._unreported: dict[int, list[tuple[str, str]]] = {}
+        self.unreachable_zones: set[str] = set()  # zones from which no machine is heard
         self._probes: dict[str, list[ProbeResult]] = {}  # silent machine -> its latest known probes
         # Machine -> when it last reported to a controller that does not own it.
         self._foreign_reports: dict[str, float] = {}
 
-    def take_in(self, view: ShardView, now: float) -> None:
+    def on_view(self, view: ShardView, now: float) -> None:
         """Takes in which machines of other owners have reported to the sender of a view."""
         for name, ago_s in view.foreign_reports:
             self._foreign_reports[name] = max(
@@ -51,96 +51,107 @@
         from them yet. Also updates `cut` and the machines to probe (`unheard`)."""
         keep_s = 2 * self._limits.lease_s
         self._foreign_reports = {
-            n: at for n, at in self._foreign_reports.items() if now - at < keep_s
+            name: at for name, at in self._foreign_reports.items() if now - at < keep_s
         }
         by_shard: dict[int, list[FleetMachine]] = {shard: [] for shard in views}
-        for rented in fleet.machines.values():
-            if rented.shard in views and (
-                rented.listed_running_since is not None or rented.reported
+        for machine in fleet.machines.values():
+            if machine.shard in views and (
+                machine.listed_running_since is not None or machine.has_reported
             ):
-                by_shard[rented.shard].append(rented)
+                by_shard[machine.shard].append(machine)
         silent = {
-            shard: [(r, self._silent_s(r, views[shard], now)) for r in machines]
+            shard: [(machine, self._silent_s(machine, views[shard], now)) for machine in machines]
             for shard, machines in by_shard.items()
         }
         gap_s = SUSPECT_GAPS * self._limits.gap_s
         zones: dict[str, tuple[int, int]] = {}
-        shares: dict[int, float] = {}
-        for shard, some in silent.items():
+        heard_shares: dict[int, float] = {}
+        for shard, entries in silent.items():
             heard = 0
-            for rented, silent_s in some:
-                well = silent_s <= gap_s or rented.noticed
-                heard += well
-                h, n = zones.get(rented.zone, (0, 0))
-                zones[rented.zone] = (h + well, n + 1)
-            shares[shard] = heard / len(some) if some else 1.0
-        self.cut = cut_zones(zones)
+            for machine, silent_s in entries:
+                is_heard = silent_s <= gap_s or machine.has_reclaim_notice
+                heard += is_heard
+                heard_count, count = zones.get(machine.zone, (0, 0))
+                zones[machine.zone] = (heard_count + is_heard, count + 1)
+            heard_shares[shard] = heard / len(entries) if entries else 1.0
+        self.unreachable_zones = cut_zones(zones)
         result: dict[str, Diagnosis] = {}
-        for shard, some in silent.items():
-            for rented, silent_s in some:
+        for shard, entries in silent.items():
+            for machine, silent_s in entries:
                 if silent_s <= gap_s:
                     continue
-                diagnosis = self._judge(rented, silent_s, views[shard], shares[shard], now)
+                diagnosis = self._diagnose(
+                    machine, silent_s, views[shard], heard_shares[shard], now
+                )
                 if diagnosis.severity is not Severity.HEALTHY:
-                    result[rented.name] = diagnosis
-        self._unheard = {
+                    result[machine.name] = diagnosis
+        self._unreported = {
             shard: [
-                (r.name, r.address)
-                for r, silent_s in some
-                if silent_s > gap_s and r.name not in views[shard].machines
-            ][:MOST_UNHEARD]
-            for shard, some in silent.items()
+                (machine.name, machine.address)
+                for machine, silent_s in entries
+                if silent_s > gap_s and machine.name not in views[shard].machines
+            ][:MAX_PROBED_MACHINES]
+            for shard, entries in silent.items()
         }
-        self._probes = {n: probes for n, probes in self._probes.items() if n in result}
+        self._probes = {name: probes for name, probes in self._probes.items() if name in result}
         return result
 
     def unreported(self, shard: int) -> list[tuple[str, str]]:
         """(name, address) of a part's machines that are silent and not shown by its owner."""
-        return self._unheard.get(shard, [])
+        return self._unreported.get(shard, [])
 
-    def _judge(
-        self, rented: FleetMachine, silent_s: float, state: ShardState, share: float, now: float
+    def _diagnose(
+        self,
+        machine: FleetMachine,
+        silent_s: float,
+        state: ShardState,
+        heard_share: float,
+        now: float,
     ) -> Diagnosis:
-        stood_s, told = state.silences.get(rented.name, (0.0, []))
+        owner_stalled_s, reported_probes = state.silences.get(machine.name, (0.0, []))
         probes = [
             probe
-            for by, outcome, ago_s in told
-            if (probe := ProbeResult.of(by, outcome, state.at - ago_s)) is not None
+            for by, outcome, ago_s in reported_probes
+            if (probe := ProbeResult.of(by, outcome, state.received_at - ago_s)) is not None
         ]
         if not probes:
             # Its owner has just removed it and now probes it again on the leader's request.
             # Earlier probes count until those results arrive: otherwise a machine that answers
             # or hangs is taken for lost and released if the cloud has no more of its kind.
             keep_s = LOST_GAPS * self._limits.gap_s
-            probes = [p for p in self._probes.get(rented.name, ()) if now - p.at < keep_s]
+            probes = [
+                probe for probe in self._probes.get(machine.name, ()) if now - probe.at < keep_s
+            ]
         if probes:
-            self._probes[rented.name] = probes
-        elsewhere_s = now - self._foreign_reports.get(rented.name, -math.inf)
+            self._probes[machine.name] = probes
+        elsewhere_s = now - self._foreign_reports.get(machine.name, -math.inf)
         return diagnose(
             Evidence(
-                silent_s - stood_s,
+                silent_s - owner_stalled_s,
                 silent_s,
                 elsewhere_s,
                 probes,
-                rented.noticed,
-                stood_s,
-                share,
-                rented.zone in self.cut,
+                machine.has_reclaim_notice,
+                owner_stalled_s,
+                heard_share,
+                machine.zone in self.unreachable_zones,
             ),
             self._limits,
         )
 
-    def _silent_s(self, rented: FleetMachine, state: ShardState, now: float) -> float:
+    def _silent_s(self, machine: FleetMachine, state: ShardState, now: float) -> float:
         """Seconds since its last report to an owner."""
-        shown = state.machines.get(rented.name)
-        if shown is not None:
+        observed = state.machines.get(machine.name)
+        if observed is not None:
             # Every view includes all silent machines again; one that is no longer included has
             # reported since.
-            silent_s = shown.view.silent_s
+            silent_s = observed.view.silent_s
             if silent_s > SUSPECT_GAPS * self._limits.gap_s:
-                silent_s += now - shown.at
+                silent_s += now - observed.received_at
             return silent_s
         # Its owner removed it at the end of its lease, or is new and has not heard from it yet.
         return now - max(
-            state.since, rented.listed_running_since or -math.inf, rented.heard_at or -math.inf
+            state.listening_since,
+            machine.listed_running_since or -math.inf,
+            machine.last_report_at or -math.inf,
         )
--- a/ryegauge/coordination/task_assignment.py
+++ b/ryegauge/coordination/task_assignment.py
@@ -17,7 +17,7 @@
 from ryegauge.scheduling.planner import EPSILON, Demand, MachineCapacity, Plan
 
 # Size of a share's record without its ranges: field names, and zones if they are recorded.
-RECORD_BYTES = 256
+RECORD_OVERHEAD_BYTES = 256
 
 
 def within_guarantee(
@@ -31,17 +31,17 @@
     unfinished = sorted((job for job in replica.live.values() if not job.is_terminal), key=order)
     cpus: dict[str, float] = {}
     gpus: dict[str, float] = {}
-    within: set[str] = set()
+    covered: set[str] = set()
     for job in unfinished:
         spec = job.spec
         if (team := teams.get(spec.team)) is None:
             continue
-        left = spec.tasks - job.done_count
-        cpus[team.name] = cpus.get(team.name, 0.0) + left * spec.cpus
-        gpus[team.name] = gpus.get(team.name, 0.0) + left * spec.gpus
+        remaining = spec.tasks - job.done_count
+        cpus[team.name] = cpus.get(team.name, 0.0) + remaining * spec.cpus
+        gpus[team.name] = gpus.get(team.name, 0.0) + remaining * spec.gpus
         if cpus[team.name] <= team.cpus + EPSILON and gpus[team.name] <= team.gpus + EPSILON:
-            within.add(spec.uid)
-    return within
+            covered.add(spec.uid)
+    return covered
 
 
 def ordered_demands(
@@ -77,10 +77,10 @@
             and held.wait_s(uid, now) <= 0
         ):
             open_jobs[uid] = job
-    fleet = FleetTotals(running) if policy.uses_ageing else None
+    totals = FleetTotals(running) if policy.uses_ageing else None
     waiting: list[WaitingJob] = []
     for uid, job in open_jobs.items():
-        finish, rank = urgencies.of(job)
+        finish, rank = urgencies.urgency_of(job)
         spec = job.spec
         open_count = len(job.open_tasks)
         waiting.append(
@@ -94,7 +94,7 @@
                 uid in within_guarantee,
                 open_count,
                 job.done_count + job.assigned_count,
-                0.0 if fleet is None else fleet.weight(spec),
+                0.0 if totals is None else totals.weight(spec),
                 spec.cpus,
                 spec.gpus,
                 spec.kind == "gang" and open_count == spec.tasks,
@@ -106,41 +106,41 @@
         name: TeamHeadroom(team.cpu_limit - used_cpus[name], team.gpu_limit - used_gpus[name])
         for name, team in teams.items()
     }
-    holding = [] if fleet is None else holdings(replica, urgencies, fleet)
-    needs: list[Demand] = []
+    holding = [] if totals is None else holdings(replica, urgencies, totals)
+    demands: list[Demand] = []
     sizes = task_sizes(replica)
     left = {job.uid: job.open_task_count for job in waiting}
-    probed: set[str] = set()
-    for uid, most, hold_s in policy.order(waiting, holding, headroom, wall):
+    retried: set[str] = set()
+    for uid, max_tasks, reserve_within_s in policy.order(waiting, holding, headroom, wall):
         job = open_jobs[uid]
         spec = job.spec
         team = teams[spec.team]
-        count = left[uid] if most is None else min(left[uid], most)
+        count = left[uid] if max_tasks is None else min(left[uid], max_tasks)
         if uid in held:
-            if uid in probed:
+            if uid in retried:
                 continue
-            probed.add(uid)
+            retried.add(uid)
             count = count if spec.kind == "gang" else 1
-        count = _within(count, spec.cpus, team.cpu_limit - used_cpus[team.name])
-        count = _within(count, spec.gpus, team.gpu_limit - used_gpus[team.name])
+        count = _fitting_count(count, spec.cpus, team.cpu_limit - used_cpus[team.name])
+        count = _fitting_count(count, spec.gpus, team.gpu_limit - used_gpus[team.name])
         zones = zone_limits(job)
         if count <= 0 or (spec.kind == "gang" and count < left[uid]):
             continue
         used_cpus[team.name] += count * spec.cpus
         used_gpus[team.name] += count * spec.gpus
         left[uid] -= count
-        need = make_demand(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
-        need.hold_s, need.due = hold_s, most is not None
-        need.may_rent = uid not in held
-        needs.append(need)
-    return needs, open_jobs
+        demand = make_demand(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
+        demand.reserve_within_s, demand.due_by_age = reserve_within_s, max_tasks is not None
+        demand.may_rent = uid not in held
+        demands.append(demand)
+    return demands, open_jobs
 
 
-def _within(count: int, each: float, free: float) -> int:
+def _fitting_count(count: int, per_task: float, available: float) -> int:
     """How many of `count` tasks fit into what their team may still use of a resource."""
-    if each <= 0 or free == math.inf:
+    if per_task <= 0 or available == math.inf:
         return count
-    return min(count, int((free + EPSILON) // each))
+    return min(count, int((available + EPSILON) // per_task))
 
 
 class FleetTotals:
@@ -170,7 +170,7 @@
 
 
 def holdings(
-    replica: StateReplica, urgencies: Urgencies, fleet: FleetTotals
+    replica: StateReplica, urgencies: Urgencies, totals: FleetTotals
 ) -> list[AssignedTasks]:
     """What counts against the share of the fleet reserved for aged jobs: the assigned tasks of
     unfinished jobs. Services are left out: they never end and would use up the share for good."""
@@ -180,7 +180,7 @@
             job.ready_at,
             job.done_count,
             job.assigned_count,
-            fleet.weight(job.spec),
+            totals.weight(job.spec),
         )
         for job in replica.live.values()
         if job.assigned_count and not job.is_terminal and job.spec.kind != "standing"
@@ -188,29 +188,31 @@
 
 
 def assign_tasks(
-    decided: Plan, jobs: dict[str, Job], value_bytes: int
+    round_plan: Plan, jobs: dict[str, Job], value_bytes: int
 ) -> dict[tuple[str, int], Assignment]:
     """The new shares, by (job UID, part), of the parts to which the plan assigns more tasks.
 
     No share grows beyond a record of `value_bytes`; tasks that do not fit stay open."""
     result: dict[tuple[str, int], Assignment] = {}
-    taken: dict[str, Ranges] = {}
-    for placement in decided.placements:
+    newly_assigned: dict[str, Ranges] = {}
+    for placement in round_plan.placements:
         job = jobs[placement.uid]
-        rest = job.open_tasks - taken.get(placement.uid, Ranges())
+        open_tasks = job.open_tasks - newly_assigned.get(placement.uid, Ranges())
         key = (placement.uid, placement.shard)
         assignment = result.get(key)
-        held = assignment or job.assignments.get(placement.shard)
-        tasks = rest.first(min(placement.count, _free_record_bytes(job, held, value_bytes)))
+        current = assignment or job.assignments.get(placement.shard)
+        tasks = open_tasks.first(
+            min(placement.count, _tasks_fitting_record(job, current, value_bytes))
+        )
         if not tasks:
             continue
-        taken[placement.uid] = taken.get(placement.uid, Ranges()) | tasks
+        newly_assigned[placement.uid] = newly_assigned.get(placement.uid, Ranges()) | tasks
         if assignment is None:
-            old = job.assignments.get(placement.shard)
+            previous = job.assignments.get(placement.shard)
             assignment = (
                 Assignment({}, Ranges(), 0)
-                if old is None
-                else Assignment(dict(old.assigned), old.done, old.version)
+                if previous is None
+                else Assignment(dict(previous.assigned), previous.done, previous.version)
             )
             result[key] = assignment
         zone = placement.zone if records_zones(job.spec) else ""
@@ -218,10 +220,10 @@
     return result
 
 
-def _free_record_bytes(job: Job, assignment: Assignment | None, value_bytes: int) -> int:
+def _tasks_fitting_record(job: Job, assignment: Assignment | None, value_bytes: int) -> int:
     """How many more tasks a share may get so that its record stays within `value_bytes`, the
     state service's limit, in whatever order the tasks end: each may become a range of its own,
     among the assigned or among the done ones."""
-    limit = value_bytes - RECORD_BYTES
+    limit = value_bytes - RECORD_OVERHEAD_BYTES
     ranges = limit // max_range_bytes(job.spec.tasks)
     return ranges if assignment is None else ranges - assignment.count - len(assignment.done.spans)
--- a/ryegauge/coordination/urgency.py
+++ b/ryegauge/coordination/urgency.py
@@ -28,31 +28,35 @@
         # Time from the last end in a stage to the first start in the next: the end is reported,
         # written and read, the new tasks are assigned, and their start is sent.
         self._handover_s = settings.report_gap_s
-        self._known: dict[str, Urgency] = {}
+        self._computed: dict[str, Urgency] = {}
 
-    def of(self, job: Job) -> Urgency:
+    def urgency_of(self, job: Job) -> Urgency:
         """The latest finish and the rank of a job, its own or those that its dependents impose."""
         uid = job.spec.uid
-        if (known := self._known.get(uid)) is not None:
-            return known
-        return propagate_back(uid, self._own, self._after, self._path_s, self._known)
+        if (computed := self._computed.get(uid)) is not None:
+            return computed
+        return propagate_back(
+            uid, self._own_urgency, self._dependents, self._path_s, self._computed
+        )
 
     def latest_finish(self, job: Job) -> float:
         """When the job has to be finished at the latest, as time of day in seconds."""
-        return self.of(job).latest_finish
+        return self.urgency_of(job).latest_finish
 
     def rank(self, job: Job) -> int:
         """The rank of the job's priority or of its most urgent dependent's; 0 is most urgent."""
-        return self.of(job).rank
+        return self.urgency_of(job).rank
 
-    def _own(self, uid: str) -> Urgency:
+    def _own_urgency(self, uid: str) -> Urgency:
         job = self._replica.jobs[uid]
         finish = latest_finish(job, self._objectives, self._run_s(job))
         return Urgency(finish, PRIORITIES.index(job.spec.priority))
 
-    def _after(self, uid: str) -> Iterable[str]:
+    def _dependents(self, uid: str) -> Iterable[str]:
         jobs = self._replica.jobs
-        return (n for n in self._replica.dependents.get(uid, ()) if not jobs[n].is_terminal)
+        return (
+            name for name in self._replica.dependents.get(uid, ()) if not jobs[name].is_terminal
+        )
 
     def _run_s(self, job: Job) -> float:
         return self._estimates.run_s(job.spec.job_class, job.spec.estimate_s)
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -18,10 +18,10 @@
 
 def propagate_back(
     start: str,
-    own: Callable[[str], Urgency],
-    after: Callable[[str], Iterable[str]],
+    own_urgency: Callable[[str], Urgency],
+    dependents_of: Callable[[str], Iterable[str]],
     path_s: Callable[[str], float],
-    known: dict[str, Urgency],
+    computed: dict[str, Urgency],
 ) -> Urgency:
     """The urgency of the job `start`, from its `own` and that of the jobs `after` it, each of which
     takes `path_s` seconds. All urgencies computed on the way are stored in `known`.
@@ -30,19 +30,19 @@
     stack = [start]
     while stack:
         uid = stack[-1]
-        if uid in known:
+        if uid in computed:
             stack.pop()
             continue
-        following = list(after(uid))
-        todo = [name for name in following if name not in known]
-        if todo:
-            stack += todo
+        dependents = list(dependents_of(uid))
+        uncomputed = [dependent for dependent in dependents if dependent not in computed]
+        if uncomputed:
+            stack += uncomputed
             continue
-        finish, rank = own(uid)
-        for name in following:
-            later = known[name]
-            finish = min(finish, later.latest_finish - path_s(name))
-            rank = min(rank, later.rank)
-        known[uid] = Urgency(finish, rank)
+        finish, rank = own_urgency(uid)
+        for dependent in dependents:
+            dependent_urgency = computed[dependent]
+            finish = min(finish, dependent_urgency.latest_finish - path_s(dependent))
+            rank = min(rank, dependent_urgency.rank)
+        computed[uid] = Urgency(finish, rank)
         stack.pop()
-    return known[start]
+    return computed[start]
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -37,27 +37,31 @@
     available_in_s: float = 0.0  # expected seconds until it is up, 0 if it runs
     used: bool = False  # runs tasks, or the plan counts on it
     # What its tasks will free: (seconds until then, tasks; CPUs, GB and GPUs of each).
-    busy: list[tuple[float, int, float, float, float]] = field(default_factory=list)
+    ending_tasks: list[tuple[float, int, float, float, float]] = field(default_factory=list)
     # It is reserved, from so many seconds on, for a task that fits nowhere now: others may run
     # here only if they end before.
-    held_s: float = math.inf
+    reserved_from_s: float = math.inf
     # What is free now or will be soon, less what waits for it: (CPUs, GB, GPUs).
-    soon: tuple[float, float, float] | None = None
+    free_soon: tuple[float, float, float] | None = None
 
-    def fits(self, need: "Demand") -> int:
+    def fits(self, demand: "Demand") -> int:
         """How many of the demand's tasks fit into what is free now."""
-        return _fit(need, self.cpus, self.memory_gb, self.gpus)
+        return _count_fitting(demand, self.cpus, self.memory_gb, self.gpus)
 
-    def take(self, need: "Demand", count: int) -> None:
+    def occupy(self, demand: "Demand", count: int) -> None:
         """Subtracts `count` tasks of a demand; its image will be on the machine."""
-        self.cpus -= need.cpus * count
-        self.memory_gb -= need.memory_gb * count
-        self.gpus -= need.gpus * count
-        if need.image not in self.images:
-            self.images = self.images | {need.image}
-        if self.soon is not None:
-            c, m, g = self.soon
-            self.soon = (c - need.cpus * count, m - need.memory_gb * count, g - need.gpus * count)
+        self.cpus -= demand.cpus * count
+        self.memory_gb -= demand.memory_gb * count
+        self.gpus -= demand.gpus * count
+        if demand.image not in self.images:
+            self.images = self.images | {demand.image}
+        if self.free_soon is not None:
+            c, m, g = self.free_soon
+            self.free_soon = (
+                c - demand.cpus * count,
+                m - demand.memory_gb * count,
+                g - demand.gpus * count,
+            )
         self.used = True
 
 
@@ -92,13 +96,13 @@
     # All tasks start at once, either all on spot machines or all on on-demand ones.
     gang: bool = False
     # Parts that tasks of the job are assigned to already.
-    shards: frozenset[int] = frozenset()
+    assigned_shards: frozenset[int] = frozenset()
     # CPUs of the larger tasks that exist, ascending: free capacity that one of them fits into
     # is broken up last.
-    larger: tuple[float, ...] = ()
+    larger_sizes: tuple[float, ...] = ()
     # If it finds no capacity, machines that become free within so many seconds are reserved.
-    hold_s: float = 0.0
-    due: bool = False  # comes first because of its job's age
+    reserve_within_s: float = 0.0
+    due_by_age: bool = False  # comes first because of its job's age
     may_rent: bool = True  # whether machines may be rented for it
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
@@ -142,38 +146,38 @@
     # Unplaced tasks that wait for a busy machine, and those that wait for a booting one.
     waiting_for_busy: int = 0
     waiting_for_boot: int = 0
-    ahead: int = 0  # machines rented for tasks that are probably lost with their machines
+    rented_ahead: int = 0  # machines rented for tasks that are probably lost with their machines
 
 
-def _fit(need: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
+def _count_fitting(demand: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
     n = math.inf
-    if need.cpus > 0:
-        n = min(n, (cpus + EPSILON) // need.cpus)
-    if need.memory_gb > 0:
-        n = min(n, (memory_gb + EPSILON) // need.memory_gb)
-    if need.gpus > 0:
-        n = min(n, (gpus + EPSILON) // need.gpus)
-    return int(min(n, need.count))
+    if demand.cpus > 0:
+        n = min(n, (cpus + EPSILON) // demand.cpus)
+    if demand.memory_gb > 0:
+        n = min(n, (memory_gb + EPSILON) // demand.memory_gb)
+    if demand.gpus > 0:
+        n = min(n, (gpus + EPSILON) // demand.gpus)
+    return int(min(n, demand.count))
 
 
-def allowed(need: Demand, type_name: str, zone: str, spot: bool) -> bool:
+def allowed(demand: Demand, type_name: str, zone: str, spot: bool) -> bool:
     """Whether the demand's tasks may run on such a machine, whatever is free there."""
     return (
-        (need.types is None or type_name in need.types)
-        and (need.zones is None or need.zones.get(zone, 0) > 0)
-        and (need.allows_spot or not spot)
+        (demand.types is None or type_name in demand.types)
+        and (demand.zones is None or demand.zones.get(zone, 0) > 0)
+        and (demand.allows_spot or not spot)
     )
 
 
-def latest_on_demand_start(need: Demand, types: Iterable[MachineType]) -> float:
+def latest_on_demand_start(demand: Demand, types: Iterable[MachineType]) -> float:
     """LTO = D - CP: when to turn to on-demand machines at the latest, with the critical path on
     the slowest allowed type (Algorithm 1, line 8)."""
-    paths = [need.path_s(t) for t in types if need.types is None or t.name in need.types]
-    return need.latest_finish - max(paths, default=need.run_s)
+    paths = [demand.path_s(t) for t in types if demand.types is None or t.name in demand.types]
+    return demand.latest_finish - max(paths, default=demand.run_s)
 
 
 def place(
-    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], *, on_demand_only: bool
 ) -> list[tuple[MachineCapacity, int]]:
     """Places as much of the demand as fits (FindFreeSlot and FindRunningVM); returns the machines
     taken and the number of tasks on each.
@@ -188,116 +192,116 @@
     - few parts, since each part's share of a job is a record of its own;
     - the fullest machines, so that others become idle.
     """
-    if need.count <= 0:
+    if demand.count <= 0:
         return []
-    grain = SPEED_TOLERANCE * need.run_s
-    taken: list[tuple[MachineCapacity, int]] = []
-    cpus, run_s = need.cpus - EPSILON, need.run_s
-    memory_gb = need.memory_gb - EPSILON
+    step_s = SPEED_TOLERANCE * demand.run_s
+    placed: list[tuple[MachineCapacity, int]] = []
+    cpus, run_s = demand.cpus - EPSILON, demand.run_s
+    memory_gb = demand.memory_gb - EPSILON
     fitting = [
-        room
-        for room in rooms
-        if room.cpus >= cpus
-        and room.memory_gb >= memory_gb
-        and run_s <= room.held_s
-        and not (on_demand_only and room.spot)
-        and allowed(need, room.type.name, room.zone, room.spot)
-        and room.fits(need) > 0
+        machine
+        for machine in machines
+        if machine.cpus >= cpus
+        and machine.memory_gb >= memory_gb
+        and run_s <= machine.reserved_from_s
+        and not (on_demand_only and machine.spot)
+        and allowed(demand, machine.type.name, machine.zone, machine.spot)
+        and machine.fits(demand) > 0
     ]
-    if need.one_zone and fitting:
-        zone = _best_zone(need, fitting)
-        fitting = [room for room in fitting if room.zone == zone]
-    ranks = _shard_ranks(need, fitting)
+    if demand.one_zone and fitting:
+        zone = _best_zone(demand, fitting)
+        fitting = [machine for machine in fitting if machine.zone == zone]
+    shard_ranks = _rank_shards(demand, fitting)
     candidates = [
         (
-            _completion(need, room, grain),
-            not room.spot,
-            need.image not in room.images,
-            room.type.cpus,
-            ranks[room.shard],
-            room.cpus,
+            _completion_steps(demand, machine, step_s),
+            not machine.spot,
+            demand.image not in machine.images,
+            machine.type.cpus,
+            shard_ranks[machine.shard],
+            machine.cpus,
             i,
-            room,
+            machine,
         )
-        for i, room in enumerate(fitting)
+        for i, machine in enumerate(fitting)
     ]
     candidates.sort(key=lambda c: c[:7])
-    alike = groupby(candidates, key=lambda c: c[:2])
-    for _, group in alike:
-        equal = [c[7] for c in group]
+    groups = groupby(candidates, key=lambda c: c[:2])
+    for _, group in groups:
+        equal_machines = [c[7] for c in group]
         # First the capacity that larger tasks could not use anyway.
-        for whole in (*need.larger, 0.0):
-            for room in equal:
-                if need.count <= 0:
-                    return taken
-                if (n := _take(need, room, whole)) > 0:
-                    taken.append((room, n))
-    return taken
+        for slot_cpus in (*demand.larger_sizes, 0.0):
+            for machine in equal_machines:
+                if demand.count <= 0:
+                    return placed
+                if (count := _place_on(demand, machine, slot_cpus)) > 0:
+                    placed.append((machine, count))
+    return placed
 
 
-def _take(need: Demand, room: MachineCapacity, whole: float) -> int:
-    """Places what fits and returns the number of tasks. If `whole` is not 0, only capacity is
+def _place_on(demand: Demand, machine: MachineCapacity, slot_cpus: float) -> int:
+    """Places what fits and returns the number of tasks. If `slot_cpus` is not 0, only capacity is
     used that tasks of so many CPUs leave over."""
-    n = room.fits(need)
-    if whole and need.cpus > 0:
-        n = min(n, int((room.cpus % whole + EPSILON) // need.cpus))
-    if need.zones is not None:
-        n = min(n, need.zones.get(room.zone, 0))
-    if n <= 0:
+    taken = machine.fits(demand)
+    if slot_cpus and demand.cpus > 0:
+        taken = min(taken, int((machine.cpus % slot_cpus + EPSILON) // demand.cpus))
+    if demand.zones is not None:
+        taken = min(taken, demand.zones.get(machine.zone, 0))
+    if taken <= 0:
         return 0
-    room.take(need, n)
-    need.count -= n
-    if need.zones is not None:
-        need.zones[room.zone] -= n
-    if need.one_zone:
-        need.one_zone = False
-        need.zones = {room.zone: need.count}
-    return n
+    machine.occupy(demand, taken)
+    demand.count -= taken
+    if demand.zones is not None:
+        demand.zones[machine.zone] -= taken
+    if demand.one_zone:
+        demand.one_zone = False
+        demand.zones = {machine.zone: demand.count}
+    return taken
 
 
-def _shard_ranks(need: Demand, rooms: list[MachineCapacity]) -> dict[int, int]:
+def _rank_shards(demand: Demand, machines: list[MachineCapacity]) -> dict[int, int]:
     """The rank of each part for a demand, chosen so that few parts get tasks of its job: first
     parts that already have some, then the one with the least capacity that fits all, then
     those with the most."""
     fitting: dict[int, int] = {}
-    for room in rooms:
-        fitting[room.shard] = fitting.get(room.shard, 0) + room.fits(need)
+    for machine in machines:
+        fitting[machine.shard] = fitting.get(machine.shard, 0) + machine.fits(demand)
     ordered = sorted(
         fitting,
         key=lambda shard: (
-            shard not in need.shards,
-            fitting[shard] < need.count,
-            fitting[shard] if fitting[shard] >= need.count else -fitting[shard],
+            shard not in demand.assigned_shards,
+            fitting[shard] < demand.count,
+            fitting[shard] if fitting[shard] >= demand.count else -fitting[shard],
             shard,
         ),
     )
     return {shard: rank for rank, shard in enumerate(ordered)}
 
 
-def _completion(need: Demand, room: MachineCapacity, grain: float) -> float:
-    """The expected time until a task completes on a machine, in steps of `grain` seconds."""
-    path = room.available_in_s + need.path_s(room.type, need.image in room.images)
-    return path if grain <= 0 else path // grain
+def _completion_steps(demand: Demand, machine: MachineCapacity, step_s: float) -> float:
+    """The expected time until a task completes on a machine, in steps of `step_s` seconds."""
+    path = machine.available_in_s + demand.path_s(machine.type, demand.image in machine.images)
+    return path if step_s <= 0 else path // step_s
 
 
 def place_gang(
-    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], *, on_demand_only: bool
 ) -> list[tuple[MachineCapacity, int]]:
     """Places all tasks of a gang on machines of one pricing, spot first, or none of them."""
     for spot in (False,) if on_demand_only else (True, False):
-        kind = [room for room in rooms if room.spot == spot]
-        trial = replace(need, zones=None if need.zones is None else copy(need.zones))
-        place(trial, [replace(room) for room in kind], on_demand_only=False)
+        same_pricing = [machine for machine in machines if machine.spot == spot]
+        trial = replace(demand, zones=None if demand.zones is None else copy(demand.zones))
+        place(trial, [replace(machine) for machine in same_pricing], on_demand_only=False)
         if trial.count <= 0:
-            return place(need, kind, on_demand_only=False)
+            return place(demand, same_pricing, on_demand_only=False)
     return []
 
 
-def _best_zone(need: Demand, rooms: list[MachineCapacity]) -> str:
+def _best_zone(demand: Demand, machines: list[MachineCapacity]) -> str:
     """The zone that fits most of the demand's tasks."""
     fitting: dict[str, int] = {}
-    for room in rooms:
-        fitting[room.zone] = fitting.get(room.zone, 0) + room.fits(need)
+    for machine in machines:
+        fitting[machine.zone] = fitting.get(machine.zone, 0) + machine.fits(demand)
     return max(sorted(fitting), key=lambda zone: fitting[zone])
 
 
@@ -311,7 +315,7 @@
     takeback_share: float
     takeback_threshold: float
     # How long tasks wait for a busy machine rather than for a new one, in boot times.
-    patience: float = 0.5
+    patience_boots: float = 0.5
     # More was placed in the last round than could be recorded.
     backlog: bool = False
     # (type, zone, spot) -> expected boot time in seconds; for others the nominal time counts.
@@ -342,7 +346,9 @@
 
 
 def reserve_standbys(
-    critical: dict[str, list[Demand]], running: list[MachineCapacity], coming: list[MachineCapacity]
+    critical_demands: dict[str, list[Demand]],
+    running: list[MachineCapacity],
+    booting: list[MachineCapacity],
 ) -> list[Demand]:
     """Reserves capacity for the tasks that would have no time for a new machine, on other
     running machines, else on booting ones; returns the demands that found too little.
@@ -350,13 +356,15 @@
     Nothing runs on it: a task must not run twice at the same time. Machines are assumed to be
     lost one at a time, so all can share the same standby capacity (backup overloading): it is
     reserved for the machine whose critical tasks need the most."""
-    if not critical:
+    if not critical_demands:
         return []
-    name = max(sorted(critical), key=lambda m: sum(n.cpus * n.count for n in critical[m]))
-    others = [room for room in (*running, *coming) if room.name != name]
-    for need in critical[name]:
-        place(need, others, on_demand_only=False)
-    return [need for need in critical[name] if need.count > 0]
+    name = max(
+        sorted(critical_demands), key=lambda m: sum(n.cpus * n.count for n in critical_demands[m])
+    )
+    other_machines = [machine for machine in (*running, *booting) if machine.name != name]
+    for demand in critical_demands[name]:
+        place(demand, other_machines, on_demand_only=False)
+    return [demand for demand in critical_demands[name] if demand.count > 0]
 
 
 class ExhaustedKinds:
@@ -370,23 +378,23 @@
         self._kinds: dict[tuple[object, ...], list[tuple[float, float, float, float]]] = {}
 
     @staticmethod
-    def _kind(need: Demand, steady: bool) -> tuple[object, ...] | None:
-        if need.gang or need.one_zone or need.zones is not None:
+    def _kind(demand: Demand, on_demand_only: bool) -> tuple[object, ...] | None:
+        if demand.gang or demand.one_zone or demand.zones is not None:
             return None  # its limits differ from those of all other demands
-        return (steady, need.allows_spot, need.types)
+        return (on_demand_only, demand.allows_spot, demand.types)
 
-    def note(self, need: Demand, steady: bool = False) -> None:
+    def record_search(self, demand: Demand, on_demand_only: bool = False) -> None:
         """Records that a demand has just searched: if tasks are left, nothing fits them."""
-        kind = self._kind(need, steady)
-        if kind is not None and need.count > 0:
-            size = (need.cpus, need.memory_gb, need.gpus, need.run_s)
+        kind = self._kind(demand, on_demand_only)
+        if kind is not None and demand.count > 0:
+            size = (demand.cpus, demand.memory_gb, demand.gpus, demand.run_s)
             self._kinds.setdefault(kind, []).append(size)
 
-    def covers(self, need: Demand, steady: bool = False) -> bool:
+    def is_exhausted(self, demand: Demand, on_demand_only: bool = False) -> bool:
         """Whether it is known that none of the demand's tasks fit."""
-        kind = self._kind(need, steady)
+        kind = self._kind(demand, on_demand_only)
         return kind is not None and any(
-            c <= need.cpus and m <= need.memory_gb and g <= need.gpus and r <= need.run_s
+            c <= demand.cpus and m <= demand.memory_gb and g <= demand.gpus and r <= demand.run_s
             for c, m, g, r in self._kinds.get(kind, ())
         )
 
@@ -395,222 +403,244 @@
         self._kinds.clear()
 
 
-def _place_by_shard(
-    needs: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
+def _place_in_single_shards(
+    demands: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
 ) -> None:
     """Places each demand in a single part first, the one that can take most of it.
 
     A part's share of a job is a record. If many records have to be written for few tasks each,
     machines stay idle while tasks wait for their assignment to be written."""
     by_shard: dict[int, list[MachineCapacity]] = {}
-    for room in running:
-        if room.cpus > EPSILON:
-            by_shard.setdefault(room.shard, []).append(room)
-    for need in needs:
-        if need.gang or need.service:
+    for machine in running:
+        if machine.cpus > EPSILON:
+            by_shard.setdefault(machine.shard, []).append(machine)
+    for demand in demands:
+        if demand.gang or demand.service:
             continue
-        late = latest_on_demand_start(need, market.types.values()) <= now
+        late = latest_on_demand_start(demand, market.types.values()) <= now
         best: tuple[int, bool, int] | None = None
-        for shard, rooms in by_shard.items():
+        for shard, machines in by_shard.items():
             fits = sum(
-                room.fits(need)
-                for room in rooms
-                if room.cpus + EPSILON >= need.cpus
-                and allowed(need, room.type.name, room.zone, room.spot)
+                machine.fits(demand)
+                for machine in machines
+                if machine.cpus + EPSILON >= demand.cpus
+                and allowed(demand, machine.type.name, machine.zone, machine.spot)
             )
             if fits > 0:
-                key = (min(fits, need.count), shard in need.shards, -shard)
+                key = (min(fits, demand.count), shard in demand.assigned_shards, -shard)
                 best = key if best is None else max(best, key)
         if best is None:
             continue
-        rooms = by_shard[-best[2]]
-        taken = place(need, rooms, on_demand_only=True) if late else []
-        for room, count in taken + place(need, rooms, on_demand_only=False):
-            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
+        machines = by_shard[-best[2]]
+        taken = place(demand, machines, on_demand_only=True) if late else []
+        for machine, count in taken + place(demand, machines, on_demand_only=False):
+            result.placements.append(
+                Placement(demand.uid, count, machine.name, machine.shard, machine.zone)
+            )
 
 
 def plan(
-    needs: list[Demand],
+    demands: list[Demand],
     running: list[MachineCapacity],
     starting: list[MachineCapacity],
     market: Market,
     now: float,
-    critical: dict[str, list[Demand]] | None = None,
-    missed: Iterable[Demand] = (),
+    critical_demands: dict[str, list[Demand]] | None = None,
+    lost_demands: Iterable[Demand] = (),
 ) -> Plan:
-    """Plans one round; `needs` come in their order of precedence and `now` is the time of day.
+    """Plans one round; `demands` come in their order of precedence and `now` is the time of day.
 
-    `critical` are the demands that standby capacity is reserved for, by machine. `missed` are
-    the tasks on machines that are probably lost: they are not placed, but machines are rented
+    `critical_demands` are those that standby capacity is reserved for, by machine. `lost_demands`
+    are the tasks on machines that are probably lost: they are not placed, but machines are rented
     in advance for what finds no capacity."""
     result = Plan()
     rented: dict[tuple[str, str, bool], int] = {}
-    coming = list(starting)
-    now_full, soon_full, coming_full = ExhaustedKinds(), ExhaustedKinds(), ExhaustedKinds()
+    booting = list(starting)
+    exhausted_now, exhausted_soon, exhausted_booting = (
+        ExhaustedKinds(),
+        ExhaustedKinds(),
+        ExhaustedKinds(),
+    )
     boot_s = market.longest_boot_s
     if market.backlog:
-        _place_by_shard(needs, running, market, now, result)
-    for need in needs:
-        if need.count <= 0:
+        _place_in_single_shards(demands, running, market, now, result)
+    for demand in demands:
+        if demand.count <= 0:
             continue
-        slack = latest_on_demand_start(need, market.types.values()) - now
-        ahead = slack > 0 and not need.service
-        put = place_gang if need.gang else place
-        taken: list[tuple[MachineCapacity, int]] = []
-        if not ahead and not now_full.covers(need, steady=True):
-            taken = put(need, running, on_demand_only=True)
-            now_full.note(need, steady=True)
-        if need.count > 0 and not need.service and not now_full.covers(need):
+        slack_s = latest_on_demand_start(demand, market.types.values()) - now
+        before_lto = slack_s > 0 and not demand.service
+        place_tasks = place_gang if demand.gang else place
+        placed: list[tuple[MachineCapacity, int]] = []
+        if not before_lto and not exhausted_now.is_exhausted(demand, on_demand_only=True):
+            placed = place_tasks(demand, running, on_demand_only=True)
+            exhausted_now.record_search(demand, on_demand_only=True)
+        if demand.count > 0 and not demand.service and not exhausted_now.is_exhausted(demand):
             # After the LTO this is the paper's exception "late on spot": if no on-demand
             # capacity is free, a running spot machine still finishes sooner than a machine
             # that would have to be waited for.
-            taken += put(need, running, on_demand_only=False)
-            now_full.note(need)
-        for room, count in taken:
-            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
-        if need.count <= 0 or not need.may_rent:
+            placed += place_tasks(demand, running, on_demand_only=False)
+            exhausted_now.record_search(demand)
+        for machine, count in placed:
+            result.placements.append(
+                Placement(demand.uid, count, machine.name, machine.shard, machine.zone)
+            )
+        if demand.count <= 0 or not demand.may_rent:
             continue
-        result.unplaced.append((need.uid, need.count))
+        result.unplaced.append((demand.uid, demand.count))
         spot = (
-            ahead
-            and need.allows_spot
-            and slack - boot_s > 0
+            before_lto
+            and demand.allows_spot
+            and slack_s - boot_s > 0
             and market.takeback_share < market.takeback_threshold
         )
-        if not spot and need.allows_spot and not need.service and not _in_time(need, market, now):
+        if (
+            not spot
+            and demand.allows_spot
+            and not demand.service
+            and not _meets_deadline(demand, market, now)
+        ):
             # The paper's exception "no type in time": no new machine of any type meets the
             # deadline, so an on-demand one would cost more and finish no earlier.
             spot = market.takeback_share < market.takeback_threshold
-        left = need.count
-        if not soon_full.covers(need):
-            queue_on_busy_machines(need, running, market.patience * boot_s, on_demand_only=False)
-            soon_full.note(need)
-        result.waiting_for_busy += left - need.count
-        left = need.count
+        count_before = demand.count
+        if not exhausted_soon.is_exhausted(demand):
+            queue_on_busy_machines(
+                demand, running, market.patience_boots * boot_s, on_demand_only=False
+            )
+            exhausted_soon.record_search(demand)
+        result.waiting_for_busy += count_before - demand.count
+        count_before = demand.count
         # Machines on their way were rented for earlier demands; the rest of them is free.
-        if not coming_full.covers(need, steady=not spot):
-            put(need, coming, on_demand_only=not spot)
-            coming_full.note(need, steady=not spot)
-        result.waiting_for_boot += left - need.count
-        if _rent(need, market, spot, now, coming, rented):
-            coming_full.forget()
-        if need.count > 0 and need.hold_s > 0:
-            reserve_capacity(need, running, need.hold_s)
-    for need in missed:
-        place(need, running, on_demand_only=False)
-        place(need, coming, on_demand_only=False)
+        if not exhausted_booting.is_exhausted(demand, on_demand_only=not spot):
+            place_tasks(demand, booting, on_demand_only=not spot)
+            exhausted_booting.record_search(demand, on_demand_only=not spot)
+        result.waiting_for_boot += count_before - demand.count
+        if _rent(demand, market, spot, now, booting, rented):
+            exhausted_booting.forget()
+        if demand.count > 0 and demand.reserve_within_s > 0:
+            reserve_capacity(demand, running, demand.reserve_within_s)
+    for demand in lost_demands:
+        place(demand, running, on_demand_only=False)
+        place(demand, booting, on_demand_only=False)
         before = sum(rented.values())
-        spot = need.allows_spot and market.takeback_share < market.takeback_threshold
-        _rent(need, market, spot, now, coming, rented)
-        result.ahead += sum(rented.values()) - before
-    for need in reserve_standbys(critical or {}, running, coming):
-        _rent(need, market, True, now, coming, rented)
+        spot = demand.allows_spot and market.takeback_share < market.takeback_threshold
+        _rent(demand, market, spot, now, booting, rented)
+        result.rented_ahead += sum(rented.values()) - before
+    for demand in reserve_standbys(critical_demands or {}, running, booting):
+        _rent(demand, market, True, now, booting, rented)
     result.rentals = [Rental(t, z, s, n) for (t, z, s), n in rented.items()]
-    result.used = {room.name for room in (*running, *coming) if room.used}
+    result.used = {machine.name for machine in (*running, *booting) if machine.used}
     return result
 
 
 def queue_on_busy_machines(
-    need: Demand, rooms: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
 ) -> None:
     """FindRunningVM for machines that are busy now: tasks that a running machine can take within
     `horizon_s` wait for it instead of a rental. The machine is reserved for them: later demands
     may use it only if they end before."""
-    if not need.count or need.gang:
+    if not demand.count or demand.gang:
         return
-    waits: list[tuple[float, int, MachineCapacity]] = []
-    for i, room in enumerate(rooms):
-        if not room.busy:
+    openings: list[tuple[float, int, MachineCapacity]] = []
+    for i, machine in enumerate(machines):
+        if not machine.ending_tasks:
             continue
-        if room.soon is None:
-            room.busy.sort()
-            room.soon = _soon(room, horizon_s)
+        if machine.free_soon is None:
+            machine.ending_tasks.sort()
+            machine.free_soon = _free_within(machine, horizon_s)
         if (
-            room.soon[0] + EPSILON < need.cpus
-            or room.soon[1] + EPSILON < need.memory_gb
-            or room.soon[2] + EPSILON < need.gpus
-            or (on_demand_only and room.spot)
-            or not allowed(need, room.type.name, room.zone, room.spot)
+            machine.free_soon[0] + EPSILON < demand.cpus
+            or machine.free_soon[1] + EPSILON < demand.memory_gb
+            or machine.free_soon[2] + EPSILON < demand.gpus
+            or (on_demand_only and machine.spot)
+            or not allowed(demand, machine.type.name, machine.zone, machine.spot)
         ):
             continue
-        cpus, memory_gb, gpus, fits = room.cpus, room.memory_gb, room.gpus, 0
-        for left_s, count, c, m, g in room.busy:
+        cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
+        for left_s, count, c, m, g in machine.ending_tasks:
             if left_s > horizon_s:
                 break
             cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
-            more = _fit(need, cpus, memory_gb, gpus) - fits
-            if more > 0:
-                waits += [(left_s, i, room)] * more
-                fits += more
-    waits.sort(key=lambda w: w[:2])
-    for left_s, _, room in waits[: need.count]:
+            added = _count_fitting(demand, cpus, memory_gb, gpus) - fitting
+            if added > 0:
+                openings += [(left_s, i, machine)] * added
+                fitting += added
+    openings.sort(key=lambda w: w[:2])
+    for left_s, _, machine in openings[: demand.count]:
         # Take what will be free there, so that it is not given away twice.
-        insort(room.busy, (left_s, -1, need.cpus, need.memory_gb, need.gpus))
-        room.soon = (
+        insort(machine.ending_tasks, (left_s, -1, demand.cpus, demand.memory_gb, demand.gpus))
+        machine.free_soon = (
             None
-            if room.soon is None
-            else (room.soon[0] - need.cpus, room.soon[1] - need.memory_gb, room.soon[2] - need.gpus)
+            if machine.free_soon is None
+            else (
+                machine.free_soon[0] - demand.cpus,
+                machine.free_soon[1] - demand.memory_gb,
+                machine.free_soon[2] - demand.gpus,
+            )
         )
-        room.held_s = min(room.held_s, left_s)
-        room.used = True
-        need.count -= 1
+        machine.reserved_from_s = min(machine.reserved_from_s, left_s)
+        machine.used = True
+        demand.count -= 1
 
 
-def reserve_capacity(need: Demand, rooms: list[MachineCapacity], horizon_s: float) -> None:
+def reserve_capacity(demand: Demand, machines: list[MachineCapacity], horizon_s: float) -> None:
     """Reserves machines for tasks that no rental can help and that would never fit anywhere as
     long as smaller tasks keep taking what becomes free.
 
     Those machines are reserved that are expected to fit such a task earliest, within
     `horizon_s`; until then only tasks that end before may run there. For a gang, capacity is
     reserved for all tasks or for none."""
-    found: list[tuple[float, str, int, MachineCapacity]] = []
-    for room in rooms:
-        if not allowed(need, room.type.name, room.zone, room.spot):
+    openings: list[tuple[float, str, int, MachineCapacity]] = []
+    for machine in machines:
+        if not allowed(demand, machine.type.name, machine.zone, machine.spot):
             continue
-        room.busy.sort()
-        cpus, memory_gb, gpus, fits = room.cpus, room.memory_gb, room.gpus, 0
-        for left_s, count, c, m, g in [(0.0, 0, 0.0, 0.0, 0.0), *room.busy]:
+        machine.ending_tasks.sort()
+        cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
+        for left_s, count, c, m, g in [(0.0, 0, 0.0, 0.0, 0.0), *machine.ending_tasks]:
             if left_s > horizon_s:
                 break
             cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
-            more = _fit(need, cpus, memory_gb, gpus) - fits
-            if more > 0:
-                found.append((left_s, room.name, more, room))
-                fits += more
-    if need.one_zone and found:
-        zone = _best_zone(need, [f[3] for f in found if f[2] >= need.count] or [found[0][3]])
-        found = [f for f in found if f[3].zone == zone]
-    found.sort(key=lambda f: f[:2])
-    if need.gang and sum(f[2] for f in found) < need.count:
+            added = _count_fitting(demand, cpus, memory_gb, gpus) - fitting
+            if added > 0:
+                openings.append((left_s, machine.name, added, machine))
+                fitting += added
+    if demand.one_zone and openings:
+        zone = _best_zone(
+            demand,
+            [opening[3] for opening in openings if opening[2] >= demand.count] or [openings[0][3]],
+        )
+        openings = [opening for opening in openings if opening[3].zone == zone]
+    openings.sort(key=lambda opening: opening[:2])
+    if demand.gang and sum(opening[2] for opening in openings) < demand.count:
         return
-    for left_s, _, more, room in found:
-        if need.count <= 0:
+    for left_s, _, added, machine in openings:
+        if demand.count <= 0:
             return
-        n = min(more, need.count)
+        taken = min(added, demand.count)
         # Take what will be free there, so that it is not given away twice.
-        insort(room.busy, (left_s, -n, need.cpus, need.memory_gb, need.gpus))
-        room.soon = None
-        room.held_s = min(room.held_s, left_s)
-        room.used = True
-        need.count -= n
+        insort(machine.ending_tasks, (left_s, -taken, demand.cpus, demand.memory_gb, demand.gpus))
+        machine.free_soon = None
+        machine.reserved_from_s = min(machine.reserved_from_s, left_s)
+        machine.used = True
+        demand.count -= taken
 
 
-def _soon(room: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
+def _free_within(machine: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
     """The (CPUs, GB, GPUs) that are free on a machine within `horizon_s`."""
-    cpus, memory_gb, gpus = room.cpus, room.memory_gb, room.gpus
-    for left_s, count, c, m, g in room.busy:
+    cpus, memory_gb, gpus = machine.cpus, machine.memory_gb, machine.gpus
+    for left_s, count, c, m, g in machine.ending_tasks:
         if left_s > horizon_s:
             break
         cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
     return cpus, memory_gb, gpus
 
 
-def _in_time(need: Demand, market: Market, now: float) -> bool:
+def _meets_deadline(demand: Demand, market: Market, now: float) -> bool:
     """Whether some on-demand machine rented now would meet the deadline (Algorithm 3)."""
     return any(
-        now + market.boot_s(t, z, False) + need.path_s(t) <= need.latest_finish
-        and _fit(need, t.cpus, t.memory_gb, t.gpus) > 0
-        and allowed(need, t.name, z, False)
+        now + market.boot_s(t, z, False) + demand.path_s(t) <= demand.latest_finish
+        and _count_fitting(demand, t.cpus, t.memory_gb, t.gpus) > 0
+        and allowed(demand, t.name, z, False)
         and (t.name, z, False) not in market.refused
         for t in market.types.values()
         for z in t.zones
@@ -618,53 +648,57 @@
 
 
 def _rent(
-    need: Demand,
+    demand: Demand,
     market: Market,
     spot: bool,
     now: float,
-    coming: list[MachineCapacity],
+    booting: list[MachineCapacity],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
-    """Rents machines for the rest of a demand and adds them to `coming`, so that later demands
+    """Rents machines for the rest of a demand and adds them to `booting`, so that later demands
     can use what they leave free. Returns whether any were rented."""
-    before = len(coming)
-    while need.count > 0:
-        room_type = _choose(need, market, spot, now)
-        if room_type is None:
+    before = len(booting)
+    while demand.count > 0:
+        choice = _choose_type(demand, market, spot, now)
+        if choice is None:
             break
-        type_, zone = room_type
+        type_, zone = choice
         key = (type_.name, zone, spot)
         # As many as the demand fills; for the rest the choice is made again.
-        full = need.count // max(1, _fit(need, type_.cpus, type_.memory_gb, type_.gpus))
-        for _ in range(max(1, full)):
+        filled = demand.count // max(
+            1, _count_fitting(demand, type_.cpus, type_.memory_gb, type_.gpus)
+        )
+        for _ in range(max(1, filled)):
             rented[key] = rented.get(key, 0) + 1
-            room = unused_capacity(type_, f"new-{len(coming)}", zone, spot)
-            room.available_in_s = market.boot_s(type_, zone, spot)
-            coming.append(room)
-            if not place(need, [room], on_demand_only=False):
+            machine = unused_capacity(type_, f"new-{len(booting)}", zone, spot)
+            machine.available_in_s = market.boot_s(type_, zone, spot)
+            booting.append(machine)
+            if not place(demand, [machine], on_demand_only=False):
                 return True
-    return len(coming) > before
+    return len(booting) > before
 
 
-def _choose(need: Demand, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
+def _choose_type(
+    demand: Demand, market: Market, spot: bool, now: float
+) -> tuple[MachineType, str] | None:
     """FindCostPerfEffectiveVM: the type and zone with the lowest product of path time and price
     for all waiting tasks, among those that meet the deadline, else among all; None if nothing
     suitable can be rented."""
     best: tuple[tuple[bool, float, float, str, str], MachineType, str] | None = None
     for type_ in market.types.values():
-        n = _fit(need, type_.cpus, type_.memory_gb, type_.gpus)
-        if n <= 0:
+        fitting = _count_fitting(demand, type_.cpus, type_.memory_gb, type_.gpus)
+        if fitting <= 0:
             continue
         for zone in type_.zones:
             if (type_.name, zone, spot) in market.refused:
                 continue
-            if not allowed(need, type_.name, zone, spot):
+            if not allowed(demand, type_.name, zone, spot):
                 continue
-            path = market.boot_s(type_, zone, spot) + need.path_s(type_)
-            late = now + path > need.latest_finish
-            machines = math.ceil(need.count / n)
-            cost = machines * type_.hourly_price(spot) * path
-            key = (late, cost, path, type_.name, zone)
+            path_s = market.boot_s(type_, zone, spot) + demand.path_s(type_)
+            late = now + path_s > demand.latest_finish
+            machine_count = math.ceil(demand.count / fitting)
+            cost = machine_count * type_.hourly_price(spot) * path_s
+            key = (late, cost, path_s, type_.name, zone)
             if best is None or key < best[0]:
                 best = (key, type_, zone)
     return None if best is None else (best[1], best[2])
--- a/ryegauge/scheduling/takeback_share.py
+++ b/ryegauge/scheduling/takeback_share.py
@@ -7,29 +7,29 @@
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._from: dict[str, float] = {}
-        self._ended: list[tuple[float, float, bool]] = []
+        self._rented_at: dict[str, float] = {}
+        self._ended_spans: list[tuple[float, float, bool]] = []
 
     def began(self, name: str, at: float) -> None:
         """A spot machine was rented at `at`; repeated calls for one machine are ignored."""
-        self._from.setdefault(name, at)
+        self._rented_at.setdefault(name, at)
 
-    def ended(self, name: str, at: float, taken: bool) -> None:
-        """A spot machine is gone since `at`; `taken` says that the cloud reclaimed it."""
-        start = self._from.pop(name, None)
-        if start is not None:
-            self._ended.append((start, at, taken))
+    def ended(self, name: str, at: float, reclaimed: bool) -> None:
+        """A spot machine is gone since `at`; `reclaimed` says that the cloud reclaimed it."""
+        rented_at = self._rented_at.pop(name, None)
+        if rented_at is not None:
+            self._ended_spans.append((rented_at, at, reclaimed))
 
     def share(self, now: float) -> float:
         """The time of the machines reclaimed within the window over the time of all spot machines,
         both counted within the window; 0.0 if there was none."""
-        edge = now - self._window_s
-        self._ended = [span for span in self._ended if span[1] > edge]
-        total = sum(now - max(edge, start) for start in self._from.values())
-        lost = 0.0
-        for start, end, taken in self._ended:
-            span = end - max(edge, start)
-            total += span
-            if taken:
-                lost += span
-        return lost / total if total > 0 else 0.0
+        window_start = now - self._window_s
+        self._ended_spans = [span_s for span_s in self._ended_spans if span_s[1] > window_start]
+        total_s = sum(now - max(window_start, rented_at) for rented_at in self._rented_at.values())
+        reclaimed_s = 0.0
+        for rented_at, ended_at, reclaimed in self._ended_spans:
+            span_s = ended_at - max(window_start, rented_at)
+            total_s += span_s
+            if reclaimed:
+                reclaimed_s += span_s
+        return reclaimed_s / total_s if total_s > 0 else 0.0
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -10,14 +10,14 @@
 from test_world import MIX, some_controllers
 
 from ryegauge.emulator.world import World
-from ryegauge.scheduling.boot_times import BootTimes, Kind, Pending
+from ryegauge.scheduling.boot_times import BootTimes, MachineKind, PendingBoot
 
 NOMINAL_S = 25.0
-HERE: Kind = ("mid", "a", True)
-THERE: Kind = ("mid", "b", True)
+ZONE_A: MachineKind = ("mid", "a", True)
+ZONE_B: MachineKind = ("mid", "b", True)
 
 
-class Rentals:
+class SimulatedRentals:
     """Rents one machine after the other. Their boot times follow a given factor by kind and time,
     and a share of them never comes up. Records the age at which each was given up."""
 
@@ -25,14 +25,14 @@
         self.rng = random.Random(seed)
         self.boots = BootTimes()
         self.up_at: dict[str, float] = {}
-        self.asked: dict[str, tuple[Kind, float]] = {}
-        self.given_up: dict[str, float] = {}  # name -> age at which it was given up
-        self.uncounted: dict[str, float] = {}
+        self.rented_at: dict[str, tuple[MachineKind, float]] = {}
+        self.released: dict[str, float] = {}  # name -> age at which it was given up
+        self.given_up_expecting: dict[str, float] = {}
 
     def play(
         self,
-        factor_at: dict[Kind, list[tuple[float, float]]],
-        never: float,
+        factor_at: dict[MachineKind, list[tuple[float, float]]],
+        failure_share: float,
         seconds: float,
         every_s: float = 1.0,
     ) -> None:
@@ -43,95 +43,98 @@
             while following <= now:
                 following += every_s
                 kind = self.rng.choice(list(factor_at))
-                factor = [f for at, f in factor_at[kind] if at <= now][-1]
+                factor = [f for rented_time, f in factor_at[kind] if rented_time <= now][-1]
                 name = f"m-{len(self.up_at)}"
                 took = NOMINAL_S * self.rng.uniform(0.6, 1.5) * factor
-                self.asked[name] = kind, now
-                self.up_at[name] = math.inf if self.rng.random() < never else now + took
+                self.rented_at[name] = kind, now
+                self.up_at[name] = math.inf if self.rng.random() < failure_share else now + took
             pending = []
-            for name, (kind, at) in list(self.asked.items()):
+            for name, (kind, rented_time) in list(self.rented_at.items()):
                 if self.up_at[name] <= now:
-                    self.boots.record_boot(kind, NOMINAL_S, self.up_at[name] - at, now)
-                    del self.asked[name]
-                elif name in self.given_up:
-                    del self.asked[name]
+                    self.boots.record_boot(kind, NOMINAL_S, self.up_at[name] - rented_time, now)
+                    del self.rented_at[name]
+                elif name in self.released:
+                    del self.rented_at[name]
                 else:
-                    pending.append(Pending(name, kind, NOMINAL_S, now - at))
-            for name, expected in self.boots.look(pending, now).items():
-                age = now - self.asked[name][1]
-                if expected.lost:
-                    self.given_up[name] = age
-                if not expected.counted:
-                    self.uncounted.setdefault(name, age)
+                    pending.append(PendingBoot(name, kind, NOMINAL_S, now - rented_time))
+            for name, expected in self.boots.assess(pending, now).items():
+                age = now - self.rented_at[name][1]
+                if expected.is_given_up:
+                    self.released[name] = age
+                if not expected.is_expected:
+                    self.given_up_expecting.setdefault(name, age)
             now += 1.0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_usual_boots_some_of_which_never_come(seed: int) -> None:
-    rentals = Rentals(seed)
-    rentals.play({HERE: [(0.0, 1.0)]}, 0.05, 600.0)
-    never = {name for name, at in rentals.up_at.items() if at == math.inf}
-    old = {name for name in never if int(name[2:]) < 500}
-    assert set(rentals.given_up) <= never
-    assert old <= set(rentals.given_up)
-    assert max(rentals.given_up.values()) <= 3.0 * NOMINAL_S + 1
+def test_machines_that_never_boot_are_given_up(seed: int) -> None:
+    rentals = SimulatedRentals(seed)
+    rentals.play({ZONE_A: [(0.0, 1.0)]}, 0.05, 600.0)
+    failure_share = {name for name, rented_time in rentals.up_at.items() if rented_time == math.inf}
+    old = {name for name in failure_share if int(name[2:]) < 500}
+    assert set(rentals.released) <= failure_share
+    assert old <= set(rentals.released)
+    assert max(rentals.released.values()) <= 3.0 * NOMINAL_S + 1
     # Replacements are rented sooner than that, and seldom needlessly.
-    assert all(age <= 2.2 * NOMINAL_S for age in rentals.uncounted.values())
-    assert len(set(rentals.uncounted) - never) <= 0.01 * len(rentals.up_at)
+    assert all(age <= 2.2 * NOMINAL_S for age in rentals.given_up_expecting.values())
+    assert len(set(rentals.given_up_expecting) - failure_share) <= 0.01 * len(rentals.up_at)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_all_boots_are_slow_at_once(seed: int) -> None:
+def test_slow_boots_of_all_machines_are_waited_for(seed: int) -> None:
     """New machines would be no faster, so the slow ones are waited for and expected late."""
-    rentals = Rentals(seed)
-    rentals.play({HERE: [(0.0, 4.0)]}, 0.0, 300.0)
-    assert rentals.given_up == {}
-    assert len(rentals.uncounted) <= 0.05 * len(rentals.up_at)
-    assert rentals.boots.boot_s(HERE, NOMINAL_S, 300.0) > 2.5 * NOMINAL_S
+    rentals = SimulatedRentals(seed)
+    rentals.play({ZONE_A: [(0.0, 4.0)]}, 0.0, 300.0)
+    assert rentals.released == {}
+    assert len(rentals.given_up_expecting) <= 0.05 * len(rentals.up_at)
+    assert rentals.boots.boot_s(ZONE_A, NOMINAL_S, 300.0) > 2.5 * NOMINAL_S
     # After the slow phase the estimates soon return to normal.
     for n in range(20):
-        rentals.boots.record_boot(HERE, NOMINAL_S, 25.0, 420.0 + 5 * n)
-    rentals.boots.look([], 520.0)
-    assert rentals.boots.boot_s(HERE, NOMINAL_S, 520.0) < 1.5 * NOMINAL_S
+        rentals.boots.record_boot(ZONE_A, NOMINAL_S, 25.0, 420.0 + 5 * n)
+    rentals.boots.assess([], 520.0)
+    assert rentals.boots.boot_s(ZONE_A, NOMINAL_S, 520.0) < 1.5 * NOMINAL_S
 
 
 def test_only_one_zone_is_slow() -> None:
-    rentals = Rentals(1)
-    rentals.play({HERE: [(0.0, 1.0)], THERE: [(0.0, 3.0)]}, 0.0, 300.0)
-    assert rentals.given_up == {}
-    here, there = (rentals.boots.boot_s(kind, NOMINAL_S, 300.0) for kind in (HERE, THERE))
+    rentals = SimulatedRentals(1)
+    rentals.play({ZONE_A: [(0.0, 1.0)], ZONE_B: [(0.0, 3.0)]}, 0.0, 300.0)
+    assert rentals.released == {}
+    here, there = (rentals.boots.boot_s(kind, NOMINAL_S, 300.0) for kind in (ZONE_A, ZONE_B))
     assert here < 1.6 * NOMINAL_S
     assert there > 2.0 * NOMINAL_S
 
 
-def test_a_spell_of_fast_boots_ends() -> None:
+def test_a_phase_of_fast_boots_ends() -> None:
     """Machines rented after a phase of fast boots are not taken for lost, and during it the
     expected boot time does not fall below its lower bound."""
-    rentals = Rentals(2)
-    rentals.play({HERE: [(0.0, 0.05), (120.0, 1.0)]}, 0.0, 300.0)
-    assert rentals.given_up == {}
-    assert len(rentals.uncounted) <= 0.05 * len(rentals.up_at)
+    rentals = SimulatedRentals(2)
+    rentals.play({ZONE_A: [(0.0, 0.05), (120.0, 1.0)]}, 0.0, 300.0)
+    assert rentals.released == {}
+    assert len(rentals.given_up_expecting) <= 0.05 * len(rentals.up_at)
     boots = BootTimes()
     for n in range(50):
-        boots.record_boot(HERE, NOMINAL_S, 1.0, float(n))
-    assert boots.boot_s(HERE, NOMINAL_S, 50.0) == 0.5 * NOMINAL_S
+        boots.record_boot(ZONE_A, NOMINAL_S, 1.0, float(n))
+    assert boots.boot_s(ZONE_A, NOMINAL_S, 50.0) == 0.5 * NOMINAL_S
 
 
-def test_what_is_left_is_never_nothing() -> None:
+def test_remaining_boot_time_is_never_zero() -> None:
     """An overdue machine was expected to come up at once, for as long as three boot times."""
     boots = BootTimes()
     ages = [0.0, 10.0, 25.0, 40.0, 60.0, 100.0]
-    left = [boots.look([Pending("m", HERE, NOMINAL_S, age)], 0.0)["m"].left_s for age in ages]
+    left = [
+        boots.assess([PendingBoot("m", ZONE_A, NOMINAL_S, age)], 0.0)["m"].remaining_s
+        for age in ages
+    ]
     assert left[0] == pytest.approx(NOMINAL_S)
     assert left[0] > left[1] > left[2]
     assert min(left) >= 0.04 * NOMINAL_S
     # If both of two are overdue, each is expected to need as long again.
-    both = [Pending(name, HERE, NOMINAL_S, 60.0) for name in ("m-1", "m-2")]
-    assert {e.left_s for e in boots.look(both, 0.0).values()} == {60.0}
+    both = [PendingBoot(name, ZONE_A, NOMINAL_S, 60.0) for name in ("m-1", "m-2")]
+    assert {e.remaining_s for e in boots.assess(both, 0.0).values()} == {60.0}
 
 
 @pytest.mark.parametrize(
-    ("factor", "never", "zones"),
+    ("factor", "failure_share", "zones"),
     [
         (4.0, 0.0, "ab"),
         (1.0, 0.4, "ab"),
@@ -139,9 +142,11 @@
         (0.05, 0.0, "ab"),
     ],
 )
-def test_days_with_late_boots(tmp_path: Path, factor: float, never: float, zones: str) -> None:
+def test_days_with_late_boots(
+    tmp_path: Path, factor: float, failure_share: float, zones: str
+) -> None:
     async def script(world: World) -> None:
-        world.slow_zones, world.boot_factor, world.boot_fails = set(zones), factor, never
+        world.slow_zones, world.boot_factor, world.boot_fails = set(zones), factor, failure_share
         await trio.sleep(40.0)
         world.crash(0)
         for worker in [w for w in world.workers.values() if w.alive and w.up][:2]:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -45,7 +45,7 @@
         self.probe_outcomes: dict[str, str] = {}
         self.foreign_reports: list[tuple[str, float]] = []
         self.failing: list[tuple[str, int, int]] = []  # as reported by the owner of part 0
-        self.shown: dict[int, int] = {}  # part -> sequence number of its latest view
+        self.view_seqs: dict[int, int] = {}  # part -> sequence number of its latest view
         self.now = NOW
 
     def shard_of(self, name: str) -> int:
@@ -88,7 +88,7 @@
         self, shard: int, machines: list[MachineView], *, base: int = 0, **more: object
     ) -> ShardView:
         """The next view of a part, by default a full one."""
-        self.shown[shard] = seq = self.shown.get(shard, 0) + 1
+        self.view_seqs[shard] = seq = self.view_seqs.get(shard, 0) + 1
         return ShardView(
             "node-0",
             shard,
@@ -104,19 +104,19 @@
         """Sends full views of all parts to the leader; returns the evictions it orders."""
         evicted = []
         for shard in range(3):
-            mine = [m for n, m in self.machines.items() if self.shard_of(n) == shard]
+            shard_machines = [m for n, m in self.machines.items() if self.shard_of(n) == shard]
             silences = [
                 (
                     m.name,
                     0.0,
                     [(by, self.probe_outcomes[m.name], 1.0) for by in ("node-0", "node-1")],
                 )
-                for m in mine
+                for m in shard_machines
                 if m.name in self.probe_outcomes
             ]
             view = self.view(
                 shard,
-                mine,
+                shard_machines,
                 foreign_reports=self.foreign_reports,
                 silences=silences,
                 failing=self.failing if shard == 0 else [],
@@ -137,252 +137,260 @@
 
 
 @pytest.fixture
-def lead(settings: Settings) -> LeaderHarness:
+def harness(settings: Settings) -> LeaderHarness:
     return LeaderHarness(settings)
 
 
-def test_a_teams_limit_counts_everything_allotted(lead: LeaderHarness) -> None:
+def test_a_teams_limit_counts_all_assigned_tasks(harness: LeaderHarness) -> None:
     """Team red may use 32 CPUs. All assigned tasks count, also those of a cancelled job and those
     that are on no known machine."""
     for i in range(12):
-        lead.machine(f"m-{i}")
-    lead.job("wk-000001", pieces=10)
-    lead.allot("wk-000001", 0, list(range(9)))
-    lead.job("wk-000002", pieces=30)
-    assigned = lead.round()
+        harness.machine(f"m-{i}")
+    harness.job("wk-000001", pieces=10)
+    harness.allot("wk-000001", 0, list(range(9)))
+    harness.job("wk-000002", pieces=30)
+    assigned = harness.round()
     assert sum(assigned.values()) == 7
     spec = parse_job(job_body("wk-000001", pieces=10))
-    lead.put(job_key("wk-000001"), job_record(spec, NOW, True))
-    assert sum(lead.round().values()) == 7
+    harness.put(job_key("wk-000001"), job_record(spec, NOW, True))
+    assert sum(harness.round().values()) == 7
 
 
-def test_no_task_is_allotted_twice(lead: LeaderHarness) -> None:
+def test_no_task_is_assigned_twice(harness: LeaderHarness) -> None:
     for i in range(6):
-        lead.machine(f"m-{i}")
-    lead.job("wk-000001", pieces=6)
-    lead.allot("wk-000001", 0, [0, 2])
-    lead.put(assignment_key("wk-000001", 1), {"t": {}, "d": [4, 5]})
-    lead.round()
-    given: list[int] = []
-    for (uid, shard), assignment in lead.last_result.new_assignments.items():
-        old = lead.replica.jobs[uid].assignments.get(
+        harness.machine(f"m-{i}")
+    harness.job("wk-000001", pieces=6)
+    harness.allot("wk-000001", 0, [0, 2])
+    harness.put(assignment_key("wk-000001", 1), {"t": {}, "d": [4, 5]})
+    harness.round()
+    newly_assigned: list[int] = []
+    for (uid, shard), assignment in harness.last_result.new_assignments.items():
+        old = harness.replica.jobs[uid].assignments.get(
             shard, Assignment({}, assignment.done - assignment.done, 0)
         )
-        given += [i for i in assignment.tasks if i not in old.tasks]
-    assert sorted(given) == [1, 3, 5]
+        newly_assigned += [i for i in assignment.tasks if i not in old.tasks]
+    assert sorted(newly_assigned) == [1, 3, 5]
 
 
 @pytest.mark.parametrize(
     ("field", "expected"), [("together", {"a": 4}), ("spread", {"a": 2, "b": 2})]
 )
-def test_zones_of_a_job(lead: LeaderHarness, field: str, expected: dict[str, int]) -> None:
+def test_tasks_are_placed_in_the_requested_zones(
+    harness: LeaderHarness, field: str, expected: dict[str, int]
+) -> None:
     for i in range(3):
-        lead.machine(f"m-{i}", zone="a")
-    lead.machine("m-9", zone="b")
-    lead.job("wk-000001", **{field: True})
-    lead.round()
+        harness.machine(f"m-{i}", zone="a")
+    harness.machine("m-9", zone="b")
+    harness.job("wk-000001", **{field: True})
+    harness.round()
     zones: dict[str, int] = {}
-    for assignment in lead.last_result.new_assignments.values():
+    for assignment in harness.last_result.new_assignments.values():
         for zone, tasks in assignment.assigned.items():
             zones[zone] = zones.get(zone, 0) + len(tasks)
     assert zones == expected
 
 
-def test_a_zone_once_chosen_stays(lead: LeaderHarness) -> None:
-    lead.machine("m-1", zone="b")
-    lead.job("wk-000001", together=True)
-    lead.allot("wk-000001", 0, [0], zone="a")
-    assert lead.round() == {}
+def test_a_chosen_zone_is_kept(harness: LeaderHarness) -> None:
+    harness.machine("m-1", zone="b")
+    harness.job("wk-000001", together=True)
+    harness.allot("wk-000001", 0, [0], zone="a")
+    assert harness.round() == {}
 
 
-def test_what_never_boots_is_released(lead: LeaderHarness) -> None:
+def test_a_machine_that_never_boots_is_released(harness: LeaderHarness) -> None:
     listed = ListedMachine("m-1", "small", "a", True, "starting", 5.0)
-    lead.leader.on_machine_list([listed], lead.now)
-    lead.round()
-    assert lead.last_result.releases == []
-    lead.now += 31.0
-    lead.leader.on_machine_list([listed], lead.now)
-    lead.round()
-    assert lead.last_result.releases == ["m-1"]
-
-
-def test_idle_machines_are_returned_after_their_owner_agrees(lead: LeaderHarness) -> None:
-    lead.machine("m-1")
-    lead.round()
-    lead.now += 61.0
-    lead.round()
-    assert lead.last_result.releases == []
+    harness.leader.on_machine_list([listed], harness.now)
+    harness.round()
+    assert harness.last_result.releases == []
+    harness.now += 31.0
+    harness.leader.on_machine_list([listed], harness.now)
+    harness.round()
+    assert harness.last_result.releases == ["m-1"]
+
+
+def test_idle_machines_are_released_after_their_owner_confirms(harness: LeaderHarness) -> None:
+    harness.machine("m-1")
+    harness.round()
+    harness.now += 61.0
+    harness.round()
+    assert harness.last_result.releases == []
     # An owner does not send unchanged machines again, and may have started a task there
     # meanwhile: only its confirmation counts.
-    lead.round()
-    assert lead.last_result.releases == []
-    lead.machine("m-1", retiring=True)
-    lead.round()
-    assert lead.last_result.releases == ["m-1"]
-    lead.leader.fleet.released(["m-1"], lead.now)
-    shard = lead.shard_of("m-1")
-    view = lead.view(shard, [], base=lead.shown[shard])
-    assert lead.leader.on_shard_view(view, lead.now).gone == ["m-1"]
-
-
-def test_a_view_that_comes_late_changes_nothing(lead: LeaderHarness) -> None:
+    harness.round()
+    assert harness.last_result.releases == []
+    harness.machine("m-1", retiring=True)
+    harness.round()
+    assert harness.last_result.releases == ["m-1"]
+    harness.leader.fleet.on_released(["m-1"], harness.now)
+    shard = harness.shard_of("m-1")
+    view = harness.view(shard, [], base=harness.view_seqs[shard])
+    assert harness.leader.on_shard_view(view, harness.now).gone == ["m-1"]
+
+
+def test_a_delayed_view_changes_nothing(harness: LeaderHarness) -> None:
     """A full view that was delayed on its way replaced everything received since."""
-    lead.machine("m-1", zone="c")
-    shard = lead.shard_of("m-1")
-    old = lead.view(shard, [])
-    lead.round()
-    assert lead.leader.on_shard_view(old, lead.now + 60.0).resync
-    lead.job("wk-000001", pieces=1)
-    assert lead.leader.round(lead.now, lead.now).new_assignments  # m-1 is still there
+    harness.machine("m-1", zone="c")
+    shard = harness.shard_of("m-1")
+    old = harness.view(shard, [])
+    harness.round()
+    assert harness.leader.on_shard_view(old, harness.now + 60.0).resync
+    harness.job("wk-000001", pieces=1)
+    assert harness.leader.round(harness.now, harness.now).new_assignments  # m-1 is still there
 
 
-def test_silent_machines_are_released_unless_many_are_silent(lead: LeaderHarness) -> None:
+def test_silent_machines_are_released_unless_many_are_silent(harness: LeaderHarness) -> None:
     """A lost machine's tasks can restart once its release is confirmed. If half of a part is
     silent, its owner may be cut off, and releasing the machines would lose all their tasks."""
-    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
+    names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
     for name in names:
-        lead.machine(name, empty=False)
-    lead.machine(names[0], empty=False, open=False, silent_s=5.0)
-    lead.round()
-    assert lead.last_result.releases == [names[0]]
+        harness.machine(name, empty=False)
+    harness.machine(names[0], empty=False, open=False, silent_s=5.0)
+    harness.round()
+    assert harness.last_result.releases == [names[0]]
     for name in names[:6]:
-        lead.machine(name, empty=False, open=False, silent_s=5.0)
-    lead.round()
-    assert lead.last_result.releases == []
+        harness.machine(name, empty=False, open=False, silent_s=5.0)
+    harness.round()
+    assert harness.last_result.releases == []
 
 
-def test_the_dead_are_told_from_a_deaf_owner_by_others(lead: LeaderHarness) -> None:
+def test_dead_machines_are_released_if_a_second_controller_cannot_reach_them(
+    harness: LeaderHarness,
+) -> None:
     """If more than a quarter of a part was silent, no machine of it was released until the cloud
     listed the dead ones as failed, 35 to 45 s later. They are released after three missed
     reports if a second controller cannot reach them either and the cloud has no more."""
-    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
+    names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
     for name in names:
-        lead.machine(name, empty=False)
-    lead.round()
+        harness.machine(name, empty=False)
+    harness.round()
     for name in names[:6]:
-        lead.machine(name, empty=False, open=False, silent_s=5.0)
-        lead.probe_outcomes[name] = "no_connection"
-    lead.round()
-    assert lead.last_result.releases == []  # the cloud has more, so they are not given up yet
-    lead.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), lead.now)
-    lead.foreign_reports = [(names[0], 1.0)]
-    lead.probe_outcomes[names[1]] = "no_answer"
-    lead.round()
-    assert sorted(lead.last_result.releases) == sorted(names[2:6])
+        harness.machine(name, empty=False, open=False, silent_s=5.0)
+        harness.probe_outcomes[name] = "no_connection"
+    harness.round()
+    assert harness.last_result.releases == []  # the cloud has more, so they are not given up yet
+    harness.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), harness.now)
+    harness.foreign_reports = [(names[0], 1.0)]
+    harness.probe_outcomes[names[1]] = "no_answer"
+    harness.round()
+    assert sorted(harness.last_result.releases) == sorted(names[2:6])
 
 
 def listed(name: str, zone: str = "a") -> ListedMachine:
     return ListedMachine(name, "small", zone, True, "running", 100.0, f"{name}:9000")
 
 
-def test_machines_whose_lease_is_over_are_returned_where_they_hold_the_last_room(
-    lead: LeaderHarness,
+def test_machines_with_expired_leases_are_released_if_the_cloud_has_no_more(
+    harness: LeaderHarness,
 ) -> None:
     """A machine that its owner had removed at the end of its lease was in no view any more, and
     was kept until the cloud listed it as failed."""
-    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
-    lead.leader.on_machine_list([listed(name) for name in names], lead.now)
+    names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
+    harness.leader.on_machine_list([listed(name) for name in names], harness.now)
     for name in names:
-        lead.machine(name, empty=False)
-    lead.round()
+        harness.machine(name, empty=False)
+    harness.round()
     for name in names[:9]:
-        del lead.machines[name]
-    lead.now += 11.0
-    lead.round()
-    assert lead.last_result.releases == []
-    orders = lead.leader.on_shard_view(lead.view(0, [], base=lead.shown[0]), lead.now)
+        del harness.machines[name]
+    harness.now += 11.0
+    harness.round()
+    assert harness.last_result.releases == []
+    orders = harness.leader.on_shard_view(
+        harness.view(0, [], base=harness.view_seqs[0]), harness.now
+    )
     assert sorted(orders.unreported) == sorted((name, f"{name}:9000") for name in names[:9])
-    lead.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), lead.now)
-    lead.round()
-    assert sorted(lead.last_result.releases) == sorted(names[:9])
+    harness.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), harness.now)
+    harness.round()
+    assert sorted(harness.last_result.releases) == sorted(names[:9])
 
 
-def test_tasks_on_missed_machines_are_rented_ahead_within_the_share(lead: LeaderHarness) -> None:
-    lead.job("wk-000001", pieces=8)
-    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:4]
-    lead.allot("wk-000001", 0, list(range(8)))
+def test_replacements_for_lost_machines_are_rented_within_the_share(harness: LeaderHarness) -> None:
+    harness.job("wk-000001", pieces=8)
+    names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:4]
+    harness.allot("wk-000001", 0, list(range(8)))
     for n, name in enumerate(names):
-        lead.machine(name, empty=False, tasks=[("wk-000001", [2 * n, 2 * n + 2], 20.0)])
-    lead.round()
-    assert lead.last_result.rentals == []
+        harness.machine(name, empty=False, tasks=[("wk-000001", [2 * n, 2 * n + 2], 20.0)])
+    harness.round()
+    assert harness.last_result.rentals == []
     for name in names[:3]:
-        changed = msgspec.structs.replace(lead.machines[name], open=False, silent_s=5.0)
-        lead.machines[name] = changed
-        lead.probe_outcomes[name] = "no_connection"
-    lead.round()
+        changed = msgspec.structs.replace(harness.machines[name], open=False, silent_s=5.0)
+        harness.machines[name] = changed
+        harness.probe_outcomes[name] = "no_connection"
+    harness.round()
     # Six tasks with two CPUs each are probably lost; half of the fleet's 16 CPUs, the share for
     # replacements, are two machines.
-    assert sum(r.count for r in lead.last_result.rentals) == 2
-    assert lead.last_result.new_assignments == {}
+    assert sum(r.count for r in harness.last_result.rentals) == 2
+    assert harness.last_result.new_assignments == {}
     for outcome in ("answered", "no_answer"):
-        lead.probe_outcomes = dict.fromkeys(names, outcome)
-        lead.round()
-        assert lead.last_result.rentals == []
+        harness.probe_outcomes = dict.fromkeys(names, outcome)
+        harness.round()
+        assert harness.last_result.rentals == []
 
 
-def test_nothing_is_rented_in_a_zone_that_is_cut_off(lead: LeaderHarness) -> None:
+def test_nothing_is_rented_in_a_zone_that_is_cut_off(harness: LeaderHarness) -> None:
     """Its machines come back together, and one rented there meanwhile is cut off as well."""
-    far = [f"m-{i}" for i in range(10)]
-    for name in far:
-        lead.machine(name, zone="b", empty=False)
+    cut_off = [f"m-{i}" for i in range(10)]
+    for name in cut_off:
+        harness.machine(name, zone="b", empty=False)
     for i in range(10, 30):
-        lead.machine(f"m-{i}", empty=False)
-    lead.job("wk-000001", pieces=4)
-    lead.round()
-    for name in far:
-        lead.machine(name, zone="b", empty=False, open=False, silent_s=9.0)
-        lead.probe_outcomes[name] = "no_connection"
+        harness.machine(f"m-{i}", empty=False)
+    harness.job("wk-000001", pieces=4)
+    harness.round()
+    for name in cut_off:
+        harness.machine(name, zone="b", empty=False, open=False, silent_s=9.0)
+        harness.probe_outcomes[name] = "no_connection"
     for i in range(10, 30):
-        lead.machine(f"m-{i}", empty=False, open=False)
-    lead.leader.fleet.on_rental_refused(Rental("small", "b", True, 1), lead.now)
-    lead.round()
-    assert {r.zone for r in lead.last_result.rentals} == {"a"}
-    assert lead.last_result.releases == []
-
-
-def test_rentals_under_way_are_counted_on(lead: LeaderHarness) -> None:
-    lead.job("wk-000001")
-    lead.round()
-    (rental,) = lead.last_result.rentals
-    lead.leader.fleet.on_rental_sent(rental, lead.now)
-    lead.round()
-    assert lead.last_result.rentals == []
-    lead.leader.fleet.rented(rental, ["m-1", "m-2"], lead.now)
-    lead.round()
-    assert lead.last_result.rentals == []
-
-
-def test_work_within_its_guarantee_stops_what_others_run_beyond_theirs(lead: LeaderHarness) -> None:
+        harness.machine(f"m-{i}", empty=False, open=False)
+    harness.leader.fleet.on_rental_refused(Rental("small", "b", True, 1), harness.now)
+    harness.round()
+    assert {r.zone for r in harness.last_result.rentals} == {"a"}
+    assert harness.last_result.releases == []
+
+
+def test_pending_rentals_are_counted(harness: LeaderHarness) -> None:
+    harness.job("wk-000001")
+    harness.round()
+    (rental,) = harness.last_result.rentals
+    harness.leader.fleet.on_rental_sent(rental, harness.now)
+    harness.round()
+    assert harness.last_result.rentals == []
+    harness.leader.fleet.on_rental_granted(rental, ["m-1", "m-2"], harness.now)
+    harness.round()
+    assert harness.last_result.rentals == []
+
+
+def test_a_guaranteed_job_evicts_tasks_beyond_another_teams_guarantee(
+    harness: LeaderHarness,
+) -> None:
     """Only tasks that have just begun are evicted."""
-    lead.job("wk-000001", crew="blue", pieces=12, cpus=4.0)  # beyond blue's 8 CPUs
+    harness.job("wk-000001", crew="blue", pieces=12, cpus=4.0)  # beyond blue's 8 CPUs
     flat = list(range(12))
-    lead.allot("wk-000001", 0, flat)
+    harness.allot("wk-000001", 0, flat)
     for i in range(12):
         left_s = 19.5 if i == 3 else 5.0
-        lead.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], left_s)])
-    lead.job("wk-000002", pieces=1)
-    lead.round()
-    assert lead.views() == []  # a new machine may be up sooner
-    lead.now += 21.0
-    lead.round()
-    assert lead.views() == [("m-3", "wk-000001", 1)]
-    lead.round()
-    assert lead.views() == []
-
-
-def test_much_higher_priority_stops_lower_at_once(lead: LeaderHarness) -> None:
-    lead.job("wk-000001", crew="blue", pieces=2, cpus=4.0)
-    lead.allot("wk-000001", 0, [0, 1])
+        harness.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], left_s)])
+    harness.job("wk-000002", pieces=1)
+    harness.round()
+    assert harness.views() == []  # a new machine may be up sooner
+    harness.now += 21.0
+    harness.round()
+    assert harness.views() == [("m-3", "wk-000001", 1)]
+    harness.round()
+    assert harness.views() == []
+
+
+def test_much_higher_priority_evicts_lower_at_once(harness: LeaderHarness) -> None:
+    harness.job("wk-000001", crew="blue", pieces=2, cpus=4.0)
+    harness.allot("wk-000001", 0, [0, 1])
     for i in range(2):
-        lead.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], 19.5)])
-    lead.job("wk-000002", pieces=1, urgency="critical", crew="blue", cpus=4.0)
-    lead.round()
-    assert lead.views() == []  # the other job is within its guarantee
-    lead.job("wk-000003", crew="blue", pieces=2, cpus=4.0)
-    lead.allot("wk-000003", 1, [0, 1])
-    lead.machine("m-2", empty=False, tasks=[("wk-000003", [0, 2], 19.5)])
-    lead.round()
-    assert lead.views() == [("m-2", "wk-000003", 1)]
+        harness.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], 19.5)])
+    harness.job("wk-000002", pieces=1, urgency="critical", crew="blue", cpus=4.0)
+    harness.round()
+    assert harness.views() == []  # the other job is within its guarantee
+    harness.job("wk-000003", crew="blue", pieces=2, cpus=4.0)
+    harness.allot("wk-000003", 1, [0, 1])
+    harness.machine("m-2", empty=False, tasks=[("wk-000003", [0, 2], 19.5)])
+    harness.round()
+    assert harness.views() == [("m-2", "wk-000003", 1)]
 
 
 def test_jobs_that_never_run(settings: Settings) -> None:
@@ -407,67 +415,67 @@
 # -- pipelines ---------------------------------------------------------------------------
 
 
-def done(lead: LeaderHarness, uid: str, tasks: int = 4) -> None:
-    lead.put(assignment_key(uid, 0), {"t": {}, "d": [0, tasks]})
+def record_done(harness: LeaderHarness, uid: str, tasks: int = 4) -> None:
+    harness.put(assignment_key(uid, 0), {"t": {}, "d": [0, tasks]})
 
 
-def test_what_waits_for_others_holds_and_causes_nothing(lead: LeaderHarness) -> None:
+def test_a_job_with_open_dependencies_uses_and_rents_nothing(harness: LeaderHarness) -> None:
     """A job that waits for its dependencies is not assigned, causes no rentals and takes up none
     of its team's guarantee."""
-    lead.job("wk-000001", pieces=4, cpus=1.0)
-    lead.job("wk-000002", pieces=16, cpus=2.0, awaits=["wk-000001"], urgency="high")
-    lead.job("wk-000003", pieces=4, cpus=2.0)
-    lead.machine("m-1")
-    assert lead.round() == {"wk-000001": 4}
-    assert lead.last_result.rentals != []  # for the third job
-    lead.allot("wk-000001", 0, [0, 1, 2, 3])
-    lead.allot("wk-000003", 0, [0, 1, 2, 3])
-    assert lead.round() == {}
-    assert lead.last_result.rentals == []
-    done(lead, "wk-000001")
+    harness.job("wk-000001", pieces=4, cpus=1.0)
+    harness.job("wk-000002", pieces=16, cpus=2.0, awaits=["wk-000001"], urgency="high")
+    harness.job("wk-000003", pieces=4, cpus=2.0)
+    harness.machine("m-1")
+    assert harness.round() == {"wk-000001": 4}
+    assert harness.last_result.rentals != []  # for the third job
+    harness.allot("wk-000001", 0, [0, 1, 2, 3])
+    harness.allot("wk-000003", 0, [0, 1, 2, 3])
+    assert harness.round() == {}
+    assert harness.last_result.rentals == []
+    record_done(harness, "wk-000001")
     for n in range(2, 12):
-        lead.machine(f"m-{n}")
-    assert lead.round() == {"wk-000002": 12}  # up to the team's limit of 32 CPUs
+        harness.machine(f"m-{n}")
+    assert harness.round() == {"wk-000002": 12}  # up to the team's limit of 32 CPUs
 
 
-def test_deadline_and_priority_pass_back_to_the_first_stage(lead: LeaderHarness) -> None:
+def test_deadline_and_priority_propagate_back_to_the_first_stage(harness: LeaderHarness) -> None:
     """Of two equal jobs the one that an urgent job depends on goes first, also if the urgent one
     arrives later. A cancelled dependent no longer counts."""
-    lead.machine("m-1")
+    harness.machine("m-1")
     for n in (1, 2):
-        lead.job(f"wk-00000{n}", pieces=2, urgency="best_effort", dueS=None, crew="blue")
-    assert lead.round() == {"wk-000001": 2}
-    lead.job("wk-000004", awaits=["wk-000002"], urgency="best_effort", dueS=None, crew="blue")
-    assert lead.round() == {"wk-000001": 2}
-    lead.job("wk-000005", awaits=["wk-000004"], urgency="high", dueS=90.0, crew="blue")
-    assert lead.round() == {"wk-000002": 2}
-    assert lead.leader._urgencies.rank(lead.replica.jobs["wk-000002"]) == 1
-    finish = lead.leader._urgencies.latest_finish(lead.replica.jobs["wk-000002"])
+        harness.job(f"wk-00000{n}", pieces=2, urgency="best_effort", dueS=None, crew="blue")
+    assert harness.round() == {"wk-000001": 2}
+    harness.job("wk-000004", awaits=["wk-000002"], urgency="best_effort", dueS=None, crew="blue")
+    assert harness.round() == {"wk-000001": 2}
+    harness.job("wk-000005", awaits=["wk-000004"], urgency="high", dueS=90.0, crew="blue")
+    assert harness.round() == {"wk-000002": 2}
+    assert harness.leader._urgencies.rank(harness.replica.jobs["wk-000002"]) == 1
+    finish = harness.leader._urgencies.latest_finish(harness.replica.jobs["wk-000002"])
     assert NOW + 90.0 - 2 * 25.0 < finish < NOW + 90.0 - 2 * 20.0
     spec = parse_job(job_body("wk-000005"))
-    lead.put(job_key("wk-000005"), job_record(spec, NOW, True))
-    assert lead.round() == {"wk-000001": 2}
+    harness.put(job_key("wk-000005"), job_record(spec, NOW, True))
+    assert harness.round() == {"wk-000001": 2}
 
 
-def test_a_share_is_given_no_more_than_its_record_can_hold(lead: LeaderHarness) -> None:
+def test_no_more_tasks_are_assigned_than_a_record_can_hold(harness: LeaderHarness) -> None:
     """Each task may become a range of its own in the record. A record that has grown too large
     can never be written again, and the job would lose its tasks."""
-    team = msgspec.structs.replace(lead.settings.settings.teams[0], cpus_max=1e6)
+    team = msgspec.structs.replace(harness.settings.settings.teams[0], cpus_max=1e6)
     state = msgspec.structs.replace(
-        lead.settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
+        harness.settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
     )
     shared = msgspec.structs.replace(
-        lead.settings.settings, teams=[team, lead.settings.settings.teams[1]], state=state
+        harness.settings.settings, teams=[team, harness.settings.settings.teams[1]], state=state
     )
-    settings = msgspec.structs.replace(lead.settings, settings=shared)
-    lead.leader = Leader(9, lead.replica, settings, NOW)
+    settings = msgspec.structs.replace(harness.settings, settings=shared)
+    harness.leader = Leader(9, harness.replica, settings, NOW)
     huge = MachineType("huge", 1e5, 1e6, 0.4, 10.0, ["a"], spot_price=0.1)
-    lead.leader.fleet.types = {"huge": huge}
-    lead.machine("m-1", type="huge")
-    lead.job("wk-000001", pieces=100_000, cpus=1.0, memoryGb=0.1)
-    lead.round()
-    ((_, shard),) = lead.last_result.new_assignments
-    held = list(lead.last_result.new_assignments["wk-000001", shard].tasks)
+    harness.leader.fleet.types = {"huge": huge}
+    harness.machine("m-1", type="huge")
+    harness.job("wk-000001", pieces=100_000, cpus=1.0, memoryGb=0.1)
+    harness.round()
+    ((_, shard),) = harness.last_result.new_assignments
+    held = list(harness.last_result.new_assignments["wk-000001", shard].tasks)
     assert len(held) > 80
     limit = settings.state_limits.value_bytes
     worst = Assignment(
@@ -477,76 +485,78 @@
     )
     assert value_bytes(worst.to_record()) <= limit
     # Assigned and done tasks in the record count too.
-    lead.put(assignment_key("wk-000001", shard), {"t": {"": [0, 60]}, "d": [100, 101, 102, 103]})
-    lead.round()
-    again = lead.last_result.new_assignments["wk-000001", shard]
-    assert len(again.tasks) + 2 == len(held)
+    harness.put(assignment_key("wk-000001", shard), {"t": {"": [0, 60]}, "d": [100, 101, 102, 103]})
+    harness.round()
+    renewed = harness.last_result.new_assignments["wk-000001", shard]
+    assert len(renewed.tasks) + 2 == len(held)
 
 
-def test_room_of_tasks_that_have_ended_is_free_before_they_are_written(lead: LeaderHarness) -> None:
+def test_capacity_of_ended_tasks_is_free_before_their_outcome_is_written(
+    harness: LeaderHarness,
+) -> None:
     """Tasks that had ended took capacity until their outcome was written. While writes were
     scarce, hundreds of tasks waited although machines were free."""
-    lead.machine("m-1", zone="c")
-    shard = lead.shard_of("m-1")
-    lead.job("wk-000001", pieces=4, cpus=2.0)
-    lead.allot("wk-000001", shard, [0, 1])
-    lead.job("wk-000002", pieces=4, cpus=2.0, crew="blue")
-    assert lead.round() == {}
-    view = lead.view(shard, [lead.machines["m-1"]], pending_removal=[("wk-000001", 2)])
-    lead.leader.on_shard_view(view, lead.now)
-    assert next(iter(lead.leader.round(lead.now, lead.now).new_assignments))[0] in (
+    harness.machine("m-1", zone="c")
+    shard = harness.shard_of("m-1")
+    harness.job("wk-000001", pieces=4, cpus=2.0)
+    harness.allot("wk-000001", shard, [0, 1])
+    harness.job("wk-000002", pieces=4, cpus=2.0, crew="blue")
+    assert harness.round() == {}
+    view = harness.view(shard, [harness.machines["m-1"]], pending_removal=[("wk-000001", 2)])
+    harness.leader.on_shard_view(view, harness.now)
+    assert next(iter(harness.leader.round(harness.now, harness.now).new_assignments))[0] in (
         "wk-000001",
         "wk-000002",
     )
 
 
-def test_a_leader_that_begins_knows_the_types_and_what_it_learnt_before(
-    lead: LeaderHarness, settings: Settings
+def test_a_new_leader_knows_the_types_and_what_its_predecessor_learnt(
+    harness: LeaderHarness, settings: Settings
 ) -> None:
     """A leader that had renewed its token, to fence off an assignment, knew no machine types
     until it could read the catalogue. While the cloud was unreachable it planned no round."""
-    new = Leader(10, lead.replica, settings, NOW, {"small": SMALL})
+    new = Leader(10, harness.replica, settings, NOW, {"small": SMALL})
     assert new.fleet.types == {"small": SMALL}
     assert not new.fleet.has_listing
-    lead.leader.fleet.released(["m-1"], NOW)
-    again = Leader(11, lead.replica, settings, NOW, {}, previous_leader=lead.leader)
-    assert again.fleet.gone == {"m-1": NOW}
-    assert again.fleet.has_listing
-    assert again.estimates is lead.leader.estimates
+    harness.leader.fleet.on_released(["m-1"], NOW)
+    renewed = Leader(11, harness.replica, settings, NOW, {}, previous_leader=harness.leader)
+    assert renewed.fleet.released_at == {"m-1": NOW}
+    assert renewed.fleet.has_listing
+    assert renewed.estimates is harness.leader.estimates
 
 
-def test_a_mistaken_job_is_tried_by_one_task_and_nothing_is_rented_for_it(
-    lead: LeaderHarness,
+def test_a_failing_job_is_retried_with_one_task_and_without_rentals(
+    harness: LeaderHarness,
 ) -> None:
-    lead.job("wk-000001", pieces=12)
-    lead.job("wk-000002", pieces=2)
-    lead.failing = [("wk-000001", 3, 9)]
-    lead.round()
-    assert [rental.count for rental in lead.last_result.rentals] == [1]  # for the other one
+    harness.job("wk-000001", pieces=12)
+    harness.job("wk-000002", pieces=2)
+    harness.failing = [("wk-000001", 3, 9)]
+    harness.round()
+    assert [rental.count for rental in harness.last_result.rentals] == [1]  # for the other one
     for i in range(6):
-        lead.machine(f"m-{i}")
-    lease_s = lead.settings.settings.workers.lease_s
-    assert set(lead.round()) == {"wk-000002"}
-    lead.allot("wk-000002", 0, [0, 1])
-    lead.now += lease_s + 0.1
-    assert lead.round() == {"wk-000001": 1}
-    lead.leader.assigned(["wk-000001"], lead.now)
-    assert lead.round() == {}
+        harness.machine(f"m-{i}")
+    lease_s = harness.settings.settings.workers.lease_s
+    assert set(harness.round()) == {"wk-000002"}
+    harness.allot("wk-000002", 0, [0, 1])
+    harness.now += lease_s + 0.1
+    assert harness.round() == {"wk-000001": 1}
+    harness.leader.assigned(["wk-000001"], harness.now)
+    assert harness.round() == {}
     # A task that succeeds shows that the job was not at fault.
-    lead.put(assignment_key("wk-000001", 1), {"t": {}, "d": [0, 1]})
-    assert lead.round() == {"wk-000001": 10}
+    harness.put(assignment_key("wk-000001", 1), {"t": {}, "d": [0, 1]})
+    assert harness.round() == {"wk-000001": 10}
 
 
-def test_a_limit_of_zero_is_none(lead: LeaderHarness) -> None:
+def test_a_team_limit_of_zero_means_unlimited(harness: LeaderHarness) -> None:
     """A limit of 0 in the settings means no limit, for the planner and for admission. Counts
     derived from an infinite limit must not fail, even with many waiting tasks."""
-    teams = lead.leader._teams
+    teams = harness.leader._teams
     teams["guest"] = msgspec.structs.replace(teams["red"], name="guest", cpus=0.0, cpus_max=0.0)
     for i in range(20):
-        lead.machine(f"m-{i}")
-    lead.job("wk-000001", pieces=100, crew="guest", cpus=0.25, memoryGb=0.5)
-    lead.job("wk-000002", pieces=2)
-    assigned = lead.round()
+        harness.machine(f"m-{i}")
+    harness.job("wk-000001", pieces=100, crew="guest", cpus=0.25, memoryGb=0.5)
+    harness.job("wk-000002", pieces=2)
+    assigned = harness.round()
     assert assigned == {"wk-000001": 100, "wk-000002": 2}
     spec = parse_job(job_body("wk-000009", crew="guest", cpus=4.0))
     assert unrunnable_reason(spec, {"small": SMALL}, teams) is None
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -19,7 +19,7 @@
 
 # Team red may use 32 CPUs and blue 48. Half of each team's first jobs are cancelled; as many
 # others wait for their capacity.
-CREWS = [crew for crew, cpus in (("red", 32), ("blue", 48)) for _ in range(cpus // 8)]
+JOB_TEAMS = [crew for crew, cpus in (("red", 32), ("blue", 48)) for _ in range(cpus // 8)]
 JOBS: list[dict[str, Any]] = [
     {
         "pieces": 8,
@@ -31,37 +31,37 @@
         "delay": delay,
     }
     for really, delay in ((400.0, 0.0), (6.0, 40.0))
-    for crew in CREWS
+    for crew in JOB_TEAMS
 ]
 # Spot machines only, so that no task waits for a cheaper machine: 84 CPUs.
 FLEET = tuple(
     msgspec.structs.replace(type_, steady=0, spot=spot)
     for type_, spot in zip(SMALL_FLEET, (9, 3), strict=True)
 )
-UIDS = [f"wk-{n + 1:06d}" for n in range(len(CREWS))]
+UIDS = [f"wk-{n + 1:06d}" for n in range(len(JOB_TEAMS))]
 CANCELLED, KEPT = UIDS[::2], set(UIDS[1::2])
 
 
-def used(world: Day) -> dict[str, int]:
+def used_cpus(world: Day) -> dict[str, int]:
     tasks = {t for w in world.workers.values() if w.alive for t in w.on_machine()}
     return dict(Counter(world.checker.specs[t.rpartition("/")[0]]["crew"] for t in tasks))
 
 
-async def until_full(world: Day) -> None:
+async def wait_until_full(world: Day) -> None:
     with trio.fail_after(70.0):
-        while used(world) != {"red": 32, "blue": 48}:
+        while used_cpus(world) != {"red": 32, "blue": 48}:
             await trio.sleep(1.0)
     await trio.sleep(5.0)
 
 
-async def until_room(world: Day) -> None:
+async def wait_with_spare_machines(world: Day) -> None:
     """Waits until both teams are at their limits, then adds machines without a request: now only
     the limits keep the waiting jobs from running."""
-    await until_full(world)
+    await wait_until_full(world)
     for zone in "ab" * 3:
         world.rent("small", zone, True)
     await trio.sleep(16.0)
-    assert used(world) == {"red": 32, "blue": 48}
+    assert used_cpus(world) == {"red": 32, "blue": 48}
 
 
 def crash_leader(world: Day) -> None:
@@ -69,7 +69,7 @@
         world.crash(leader)
 
 
-def check(world: Day) -> None:
+def check_end(world: Day) -> None:
     """Checks the end of a day. Its last half minute was free of faults: by then no task that fits
     may still be waiting."""
     assert world.checker.broken == []
@@ -77,41 +77,41 @@
     assert world.unfinished == KEPT
 
 
-def some(world: Day) -> set[str]:
+def every_third_machine(world: Day) -> set[str]:
     """Every third machine that runs tasks."""
     return {w.name for w in list(world.workers.values())[::3] if w.alive and w.up}
 
 
-def hung(world: Day) -> AbstractContextManager[None]:
-    for name in some(world):
+def hang(world: Day) -> AbstractContextManager[None]:
+    for name in every_third_machine(world):
         world.workers[name].hung_until = trio.current_time() + 9.0
     return nullcontext()
 
 
-def late_allotments(world: Day) -> AbstractContextManager[None]:
+def delay_allotment_writes(world: Day) -> AbstractContextManager[None]:
     world.network.late_kind = KINDS["allotment"]
     return world.late_writes(0.5)
 
 
-TROUBLES: dict[str, Callable[[Day], AbstractContextManager[None]]] = {
-    "held up": lambda world: world.cut(some(world), hosts(world), hold=True),
-    "cut off": lambda world: world.cut(some(world), hosts(world), hold=False),
-    "hung": hung,
-    "deaf": lambda world: world.deaf(some(world)),
-    "mute": lambda world: world.mute(some(world)),
-    "late allotments": late_allotments,
+FAULTS: dict[str, Callable[[Day], AbstractContextManager[None]]] = {
+    "held up": lambda world: world.cut(every_third_machine(world), hosts(world), hold=True),
+    "cut off": lambda world: world.cut(every_third_machine(world), hosts(world), hold=False),
+    "hung": hang,
+    "deaf": lambda world: world.deaf(every_third_machine(world)),
+    "mute": lambda world: world.mute(every_third_machine(world)),
+    "late allotments": delay_allotment_writes,
     "lost answers": lambda world: world.late_writes(0.4, at_once=True),
 }
 
 
-@pytest.mark.parametrize("how", TROUBLES)
-def test_cancelled_at_the_limit_as_the_leader_ends(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("fault", FAULTS)
+def test_jobs_cancelled_at_the_limit_while_the_leader_crashes(tmp_path: Path, fault: str) -> None:
     """Half of the jobs are cancelled just before the leader crashes, the others while its machines
     cannot be reached and another leader takes over."""
 
     async def script(world: Day) -> None:
-        await until_room(world)
-        with TROUBLES[how](world):
+        await wait_with_spare_machines(world)
+        with FAULTS[fault](world):
             for uid in CANCELLED[::2]:
                 world.nursery.start_soon(confirm, world, uid, 1)
             await trio.sleep(0.4)
@@ -121,17 +121,17 @@
                 world.nursery.start_soon(confirm, world, uid, 2)
             await trio.sleep(4.0)
 
-    check(play(some_controllers(tmp_path, 3), 31, JOBS, script, 86.0, FLEET))
+    check_end(play(some_controllers(tmp_path, 3), 31, JOBS, script, 86.0, FLEET))
 
 
-@pytest.mark.parametrize("how", ["held up", "late allotments"])
-def test_cancelled_at_the_limit_as_ten_leaders_end(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("fault", ["held up", "late allotments"])
+def test_jobs_cancelled_at_the_limit_while_ten_leaders_crash(tmp_path: Path, fault: str) -> None:
     """Ten leaders crash within two minutes, with repeated phases of faults."""
 
     async def script(world: Day) -> None:
-        await until_full(world)
+        await wait_until_full(world)
         for n in range(10):
-            with TROUBLES[how](world):
+            with FAULTS[fault](world):
                 if n % 2:
                     world.nursery.start_soon(confirm, world, CANCELLED[n // 2], n)
                 await trio.sleep(0.5 + 0.6 * n)
@@ -140,13 +140,13 @@
             await trio.sleep(5.5 - 0.4 * n)
 
     world = play(some_controllers(tmp_path, 3), 32, JOBS, script, 135.0, FLEET)
-    check(world)
+    check_end(world)
     leaders = [value["o"] for key, value in world.written if key == "r/l"]
     assert len(leaders) >= 8
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_cancelled_as_the_leader_is_refused_alone_and_then_everybody(
+def test_jobs_cancelled_while_the_state_service_refuses_the_leader_and_then_all(
     tmp_path: Path, seed: int
 ) -> None:
     """The jobs are cancelled one by one within a second. With the write of the last cancellation,
@@ -154,7 +154,7 @@
     `cancel_s`."""
 
     async def script(world: Day) -> None:
-        await until_full(world)
+        await wait_until_full(world)
         leader = world.leading
         assert leader is not None
         last = f"r/j/{CANCELLED[-1]}"
@@ -172,8 +172,8 @@
                 await trio.sleep(1.0 / len(CANCELLED))
             await began.wait()
             await trio.sleep(46.0)
-            assert used(world) == {"red": 16, "blue": 24}
+            assert used_cpus(world) == {"red": 16, "blue": 24}
             world.state.end_outage()
             await trio.sleep(1.0)
 
-    check(play(some_controllers(tmp_path, 3), 33 + seed, JOBS, script, 115.0, FLEET))
+    check_end(play(some_controllers(tmp_path, 3), 33 + seed, JOBS, script, 115.0, FLEET))
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -40,7 +40,7 @@
 
 
 @given(graphs)
-def test_urgency_is_that_of_the_worst_path_to_any_later_job(
+def test_urgency_is_that_of_the_most_urgent_path_to_any_dependent(
     jobs: list[tuple[set[int], int, float, int]],
 ) -> None:
     """The reference model walks every path from a job to every job that depends on it."""
@@ -52,7 +52,7 @@
     def paths(uid: str) -> list[list[str]]:
         return [[uid], *([uid, *rest] for name in after[uid] for rest in paths(name))]
 
-    known: dict[str, Urgency] = {}
+    computed: dict[str, Urgency] = {}
     for n in range(len(jobs)):
         expected = Urgency(
             min(
@@ -66,7 +66,7 @@
             lambda uid: Urgency(jobs[int(uid)][2], jobs[int(uid)][1]),
             after.__getitem__,
             lambda uid: float(jobs[int(uid)][3]),
-            known,
+            computed,
         )
         assert found == expected
 
@@ -86,37 +86,37 @@
 # -- the book ----------------------------------------------------------------------------
 
 
-class Plain:
+class ReferenceModel:
     """A reference model of job states, which evaluates their definition for every query."""
 
     def __init__(self) -> None:
         self.needs: dict[str, set[str]] = {}
-        self.flagged: set[str] = set()
-        self.finished: set[str] = set()
-        self.holding: set[str] = set()
+        self.cancelled_uids: set[str] = set()
+        self.done_uids: set[str] = set()
+        self.running_uids: set[str] = set()
 
     def cancelled(self, uid: str) -> bool:
         """Whether it or any job that it depends on, directly or not, was cancelled."""
-        return uid in self.flagged or any(self.cancelled(name) for name in self.needs[uid])
+        return uid in self.cancelled_uids or any(self.cancelled(name) for name in self.needs[uid])
 
     def ready(self, uid: str) -> bool:
         """Whether all of its dependencies are done."""
-        return self.needs[uid] <= self.finished
+        return self.needs[uid] <= self.done_uids
 
     def status(self, uid: str) -> str:
         """The status that users are shown."""
         if self.cancelled(uid):
             return "cancelled"
-        if uid in self.finished:
+        if uid in self.done_uids:
             return "done"
-        return "running" if uid in self.holding else "queued"
+        return "running" if uid in self.running_uids else "queued"
 
 
-def uid_of(n: int) -> str:
+def job_uid(n: int) -> str:
     return f"wk-{n:06d}"
 
 
-def write(
+def apply_record(
     replica: StateReplica, records: dict[str, tuple[object, int]], key: str, value: object
 ) -> None:
     revision = replica.state_revision + 1
@@ -128,94 +128,97 @@
 
 
 @given(st.integers(0, 10_000))
-def test_the_book_derives_what_the_definition_says(seed: int) -> None:
+def test_derived_job_states_agree_with_a_reference_model(seed: int) -> None:
     """After each of a random sequence of submissions, assignments, ends and cancellations the book
     agrees with the reference model, and so does a book that reads all records in another
     order."""
     rng = random.Random(seed)
-    replica, plain = StateReplica(), Plain()
+    replica, reference = StateReplica(), ReferenceModel()
     records: dict[str, tuple[object, int]] = {}
     for _ in range(30):
-        uids = list(plain.needs)
+        uids = list(reference.needs)
         what = rng.random()
         if what < 0.4 or not uids:
-            uid = uid_of(len(uids))
+            uid = job_uid(len(uids))
             needs = set(rng.sample(uids, min(len(uids), rng.randrange(4))))
-            plain.needs[uid] = needs
+            reference.needs[uid] = needs
             names = tuple(sorted(needs))
             spec = parse_job(job_body(uid, awaits=list(names)))
             if names and rng.random() < 0.3:
                 digest, pieces = split_needs(names, 16)
                 for n, piece in enumerate(pieces):
-                    write(replica, records, needs_piece_key(uid, digest, n), {"n": piece})
+                    apply_record(replica, records, needs_piece_key(uid, digest, n), {"n": piece})
                 record = job_record(spec, 0.0, False, (digest, len(pieces)))
             else:
                 record = job_record(spec, 0.0, False)
-            write(replica, records, job_key(uid), record)
+            apply_record(replica, records, job_key(uid), record)
         elif what < 0.6:
             uid = rng.choice(uids)
-            if plain.status(uid) == "queued" and plain.ready(uid):
-                plain.holding.add(uid)
-                write(replica, records, assignment_key(uid, 1), {"t": {"": [0, 4]}, "d": []})
-        elif what < 0.85 and plain.holding:
-            uid = rng.choice(sorted(plain.holding))
-            plain.holding.discard(uid)
-            if not plain.cancelled(uid):
-                plain.finished.add(uid)
-                write(replica, records, assignment_key(uid, 1), {"t": {}, "d": [0, 4]})
+            if reference.status(uid) == "queued" and reference.ready(uid):
+                reference.running_uids.add(uid)
+                apply_record(replica, records, assignment_key(uid, 1), {"t": {"": [0, 4]}, "d": []})
+        elif what < 0.85 and reference.running_uids:
+            uid = rng.choice(sorted(reference.running_uids))
+            reference.running_uids.discard(uid)
+            if not reference.cancelled(uid):
+                reference.done_uids.add(uid)
+                apply_record(replica, records, assignment_key(uid, 1), {"t": {}, "d": [0, 4]})
             else:
-                write(replica, records, assignment_key(uid, 1), {"t": {}, "d": []})
+                apply_record(replica, records, assignment_key(uid, 1), {"t": {}, "d": []})
         else:
             uid = rng.choice(uids)
-            if plain.status(uid) != "done":
-                plain.flagged.add(uid)
+            if reference.status(uid) != "done":
+                reference.cancelled_uids.add(uid)
                 spec = parse_job(job_body(uid))
-                write(replica, records, job_key(uid), job_record(spec, 0.0, True))
-        again = StateReplica()
+                apply_record(replica, records, job_key(uid), job_record(spec, 0.0, True))
+        reread = StateReplica()
         shuffled = [Event(key, value, version) for key, (value, version) in records.items()]
         rng.shuffle(shuffled)
         # Shares come after their job, as in the order of keys; the rest may come in any order.
         shuffled.sort(key=lambda event: event.key.count("/") == 3 and "r/j/" in event.key)
-        again.replace(shuffled, replica.state_revision)
-        for each in (replica, again):
-            for uid in plain.needs:
-                job = each.jobs[uid]
-                assert job.status == plain.status(uid)
-                over = job.is_terminal and uid not in plain.holding
-                waits = not plain.ready(uid)
-                assert (uid in each.waiting) == (waits and not over)
-                assert (uid in each.live) == (not waits and not over)
+        reread.replace(shuffled, replica.state_revision)
+        for checked in (replica, reread):
+            for uid in reference.needs:
+                job = checked.jobs[uid]
+                assert job.status == reference.status(uid)
+                over = job.is_terminal and uid not in reference.running_uids
+                waits = not reference.ready(uid)
+                assert (uid in checked.waiting) == (waits and not over)
+                assert (uid in checked.live) == (not waits and not over)
 
 
 def test_one_record_cancels_a_pipeline_of_any_length() -> None:
     replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     for n in range(5000):
-        needs = [uid_of(n - 1)] if n else None
-        spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(replica, records, job_key(uid_of(n)), job_record(spec, 0.0, False))
-    write(
-        replica, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True)
+        needs = [job_uid(n - 1)] if n else None
+        spec = parse_job(job_body(job_uid(n), awaits=needs))
+        apply_record(replica, records, job_key(job_uid(n)), job_record(spec, 0.0, False))
+    apply_record(
+        replica,
+        records,
+        job_key(job_uid(0)),
+        job_record(parse_job(job_body(job_uid(0))), 0.0, True),
     )
     assert {job.status for job in replica.jobs.values()} == {"cancelled"}
     assert not replica.live
     assert not replica.waiting
 
 
-def test_waiting_jobs_become_ready_when_the_last_need_is_done() -> None:
+def test_waiting_jobs_become_ready_when_the_last_dependency_is_done() -> None:
     """The other times of a job count from the moment at which the controller saw that."""
     now = 100.0
     replica = StateReplica(lambda: now)
     records: dict[str, tuple[object, int]] = {}
-    for n, needs in enumerate(([], [], [uid_of(0), uid_of(1)])):
-        spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(replica, records, job_key(uid_of(n)), job_record(spec, 50.0, False))
-    job = replica.jobs[uid_of(2)]
-    assert job.view()["awaits"] == [uid_of(0), uid_of(1)]
-    write(replica, records, assignment_key(uid_of(0), 0), {"t": {}, "d": [0, 4]})
+    for n, needs in enumerate(([], [], [job_uid(0), job_uid(1)])):
+        spec = parse_job(job_body(job_uid(n), awaits=needs))
+        apply_record(replica, records, job_key(job_uid(n)), job_record(spec, 50.0, False))
+    job = replica.jobs[job_uid(2)]
+    assert job.view()["awaits"] == [job_uid(0), job_uid(1)]
+    apply_record(replica, records, assignment_key(job_uid(0), 0), {"t": {}, "d": [0, 4]})
     assert not job.ready
     now = 120.0
-    write(replica, records, assignment_key(uid_of(1), 2), {"t": {}, "d": [0, 4]})
+    apply_record(replica, records, assignment_key(job_uid(1), 2), {"t": {}, "d": [0, 4]})
     assert job.ready
     assert job.ready_at == 120.0
     assert "awaits" not in job.view()
@@ -224,17 +227,20 @@
 # -- leaving the book ---------------------------------------------------------------------
 
 
-def test_what_others_need_leaves_the_book_after_them() -> None:
+def test_dependencies_are_archived_after_their_dependents() -> None:
     replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     for n in range(3):
-        needs = [uid_of(n - 1)] if n else None
-        spec = parse_job(job_body(uid_of(n), awaits=needs))
-        write(replica, records, job_key(uid_of(n)), job_record(spec, float(n), False))
-    write(replica, records, assignment_key(uid_of(0), 1), {"t": {"": [0, 4]}, "d": []})
-    write(replica, records, assignment_key(uid_of(0), 1), {"t": {}, "d": []})
-    write(
-        replica, records, job_key(uid_of(0)), job_record(parse_job(job_body(uid_of(0))), 0.0, True)
+        needs = [job_uid(n - 1)] if n else None
+        spec = parse_job(job_body(job_uid(n), awaits=needs))
+        apply_record(replica, records, job_key(job_uid(n)), job_record(spec, float(n), False))
+    apply_record(replica, records, assignment_key(job_uid(0), 1), {"t": {"": [0, 4]}, "d": []})
+    apply_record(replica, records, assignment_key(job_uid(0), 1), {"t": {}, "d": []})
+    apply_record(
+        replica,
+        records,
+        job_key(job_uid(0)),
+        job_record(parse_job(job_body(job_uid(0))), 0.0, True),
     )
     left: list[str] = []
     finals: dict[str, object] = {}
@@ -247,33 +253,33 @@
             if isinstance(change, Put):
                 finals[change.key] = change.value
             else:
-                write(replica, records, change.key, None)
+                apply_record(replica, records, change.key, None)
         left.append(job.spec.uid)
-    assert left == [uid_of(2), uid_of(1), uid_of(0)]
+    assert left == [job_uid(2), job_uid(1), job_uid(0)]
     assert finals == {archive_key(uid): {"st": "cancelled", "d": 0} for uid in left}
-    assert records_to_delete(replica, 4) == [Delete(assignment_key(uid_of(0), 1))]
-    write(replica, records, assignment_key(uid_of(0), 1), None)
+    assert records_to_delete(replica, 4) == [Delete(assignment_key(job_uid(0), 1))]
+    apply_record(replica, records, assignment_key(job_uid(0), 1), None)
     assert records_to_delete(replica, 4) == []
     assert records == {}
 
 
 @pytest.mark.parametrize("outcome", ["done", "cancelled"])
-def test_a_job_recorded_after_one_that_it_needs_was_archived(outcome: str) -> None:
+def test_a_job_recorded_after_its_dependency_was_archived(outcome: str) -> None:
     """A submission may be recorded so late that its dependency has been archived. The outcome of
     that one has to be looked up: by the book alone the job would wait forever."""
     replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
-    spec = parse_job(job_body(uid_of(2), awaits=[uid_of(1)]))
-    write(replica, records, job_key(uid_of(2)), job_record(spec, 0.0, False))
-    assert replica.unresolved_needs == {uid_of(1)}
-    assert uid_of(2) in replica.waiting
-    write(replica, records, outcome_key(uid_of(1)), {"st": outcome})
+    spec = parse_job(job_body(job_uid(2), awaits=[job_uid(1)]))
+    apply_record(replica, records, job_key(job_uid(2)), job_record(spec, 0.0, False))
+    assert replica.unresolved_needs == {job_uid(1)}
+    assert job_uid(2) in replica.waiting
+    apply_record(replica, records, outcome_key(job_uid(1)), {"st": outcome})
     assert replica.unresolved_needs == set()
-    assert replica.jobs[uid_of(2)].ready == (outcome == "done")
-    assert replica.jobs[uid_of(2)].cancelled == (outcome == "cancelled")
+    assert replica.jobs[job_uid(2)].ready == (outcome == "done")
+    assert replica.jobs[job_uid(2)].cancelled == (outcome == "cancelled")
     assert records_to_delete(replica, 4) == []
-    write(replica, records, job_key(uid_of(2)), None)
-    assert records_to_delete(replica, 4) == [Delete(outcome_key(uid_of(1)))]
+    apply_record(replica, records, job_key(job_uid(2)), None)
+    assert records_to_delete(replica, 4) == [Delete(outcome_key(job_uid(1)))]
 
 
 # -- submissions ---------------------------------------------------------------------------
@@ -292,12 +298,12 @@
 @pytest.mark.parametrize(
     "awaits", ["wk-1", [1], ["job"], ["wk-"], {"wk-1": 1}, [None], 5, [["wk-1"]]]
 )
-def test_anything_else_is_malformed(awaits: object) -> None:
+def test_other_values_of_awaits_are_malformed(awaits: object) -> None:
     with pytest.raises(Malformed, match="awaits"):
         parse_job(job_body(awaits=awaits))
 
 
-def test_pieces_hold_all_names_within_the_limit() -> None:
+def test_split_dependency_lists_stay_within_the_value_limit() -> None:
     names = tuple(f"wk-{n:032d}" for n in range(700))
     digest, pieces = split_needs(names, 1900)
     assert [name for piece in pieces for name in piece] == list(names)
