--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -16,68 +16,68 @@
 from ryegauge.protocol.cloud import ListedMachine
 
 
-def test_a_list_older_than_the_one_before_drops_nothing(settings: Settings) -> None:
+def test_an_outdated_list_drops_no_machine(settings: Settings) -> None:
     """A machine missing from a list older than the previous one was dropped from the fleet and
     rented again; a spot machine also counted as reclaimed by the cloud."""
-    lead = LeaderHarness(settings)
+    harness = LeaderHarness(settings)
     new = ListedMachine("m-1", "small", "a", True, "starting", 1.0)
-    lead.leader.on_machine_list([new], lead.now)
-    lead.job("wk-000001", pieces=2)
+    harness.leader.on_machine_list([new], harness.now)
+    harness.job("wk-000001", pieces=2)
     for _ in range(7):
-        lead.now += 1.0
-        lead.leader.on_machine_list([], lead.now)
-        lead.round()
-        assert lead.last_result.rentals == []
-    lead.leader.on_machine_list([new], lead.now)
-    lead.now += 8.5  # more than twice the list lag: it is gone
-    lead.leader.on_machine_list([], lead.now)
-    assert lead.leader.fleet.machines == {}
-    lead.round()
-    assert sum(r.count for r in lead.last_result.rentals) == 1
-
-
-def test_what_is_listed_as_starting_is_kept_until_its_owner_is_heard(settings: Settings) -> None:
+        harness.now += 1.0
+        harness.leader.on_machine_list([], harness.now)
+        harness.round()
+        assert harness.last_result.rentals == []
+    harness.leader.on_machine_list([new], harness.now)
+    harness.now += 8.5  # more than twice the list lag: it is gone
+    harness.leader.on_machine_list([], harness.now)
+    assert harness.leader.fleet.machines == {}
+    harness.round()
+    assert sum(r.count for r in harness.last_result.rentals) == 1
+
+
+def test_a_machine_listed_as_starting_is_kept_until_its_owner_is_heard(settings: Settings) -> None:
     """Since the list lags, a machine that came up late may run tasks while it is still listed as
     starting. A new leader released it before it had a view from the owner."""
-    lead = LeaderHarness(settings)
-    lead.leader = Leader(10, lead.replica, settings, lead.now, {"small": SMALL})
-    lead.leader.on_machine_list(
-        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now
+    harness = LeaderHarness(settings)
+    harness.leader = Leader(10, harness.replica, settings, harness.now, {"small": SMALL})
+    harness.leader.on_machine_list(
+        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], harness.now
     )
-    assert lead.leader.round(lead.now, lead.now).releases == []
-    lead.machine("m-1", empty=False)
-    lead.round()
-    assert lead.last_result.releases == []
-    del lead.machines["m-1"]
-    lead.leader = Leader(11, lead.replica, settings, lead.now, {"small": SMALL})
-    lead.leader.on_machine_list(
-        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], lead.now
+    assert harness.leader.round(harness.now, harness.now).releases == []
+    harness.machine("m-1", empty=False)
+    harness.round()
+    assert harness.last_result.releases == []
+    del harness.machines["m-1"]
+    harness.leader = Leader(11, harness.replica, settings, harness.now, {"small": SMALL})
+    harness.leader.on_machine_list(
+        [ListedMachine("m-1", "small", "a", True, "starting", 60.0)], harness.now
     )
-    lead.round()
-    assert lead.last_result.releases == ["m-1"]
+    harness.round()
+    assert harness.last_result.releases == ["m-1"]
 
 
-def test_a_machine_that_shows_itself_before_its_rental_is_answered(settings: Settings) -> None:
+def test_a_machine_that_reports_before_its_rental_is_answered(settings: Settings) -> None:
     """It belongs to the pending rental, but counted in addition to it: as long as the rental had
     no answer, tasks waited for machines that did not exist."""
-    lead = LeaderHarness(settings)
-    lead.job("wk-000001", pieces=2)
-    lead.round()
-    (rental,) = lead.last_result.rentals
-    fleet = lead.leader.fleet
-    fleet.on_rental_sent(rental, lead.now)
-    lead.round()
-    assert lead.last_result.rentals == []
-    lead.machine("m-1", zone=rental.zone, spot=rental.spot)
-    lead.job("wk-000002", pieces=2)
-    assert sum(lead.round().values()) == 2
-    assert sum(r.count for r in lead.last_result.rentals) == 1
-    fleet.rented(rental, ["m-1"], lead.now)
-    assert fleet.machines["m-1"].reported
-    assert fleet.starting(lead.now) == []
-
-
-def test_new_machines_do_not_hold_the_barrier(settings: Settings) -> None:
+    harness = LeaderHarness(settings)
+    harness.job("wk-000001", pieces=2)
+    harness.round()
+    (rental,) = harness.last_result.rentals
+    fleet = harness.leader.fleet
+    fleet.on_rental_sent(rental, harness.now)
+    harness.round()
+    assert harness.last_result.rentals == []
+    harness.machine("m-1", zone=rental.zone, spot=rental.spot)
+    harness.job("wk-000002", pieces=2)
+    assert sum(harness.round().values()) == 2
+    assert sum(r.count for r in harness.last_result.rentals) == 1
+    fleet.on_rental_granted(rental, ["m-1"], harness.now)
+    assert fleet.machines["m-1"].has_reported
+    assert fleet.starting_capacity(harness.now) == []
+
+
+def test_new_machines_do_not_delay_conclusions_about_old_tasks(settings: Settings) -> None:
     """Each new machine reports once without the new owner's token. While new ones came every
     second, nothing was concluded about the tasks of the previous owner."""
     shard = ShardHarness(settings, [0])
@@ -90,10 +90,10 @@
         assert (shard.phase(0) == "unseen") == (n < 10)
 
 
-def unused_s(world: Day, name: str) -> float:
+def longest_idle_s(world: Day, name: str) -> float:
     """The longest time in seconds for which a machine was charged and had no task."""
     worker = world.workers[name]
-    end = trio_end(world) if worker.ended_at is None else worker.ended_at
+    end = last_event_at(world) if worker.ended_at is None else worker.ended_at
     longest, since, busy = 0.0, worker.since, 0
     for e in world.happened:
         if e.machine == name and e.what in ("started", "ended"):
@@ -104,11 +104,11 @@
     return max(longest, 0.0 if busy else end - since)
 
 
-def trio_end(world: Day) -> float:
+def last_event_at(world: Day) -> float:
     return max(e.at for e in world.happened)
 
 
-WORK: list[dict[str, Any]] = [
+JOBS: list[dict[str, Any]] = [
     {
         "pieces": 4 + n % 5,
         "delay": 2.0 + 3.0 * n,
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_quick_boots_while_writes_lag_and_the_leader_ends(tmp_path: Path, seed: int) -> None:
+def test_quick_boots_while_writes_lag_and_leaders_crash(tmp_path: Path, seed: int) -> None:
     async def script(world: Day) -> None:
         world.slow_zones, world.boot_factor = {"a", "b"}, 0.05
         world.network.slow["10.2.0.2"] = 4.0  # many machines report before the cloud's answer
@@ -133,19 +133,19 @@
                 world.crash(*([] if leader is None else [leader]))
         del world.network.slow["10.2.0.2"]
 
-    world = play(some_controllers(tmp_path, 3), 60 + seed, WORK, script, 190.0)
+    world = play(some_controllers(tmp_path, 3), 60 + seed, JOBS, script, 190.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert [w.name for w in world.workers.values() if w.alive] == []
     # Unneeded machines are kept for the minute that is paid for anyway.
-    assert max(unused_s(world, name) for name in world.workers) < 90.0
+    assert max(longest_idle_s(world, name) for name in world.workers) < 90.0
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_jobs_bound_to_a_zone_lose_their_machines(tmp_path: Path, seed: int) -> None:
-    bound: list[dict[str, Any]] = [
-        {"pieces": 8, "delay": 1.0 + n, "cpus": 1.0, "really": 20.0, "crew": "blue", **place}
-        for n, place in enumerate(
+    zone_jobs: list[dict[str, Any]] = [
+        {"pieces": 8, "delay": 1.0 + n, "cpus": 1.0, "really": 20.0, "crew": "blue", **constraints}
+        for n, constraints in enumerate(
             [
                 {"district": "b"},
                 {"district": "b", "together": True},
@@ -166,7 +166,7 @@
             if n % 2:
                 world.crash(n % 3)
 
-    world = play(some_controllers(tmp_path, 3), 80 + seed, bound, script, 140.0)
+    world = play(some_controllers(tmp_path, 3), 80 + seed, zone_jobs, script, 140.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert sum(e.what == "lost" for e in world.happened) >= 4
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -19,8 +19,8 @@
     diagnose,
 )
 
-LEASE, ANSWER, UNTIL = 3, 1, 8
-LIMITS = DetectionLimits(gap_s=0.5, lease_s=float(LEASE))
+LEASE_S, ANSWER_VALID_S, END_S = 3, 1, 8
+LIMITS = DetectionLimits(gap_s=0.5, lease_s=float(LEASE_S))
 
 
 class State(NamedTuple):
@@ -28,84 +28,106 @@
 
     now: int = 0
     power: bool = True
-    cut: bool = False  # the machine is cut off from all controllers
-    on: bool = True  # the task runs on the machine
-    lease_from: int = 0
-    report: int | None = None  # a report on its way: when it was sent
-    answer: int | None = None  # an answer on its way: when the report to it was sent
-    heard: int = 0  # when the owner last received a report
+    cut_off: bool = False  # from all controllers
+    running: bool = True  # the task runs on the machine
+    lease_start: int = 0
+    report_sent_at: int | None = None  # a report on its way: when it was sent
+    answered_report_at: int | None = None  # an answer on its way: when the report to it was sent
+    last_report_at: int = 0  # when the owner last received a report
     # Probes without an answer, by the owner and by the second controller.
-    asked: tuple[bool, bool] = (False, False)
-    release: str = "none"  # none, sent, executed, answered or lost
-    free: bool = False  # the owner may start it elsewhere
-    elsewhere: bool = False  # it was started elsewhere
+    failed_probes: tuple[bool, bool] = (False, False)
+    release_state: str = "none"  # none, sent, executed, answered or lost
+    may_restart: bool = False  # the owner may start it elsewhere
+    restarted: bool = False  # it was started elsewhere
 
 
-def severity(s: State) -> Severity:
+def severity(state: State) -> Severity:
     """The verdict's grade for the machine, by what the owner knows."""
-    silent = float(s.now - s.heard)
+    silent_s = float(state.now - state.last_report_at)
     probes = [
-        ProbeResult(by, ProbeOutcome.NO_CONNECTION, float(s.now))
-        for by, asked in zip(("owner", "helper"), s.asked, strict=True)
-        if asked
+        ProbeResult(by, ProbeOutcome.NO_CONNECTION, float(state.now))
+        for by, failed in zip(("owner", "peer"), state.failed_probes, strict=True)
+        if failed
     ]
     # The owner hears few of its machines, so this one is lost only if others cannot reach it.
-    return diagnose(Evidence(silent, silent, 99.0, probes, heard_share=0.0), LIMITS).severity
+    return diagnose(Evidence(silent_s, silent_s, 99.0, probes, heard_share=0.0), LIMITS).severity
 
 
-def steps(s: State, fault: str) -> Iterator[State]:
+def steps(state: State, fault: str) -> Iterator[State]:
     """The states that can follow; `fault` names a seeded fault, none if it is empty."""
-    if s.now < UNTIL:
-        later = s._replace(now=s.now + 1)
-        yield later._replace(on=s.on and later.now <= s.lease_from + LEASE)
-    if s.power and not s.cut and s.report is None and s.answer is None:
-        yield s._replace(report=s.now)
-    if s.report is not None and not s.cut:  # delivered, perhaps late, or lost
-        yield s._replace(report=None, answer=s.report, heard=s.now, asked=(False, False))
-        yield s._replace(report=None)
-    if s.answer is not None:
-        yield s._replace(answer=None)
-        if s.power and not s.cut and s.on and s.now <= s.answer + ANSWER:
-            yield s._replace(answer=None, lease_from=max(s.lease_from, s.answer))
-    yield s._replace(cut=not s.cut)
-    if s.power:
-        yield s._replace(power=False, on=False)
-    if s.cut or not s.power:
-        yield s._replace(asked=(True, s.asked[1]))
-        yield s._replace(asked=(s.asked[0], True))
-    if s.release == "none" and severity(s) >= Severity.LOST:
-        yield s._replace(release="sent", free=s.free or fault == "sent")
-    if s.release in ("sent", "lost"):  # an unanswered request may be executed late
-        yield s._replace(
-            release="executed" if s.release == "sent" else "lost", power=False, on=False
+    if state.now < END_S:
+        later = state._replace(now=state.now + 1)
+        yield later._replace(running=state.running and later.now <= state.lease_start + LEASE_S)
+    if (
+        state.power
+        and not state.cut_off
+        and state.report_sent_at is None
+        and state.answered_report_at is None
+    ):
+        yield state._replace(report_sent_at=state.now)
+    if state.report_sent_at is not None and not state.cut_off:  # delivered, perhaps late, or lost
+        yield state._replace(
+            report_sent_at=None,
+            answered_report_at=state.report_sent_at,
+            last_report_at=state.now,
+            failed_probes=(False, False),
         )
-        yield s._replace(release="lost", free=s.free or fault == "unanswered")
-    if s.release == "executed":
-        yield s._replace(release="answered", free=True)
-    surely_over = s.now > s.heard + LEASE - (1 if fault == "early" else 0)
-    if surely_over or (fault == "verdict" and severity(s) >= Severity.LOST):
-        yield s._replace(free=True)
-    if s.free and not s.elsewhere:
-        yield s._replace(elsewhere=True)
+        yield state._replace(report_sent_at=None)
+    if state.answered_report_at is not None:
+        yield state._replace(answered_report_at=None)
+        if (
+            state.power
+            and not state.cut_off
+            and state.running
+            and state.now <= state.answered_report_at + ANSWER_VALID_S
+        ):
+            yield state._replace(
+                answered_report_at=None,
+                lease_start=max(state.lease_start, state.answered_report_at),
+            )
+    yield state._replace(cut_off=not state.cut_off)
+    if state.power:
+        yield state._replace(power=False, running=False)
+    if state.cut_off or not state.power:
+        yield state._replace(failed_probes=(True, state.failed_probes[1]))
+        yield state._replace(failed_probes=(state.failed_probes[0], True))
+    if state.release_state == "none" and severity(state) >= Severity.LOST:
+        yield state._replace(release_state="sent", may_restart=state.may_restart or fault == "sent")
+    if state.release_state in ("sent", "lost"):  # an unanswered request may be executed late
+        yield state._replace(
+            release_state="executed" if state.release_state == "sent" else "lost",
+            power=False,
+            running=False,
+        )
+        yield state._replace(
+            release_state="lost", may_restart=state.may_restart or fault == "unanswered"
+        )
+    if state.release_state == "executed":
+        yield state._replace(release_state="answered", may_restart=True)
+    surely_over = state.now > state.last_report_at + LEASE_S - (1 if fault == "early" else 0)
+    if surely_over or (fault == "verdict" and severity(state) >= Severity.LOST):
+        yield state._replace(may_restart=True)
+    if state.may_restart and not state.restarted:
+        yield state._replace(restarted=True)
 
 
 def explore(fault: str) -> tuple[State | None, int]:
     """The first state in which the task runs twice, if any, and the number of states reached."""
-    todo, seen = deque([State()]), {State()}
-    while todo:
-        state = todo.popleft()
-        if state.elsewhere and state.on:
+    queue, seen = deque([State()]), {State()}
+    while queue:
+        state = queue.popleft()
+        if state.restarted and state.running:
             return state, len(seen)
         for new in steps(state, fault):
             if new not in seen:
                 seen.add(new)
-                todo.append(new)
+                queue.append(new)
     return None, len(seen)
 
 
-def test_a_task_starts_elsewhere_only_when_it_surely_runs_no_more() -> None:
-    broken, states = explore("")
-    assert broken is None
+def test_a_task_starts_elsewhere_only_after_it_has_certainly_ended() -> None:
+    violation, states = explore("")
+    assert violation is None
     assert states > 10_000
 
 
