--- a/ryegauge/coordination/capacity.py
+++ b/ryegauge/coordination/capacity.py
@@ -28,7 +28,7 @@
     now: float,
 ) -> list[MachineCapacity]:
     """The free capacity of the machines that take tasks, by their owners' views, and of the
-    machines of parts whose owner cannot be heard."""
+    machines of shards whose owner cannot be heard."""
     expected_overrun_s: dict[tuple[str, float], float] = {}
     capacities: list[MachineCapacity] = []
     for shard, state in views.items():
@@ -43,7 +43,7 @@
             ):
                 continue
             if not observed.jobs_known:
-                # The book may have lagged behind the view: look the jobs up again.
+                # The replica may have lagged behind the view: look the jobs up again.
                 observed = state.machines[name] = ObservedMachine(
                     view, observed.received_at, replica
                 )
@@ -83,9 +83,9 @@
 def _unseen_machines(
     replica: StateReplica, fleet: Fleet, views: dict[int, ShardState]
 ) -> list[MachineCapacity]:
-    """Machines of parts whose owner is alive but cannot be heard, as when controllers refuse each
+    """Machines of shards whose owner is alive but cannot be heard, as when controllers refuse each
     other's connections. Each counts as unused if the cloud lists it as running; the tasks
-    that the book shows for its part are subtracted as in transit. An owner that finds no
+    that the replica shows for its shard are subtracted as in transit. An owner that finds no
     capacity for an assigned task hands it back."""
     capacities: list[MachineCapacity] = []
     for machine in fleet.machines.values():
@@ -114,7 +114,7 @@
     running: list[MachineCapacity],
     views: dict[int, ShardState],
 ) -> None:
-    """Subtracts the tasks that are assigned to a part and not on any of its machines yet from the
+    """Subtracts the tasks that are assigned to a shard and not on any of its machines yet from the
     capacity of its machines. Tasks that have ended, though that is not recorded yet, take none."""
     placed_counts: dict[tuple[str, int], int] = {}
     for shard, state in views.items():
--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -122,7 +122,7 @@
 
     async def watch_catalog(self) -> None:
         """Reads the catalogue for the leader, who needs its prices, and publishes the machine
-        types to all controllers through the book; never returns."""
+        types to all controllers through the replica; never returns."""
         read_for_leader: Leader | None = None  # it was read for this leader, at `read_at`
         read_at = float("-inf")
         while True:
@@ -150,7 +150,7 @@
             await trio.sleep(pause_s)
 
     async def _publish_types(self, types: dict[str, MachineType]) -> None:
-        """Writes new machine types to the book. Known ones are not written again: prices change,
+        """Writes new machine types to the replica. Known ones are not written again: prices change,
         but what fits on a type does not."""
         limits = self._context.settings.state_limits
         changes: list[Put | Delete] = []
--- a/ryegauge/coordination/demands.py
+++ b/ryegauge/coordination/demands.py
@@ -1,4 +1,4 @@
-"""Derives the planner's demands, deadlines and zone limits from the jobs in the book."""
+"""Derives the planner's demands, deadlines and zone limits from the jobs in the replica."""
 
 import math
 
@@ -114,7 +114,7 @@
 
 
 def records_zones(spec: JobSpec) -> bool:
-    """Whether the shares of a job must record in which zone its tasks run."""
+    """Whether the assignments of a job must record in which zone its tasks run."""
     return spec.zone is not None or spec.one_zone or spec.spread
 
 
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -62,7 +62,7 @@
         self.was_listed = False  # was on a list at least once
         self.last_listed_at = -math.inf  # when the latest list that contains it was read
         self.failed = False  # listed as failed
-        self.has_reported = False  # has reported to an owner of its part
+        self.has_reported = False  # has reported to an owner of its shard
         # Its last report, as far as the views of its owners show.
         self.last_report_at: float | None = None
         self.has_reclaim_notice = False  # the cloud has announced that it will reclaim it
@@ -100,7 +100,7 @@
         self._pending_rentals: list[PendingRental] = []
         self._refusals: dict[tuple[str, str, bool], tuple[float, float]] = {}
         self.released_at: dict[str, float] = {}  # machines certainly released -> when
-        # To be released once the owner of their part confirms that they are empty.
+        # To be released once the owner of their shard confirms that they are empty.
         self.to_retire: set[str] = set()
         self.boots = BootTimes()
         self._expected_boots: dict[str, BootEstimate] = {}  # machines that are not up yet, by name
@@ -120,8 +120,8 @@
         now: float,
         heard_recently: Callable[[int, str, float], bool],
     ) -> None:
-        """Takes in a complete list of machines. `heard_recently(part, machine, now)` tells whether
-        the owner of a part has heard from a machine within its lease.
+        """Takes in a complete list of machines. `heard_recently(shard, machine, now)` tells whether
+        the owner of a shard has heard from a machine within its lease.
 
         The cloud lists a machine until it is gone, but a list may be older than the one before
         it: a machine is dropped from the fleet only after it was missing for twice the list
@@ -155,7 +155,7 @@
                 self._remove(machine, now, reclaimed=machine.spot)
 
     def on_machine_view(self, view: MachineView, now: float) -> None:
-        """Takes in a machine's description by the owner of its part."""
+        """Takes in a machine's description by the owner of its shard."""
         machine = self.machines.get(view.name)
         if machine is None:
             if view.name in self.released_at:
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -1,7 +1,7 @@
-"""The leader's decisions: assigns tasks to parts, rents and releases machines.
+"""The leader's decisions: assigns tasks to shards, rents and releases machines.
 
 No I/O and no clock: callers pass the current time. The loops in `leader_loops` write the
-assignments and those in `cloud` call the cloud's API. Only tasks that the job book shows as
+assignments and those in `cloud` call the cloud's API. Only tasks that the state replica shows as
 assigned count as assigned.
 """
 
@@ -48,14 +48,15 @@
 class RoundResult:
     """What one planning round decided; nothing of it has been carried out yet."""
 
-    # (job UID, part) -> the share to write.
+    # (job UID, shard) -> the assignment to write.
     new_assignments: dict[tuple[str, int], Assignment] = field(default_factory=dict)
     rentals: list[Rental] = field(default_factory=list)
     releases: list[str] = field(default_factory=list)  # names of machines
 
 
 class Leader:
-    """Plans in rounds from the job book, the owners' views of their parts and the cloud's list."""
+    """Plans in rounds, from the state replica, the owners' views of their shards and the cloud's
+    list of machines."""
 
     def __init__(
         self,
@@ -68,18 +69,18 @@
     ) -> None:
         """Starts to lead under the fencing token `token`.
 
-        `types` are the machine types from the book: without them a leader that starts while the
-        cloud is unreachable could plan nothing until it has read the catalogue. `former` is this
-        controller's leader under an earlier token; what it learnt of the fleet and of run times
-        remains valid. Otherwise a leader that renews its token to fence off one of its own
-        writes, just before the cloud fails, plans no round for a minute (see
+        `types` are the machine types from the replica: without them a leader that starts while the
+        cloud is unreachable could plan nothing until it has read the catalogue. `previous_leader`
+        is this controller's leader under an earlier token; what it learnt of the fleet and of
+        run times remains valid. Otherwise a leader that renews its token to fence off one of its
+        own writes, just before the cloud fails, plans no round for a minute (see
         `docs/incidents/ramdin-curepipe-next-rounds.md`)."""
         self.token = token
         self._replica = replica
         self._settings = settings
         self._teams = {team.name: team for team in settings.settings.teams}
         self._views = ShardViews(replica, settings)
-        self._silences = SilentMachines(settings)
+        self._silent_machines = SilentMachines(settings)
         self.fleet: Fleet = (
             Fleet(settings, now) if previous_leader is None else previous_leader.fleet
         )
@@ -95,20 +96,20 @@
         self._preemption = Preemption(replica, settings, self.estimates, self._policy)
         self._urgencies = Urgencies(replica, settings, self.estimates, ())
         lease_s = settings.settings.workers.lease_s
-        self._held: RetryBackoff = (
+        self._retry_backoff: RetryBackoff = (
             RetryBackoff(lease_s, MAX_RETRY_PAUSE_LEASES * lease_s)
             if previous_leader is None
-            else previous_leader._held
+            else previous_leader._retry_backoff
         )
 
     def on_shard_view(self, view: ShardView, now: float) -> ShardOrders:
-        """Takes in an owner's view of its part; returns the orders for that owner.
+        """Takes in an owner's view of its shard; returns the orders for that owner.
 
         The answer asks for a full view (`resync`) if this one is outdated or is a delta to a
         view that this leader does not have."""
         if self._views.is_outdated(view):
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
-        self._silences.on_view(view, now)
+        self._silent_machines.on_view(view, now)
         state = self._views.apply_view(view, now)
         if state is None:
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
@@ -124,8 +125,8 @@
             to_retire,
             released_machines,
             evict,
-            unreported=self._silences.unreported(view.shard),
-            failing_jobs=self._held.newest(MAX_FAILING_JOBS_SENT),
+            unreported=self._silent_machines.unreported(view.shard),
+            failing_jobs=self._retry_backoff.newest(MAX_FAILING_JOBS_SENT),
         )
 
     def on_machine_list(self, machines: list[ListedMachine], now: float) -> None:
@@ -145,7 +146,7 @@
             return result
         views = self._views.fresh_shards(now)
         running = running_capacity(self._replica, self.fleet, views, self.estimates, now)
-        diagnoses = self._silences.diagnoses(self.fleet, views, now)
+        diagnoses = self._silent_machines.diagnoses(self.fleet, views, now)
         subtract_in_transit(self._replica, self.estimates, running, views)
         self._update_retry_backoff(views, now)
         guaranteed = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
@@ -163,7 +164,7 @@
             self._policy,
             running,
             wall,
-            self._held,
+            self._retry_backoff,
             now,
         )
         market = Market(
@@ -196,9 +197,9 @@
         if now - self._logged_at > 10:
             self._logged_at = now
             self._log_round(round_plan, jobs, running, market)
-            self._log_verdicts(diagnoses)
-            if self._held:
-                log.info("held back: %s", self._held.describe(now))
+            self._log_diagnoses(diagnoses)
+            if self._retry_backoff:
+                log.info("held back: %s", self._retry_backoff.describe(now))
             if due_by_age:
                 log.info(
                     "first in line because of their age: %d tasks of %d jobs, first %s, "
@@ -220,18 +221,18 @@
         return result
 
     def _update_retry_backoff(self, views: dict[int, ShardState], now: float) -> None:
-        def may_be_mistaken(uid: str) -> bool:
+        def may_be_failing(uid: str) -> bool:
             job = self._replica.live.get(uid)
             return job is not None and not job.is_terminal and not job.done_count
 
-        self._held.keep(may_be_mistaken)
-        told = [
+        self._retry_backoff.keep(may_be_failing)
+        reports = [
             report
             for state in views.values()
             for report in state.failing
-            if may_be_mistaken(report.uid)
+            if may_be_failing(report.uid)
         ]
-        for uid, machines, tries in self._held.on_failing(told, now):
+        for uid, machines, tries in self._retry_backoff.on_failing(reports, now):
             log.warning(
                 "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
                 "one task is retried after %.0f s, then at growing intervals, until it succeeds "
@@ -239,13 +240,13 @@
                 uid,
                 tries,
                 machines,
-                self._held.wait_s(uid, now),
+                self._retry_backoff.wait_s(uid, now),
             )
 
-    def assigned(self, uids: Iterable[str], now: float) -> None:
+    def on_assigned(self, uids: Iterable[str], now: float) -> None:
         """Tasks of these jobs have been assigned; for a held-back job that counts as a retry."""
         for uid in uids:
-            self._held.on_retry(uid, now)
+            self._retry_backoff.on_retry(uid, now)
 
     def _kinds_in_unreachable_zones(
         self, types: dict[str, MachineType]
@@ -253,12 +254,12 @@
         """All kinds of machines in unreachable zones: one rented there could not be used."""
         return {
             (name, zone, spot)
-            for zone in self._silences.unreachable_zones
+            for zone in self._silent_machines.unreachable_zones
             for name in types
             for spot in (True, False)
         }
 
-    def _log_verdicts(self, diagnoses: dict[str, Diagnosis]) -> None:
+    def _log_diagnoses(self, diagnoses: dict[str, Diagnosis]) -> None:
         counts = Counter((v.severity.name.lower(), v.cause.value) for v in diagnoses.values())
         if counts:
             log.info(
--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-# Jobs kept in the book per MB of memory that a controller may use.
+# Jobs kept in the replica per MB of memory that a controller may use.
 JOBS_PER_MB = 10
 
 # After a round the leader pauses for this many times the round's duration, so that planning
@@ -35,7 +35,7 @@
     def __init__(self, context: NodeContext, cloud: CloudClient) -> None:
         self._context = context
         self._cloud = cloud
-        # When this controller's last assignment was committed; the book may not show it yet.
+        # When this controller's last assignment was committed; the replica may not show it yet.
         self._last_commit_at = float("-inf")
 
     async def run_rounds(self) -> None:
@@ -55,8 +55,8 @@
                 ):
                     continue
                 if self._context.syncer.last_read_sent_at < self._last_commit_at:
-                    # In this book the tasks just assigned still look open and would be
-                    # assigned to another part as well, which no guard prevents. That happens
+                    # In this replica the tasks just assigned still look open and would be
+                    # assigned to another shard as well, which no guard prevents. That happens
                     # if the read after an assignment fails (see `tests/test_era_model.py`).
                     try:
                         await self._context.syncer.wait_for_read()
@@ -102,7 +102,7 @@
                 state_revision = await self._context.state.commit(guards, changes, timeout_s=1.0)
                 self._last_commit_at = trio.current_time()
                 self._context.announce_to_owners(state_revision, {shard for (_, shard), _ in batch})
-                leader.assigned({uid for (uid, _), _ in batch}, self._last_commit_at)
+                leader.on_assigned({uid for (uid, _), _ in batch}, self._last_commit_at)
                 written += len(changes)
             except OutcomeUnknown:
                 # The transaction may still be executed. It is guarded by the version of the
@@ -123,8 +123,8 @@
                 return
 
     async def archive(self) -> None:
-        """Moves finished jobs out of the book, deletes records that are no longer needed and
-        looks up the outcomes that the book lacks; never returns."""
+        """Moves finished jobs out of the replica, deletes records that are no longer needed and
+        looks up the outcomes that the replica lacks; never returns."""
         shared = self._context.settings.settings
         limit = int(JOBS_PER_MB * shared.quota.memory_mb)
         ops = self._context.settings.state_limits.txn_ops
@@ -137,14 +137,14 @@
             try:
                 await self._restore_outcomes(leader)
                 for job in archive.jobs_to_archive(self._context.replica, limit):
-                    # The book is re-read between the transactions of this loop: by now another
+                    # The replica is re-read between the transactions of this loop: by now another
                     # job may depend on this one.
                     if job.spec.uid not in self._context.replica.dependents:
                         guards, changes = archive.archive_job(job, shared.nodes)
                         if not writes.has(len(changes), self._background_reserve(limit)):
                             break
                         await self._commit(leader, guards, changes, self._background_reserve(limit))
-                # Groups that fit between the idle reserve and a full token bucket: a larger
+                # Groups that fit between the background reserve and a full token bucket: a larger
                 # one would be let through only when the bucket is full.
                 count = max(1, min(ops, int((1 - RESERVE_BACKGROUND) * writes.burst)))
                 while (
@@ -156,7 +156,7 @@
 
     def _background_reserve(self, limit: int) -> float:
         """The share of the write budget that archiving leaves to others: it comes last when
-        writes are scarce, unless the book is more than twice as large as its limit."""
+        writes are scarce, unless the replica is more than twice as large as its limit."""
         return (
             RESERVE_DEFAULT if len(self._context.replica.jobs) > 2 * limit else RESERVE_BACKGROUND
         )
@@ -168,6 +168,7 @@
         changes: list[Put | Delete],
         reserve: float = RESERVE_DEFAULT,
     ) -> None:
+        """Commits changes, guarded by the leader's record, and waits until they have been read."""
         guards[LEADER_KEY] = leader.token
         self._context.announce_write(
             await self._context.state.commit(guards, changes, timeout_s=1.0, reserve=reserve)
@@ -175,10 +176,10 @@
         await self._context.syncer.wait_for_read()
 
     async def _restore_outcomes(self, leader: Leader) -> None:
-        """Restores missing outcomes of archived jobs to the book.
+        """Restores missing outcomes of archived jobs to the replica.
 
-        A job may be recorded late, after a job that it depends on has left the book; whoever
-        reads only the book needs that job's outcome."""
+        A job may be recorded late, after a job that it depends on has left the replica; whoever
+        reads only the replica needs that job's outcome."""
         for uid in sorted(self._context.replica.unresolved_needs):
             archived = await self._context.state.get(archive_key(uid), timeout_s=1.0)
             if archived is not None:
@@ -186,7 +187,7 @@
                 await self._commit(leader, {outcome_key(uid): 0}, [change])
 
     async def _renew_leader_record(self, leader: Leader) -> None:
-        """Renews the leader's record and re-reads the book, retrying while still the leader."""
+        """Renews the leader's record and re-reads the replica, retrying while still the leader."""
         while self._context.leader is leader:
             try:
                 await self._context.controller_lease.renew_leader(leader.token)
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -1,4 +1,4 @@
-"""The owners' views of their parts as the leader has received them, and how old they are.
+"""The owners' views of their shards as the leader has received them, and how old they are.
 
 No I/O and no clock.
 """
@@ -13,7 +13,7 @@
 
 
 class ObservedMachine:
-    """A machine as the owner of its part last described it, with what its tasks take."""
+    """A machine as the owner of its shard last described it, with what its tasks take."""
 
     __slots__ = (
         "cpus",
@@ -30,7 +30,7 @@
         self.view = view
         self.received_at = received_at
         self.cpus = self.memory_gb = self.gpus = 0.0  # taken by its tasks
-        self.jobs_known = True  # whether the book has the jobs of all of its tasks
+        self.jobs_known = True  # whether the replica has the jobs of all of its tasks
         self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the last of them ends)
         # (job class, estimate, when the last ends, tasks; CPUs, GB and GPUs of each)
         self.ending_tasks: list[tuple[str, float, float, int, float, float, float]] = []
@@ -59,7 +59,7 @@
 
 
 class ShardState:
-    """What the leader knows of a part: its owner's last full view and the deltas since."""
+    """What the leader knows of a shard: its owner's last full view and the deltas since."""
 
     __slots__ = (
         "failing",
@@ -74,7 +74,7 @@
     )
 
     def __init__(self, node: str, token: int, listening_since: float) -> None:
-        # When this owner's first view arrived; it has listened to the part's machines since.
+        # When this owner's first view arrived; it has listened to the shard's machines since.
         self.listening_since = listening_since
         self.node = node
         self.token = token
@@ -90,7 +90,7 @@
 
 
 class ShardViews:
-    """The states of all parts, by the latest views of their owners."""
+    """The states of all shards, by the latest views of their owners."""
 
     def __init__(self, replica: StateReplica, settings: Settings) -> None:
         self._replica = replica
@@ -106,7 +106,7 @@
         return state is not None and (view.token, view.seq) <= (state.token, state.seq)
 
     def apply_view(self, view: ShardView, now: float) -> ShardState | None:
-        """Applies a view and returns the state of its part.
+        """Applies a view and returns the state of its shard.
 
         Returns None for a delta to a view that is not known here, because an answer to the owner
         was lost or this leader is new. Then the owner has to send a full view."""
@@ -131,7 +131,7 @@
         return state
 
     def refresh_jobs(self) -> None:
-        """Looks up all jobs again after a full read of the book, which replaces its objects."""
+        """Looks up all jobs again after a full read of the replica, which replaces its objects."""
         if self._full_read_count != self._replica.full_read_count:
             self._full_read_count = self._replica.full_read_count
             for state in self._states.values():
@@ -141,7 +141,7 @@
                     )
 
     def fresh_shards(self, now: float) -> dict[int, ShardState]:
-        """The parts, by number, whose present owner sent a view within the longest ordinary
+        """The shards, by number, whose present owner sent a view within the longest ordinary
         pause between reports."""
         views: dict[int, ShardState] = {}
         for shard, state in self._states.items():
@@ -155,7 +155,7 @@
         return views
 
     def heard_recently(self, shard: int, name: str, now: float) -> bool:
-        """Whether the part's owner has heard from a machine within its lease, by a recent view."""
+        """Whether the shard's owner has heard from a machine within its lease, by a recent view."""
         state = self._states.get(shard)
         if state is None or now - state.received_at > self._settings.report_gap_s:
             return False
--- a/ryegauge/coordination/silent_machines.py
+++ b/ryegauge/coordination/silent_machines.py
@@ -1,4 +1,4 @@
-"""The leader's verdicts on silent machines, from the views of all owners and the cloud's list.
+"""The leader's diagnoses of silent machines, from the views of all owners and the cloud's list.
 No I/O and no clock."""
 
 import math
@@ -45,10 +45,10 @@
     def diagnoses(
         self, fleet: Fleet, views: dict[int, ShardState], now: float
     ) -> dict[str, Diagnosis]:
-        """The verdicts on all machines that are not well, by name, in the parts with a recent
-        view: machines that their owners show as silent, and machines listed as running that
-        are not in the view at all, because their lease ran out or a new owner has not heard
-        from them yet. Also updates `cut` and the machines to probe (`unheard`)."""
+        """The diagnoses of all machines that are not healthy, by name, in the shards with a recent
+        view: machines that their owners show as silent, and machines listed as running that are
+        not in the view at all, because their lease ran out or a new owner has not heard from
+        them yet. Also updates `unreachable_zones` and the machines to probe (`unreported`)."""
         keep_s = 2 * self._limits.lease_s
         self._foreign_reports = {
             name: at for name, at in self._foreign_reports.items() if now - at < keep_s
@@ -97,7 +97,7 @@
         return result
 
     def unreported(self, shard: int) -> list[tuple[str, str]]:
-        """(name, address) of a part's machines that are silent and not shown by its owner."""
+        """(name, address) of a shard's machines that are silent and not shown by its owner."""
         return self._unreported.get(shard, [])
 
     def _diagnose(
--- a/ryegauge/coordination/task_assignment.py
+++ b/ryegauge/coordination/task_assignment.py
@@ -1,5 +1,5 @@
 """Which jobs get capacity: their open tasks in order of precedence, within their teams' limits,
-and the resulting assignments to parts. Pure functions of the book."""
+and the resulting assignments to shards. Pure functions of the replica."""
 
 import math
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from ryegauge.scheduling.estimates import Estimates
 from ryegauge.scheduling.planner import EPSILON, Demand, MachineCapacity, Plan
 
-# Size of a share's record without its ranges: field names, and zones if they are recorded.
+# Size of an assignment's record without its ranges: field names, and zones if they are recorded.
 RECORD_OVERHEAD_BYTES = 256
 
 
@@ -53,7 +53,7 @@
     policy: Policy,
     running: list[MachineCapacity],
     wall: float,
-    held: RetryBackoff,
+    retry_backoff: RetryBackoff,
     now: float,
 ) -> tuple[list[Demand], dict[str, Job]]:
     """Demands for the open tasks within their teams' limits, in the policy's order of
@@ -74,7 +74,7 @@
             and job.ready
             and job.open_tasks
             and name in teams
-            and held.wait_s(uid, now) <= 0
+            and retry_backoff.wait_s(uid, now) <= 0
         ):
             open_jobs[uid] = job
     totals = FleetTotals(running) if policy.uses_ageing else None
@@ -116,7 +116,7 @@
         spec = job.spec
         team = teams[spec.team]
         count = left[uid] if max_tasks is None else min(left[uid], max_tasks)
-        if uid in held:
+        if uid in retry_backoff:
             if uid in retried:
                 continue
             retried.add(uid)
@@ -131,7 +131,7 @@
         left[uid] -= count
         demand = make_demand(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
         demand.reserve_within_s, demand.due_by_age = reserve_within_s, max_tasks is not None
-        demand.may_rent = uid not in held
+        demand.may_rent = uid not in retry_backoff
         demands.append(demand)
     return demands, open_jobs
 
@@ -190,9 +190,9 @@
 def assign_tasks(
     round_plan: Plan, jobs: dict[str, Job], value_bytes: int
 ) -> dict[tuple[str, int], Assignment]:
-    """The new shares, by (job UID, part), of the parts to which the plan assigns more tasks.
+    """The new assignments, by (job UID, shard), where the plan gives a shard more tasks of a job.
 
-    No share grows beyond a record of `value_bytes`; tasks that do not fit stay open."""
+    No assignment's record grows beyond `value_bytes`; tasks that do not fit stay open."""
     result: dict[tuple[str, int], Assignment] = {}
     newly_assigned: dict[str, Ranges] = {}
     for placement in round_plan.placements:
@@ -221,7 +221,7 @@
 
 
 def _tasks_fitting_record(job: Job, assignment: Assignment | None, value_bytes: int) -> int:
-    """How many more tasks a share may get so that its record stays within `value_bytes`, the
+    """How many more tasks an assignment may get so that its record stays within `value_bytes`, the
     state service's limit, in whatever order the tasks end: each may become a range of its own,
     among the assigned or among the done ones."""
     limit = value_bytes - RECORD_OVERHEAD_BYTES
--- a/ryegauge/coordination/urgency.py
+++ b/ryegauge/coordination/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent the jobs in the book are, taking into account the jobs that depend on them."""
+"""How urgent the jobs in the replica are, taking into account the jobs that depend on them."""
 
 from collections.abc import Iterable
 
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -95,7 +95,7 @@
     one_zone: bool = False
     # All tasks start at once, either all on spot machines or all on on-demand ones.
     gang: bool = False
-    # Parts that tasks of the job are assigned to already.
+    # Shards that tasks of the job are assigned to already.
     assigned_shards: frozenset[int] = frozenset()
     # CPUs of the larger tasks that exist, ascending: free capacity that one of them fits into
     # is broken up last.
@@ -189,7 +189,7 @@
     - capacity that larger tasks cannot use;
     - machines that have the image;
     - the smallest machine types;
-    - few parts, since each part's share of a job is a record of its own;
+    - few shards, since each shard's assignment of a job is a record of its own;
     - the fullest machines, so that others become idle.
     """
     if demand.count <= 0:
@@ -260,8 +260,8 @@
 
 
 def _rank_shards(demand: Demand, machines: list[MachineCapacity]) -> dict[int, int]:
-    """The rank of each part for a demand, chosen so that few parts get tasks of its job: first
-    parts that already have some, then the one with the least capacity that fits all, then
+    """The rank of each shard for a demand, chosen so that few shards get tasks of its job: first
+    shards that already have some, then the one with the least capacity that fits all, then
     those with the most."""
     fitting: dict[int, int] = {}
     for machine in machines:
@@ -406,10 +406,10 @@
 def _place_in_single_shards(
     demands: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
 ) -> None:
-    """Places each demand in a single part first, the one that can take most of it.
+    """Places each demand in a single shard first, the one that can take most of it.
 
-    A part's share of a job is a record. If many records have to be written for few tasks each,
-    machines stay idle while tasks wait for their assignment to be written."""
+    A shard's assignment of a job is a record. If many records have to be written for few tasks
+    each, machines stay idle while tasks wait for their assignment to be written."""
     by_shard: dict[int, list[MachineCapacity]] = {}
     for machine in running:
         if machine.cpus > EPSILON:
--- a/ryegauge/scheduling/takeback_share.py
+++ b/ryegauge/scheduling/takeback_share.py
@@ -1,5 +1,5 @@
-"""The take-back share: which part of recent spot machine time was on machines that the cloud has
-reclaimed since."""
+"""The take-back share: the share of recent spot machine time that was spent on machines which the
+cloud has reclaimed since."""
 
 
 class TakebackShare:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader's decisions, with hand-made views of the parts and lists from the cloud."""
+"""The leader's decisions, with hand-made views of the shards and lists from the cloud."""
 
 import msgspec
 import pytest
@@ -28,7 +28,7 @@
 
 
 class LeaderHarness:
-    """A leader with a book of its own and three parts, whose machines are set by hand."""
+    """A leader with a replica of its own and three shards, whose machines are set by hand."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -44,17 +44,17 @@
         # Silent machine -> the outcome of probing it, the same from two controllers.
         self.probe_outcomes: dict[str, str] = {}
         self.foreign_reports: list[tuple[str, float]] = []
-        self.failing: list[tuple[str, int, int]] = []  # as reported by the owner of part 0
-        self.view_seqs: dict[int, int] = {}  # part -> sequence number of its latest view
+        self.failing: list[tuple[str, int, int]] = []  # as reported by the owner of shard 0
+        self.view_seqs: dict[int, int] = {}  # shard -> sequence number of its latest view
         self.now = NOW
 
     def shard_of(self, name: str) -> int:
-        """The part that a machine belongs to."""
-        # No controller of the test's settings is in zone c, so any part may get the machine.
+        """The shard that a machine belongs to."""
+        # No controller of the test's settings is in zone c, so any shard may get the machine.
         return self.parting.shard_of(name, "c")
 
     def put(self, key: str, value: object) -> None:
-        """Writes a record to the book at the next revision."""
+        """Writes a record to the replica at the next revision."""
         self.revision += 1
         self.replica.apply([Event(key, value, self.revision)], self.revision)
 
@@ -63,7 +63,7 @@
         self.put(job_key(uid), job_record(parse_job(job_body(uid, **changes)), self.now, False))
 
     def allot(self, uid: str, shard: int, tasks: list[int], zone: str = "") -> None:
-        """Records that these tasks of a job are assigned to a part."""
+        """Records that these tasks of a job are assigned to a shard."""
         flat = [bound for i in tasks for bound in (i, i + 1)]
         self.put(assignment_key(uid, shard), {"t": {zone: flat}, "d": []})
 
@@ -87,7 +87,7 @@
     def view(
         self, shard: int, machines: list[MachineView], *, base: int = 0, **more: object
     ) -> ShardView:
-        """The next view of a part, by default a full one."""
+        """The next view of a shard, by default a full one."""
         self.view_seqs[shard] = seq = self.view_seqs.get(shard, 0) + 1
         return ShardView(
             "node-0",
@@ -101,7 +101,7 @@
         )
 
     def views(self) -> list[tuple[str, str, int]]:
-        """Sends full views of all parts to the leader; returns the evictions it orders."""
+        """Sends full views of all shards to the leader; returns the evictions it orders."""
         evicted = []
         for shard in range(3):
             shard_machines = [m for n, m in self.machines.items() if self.shard_of(n) == shard]
@@ -239,7 +239,7 @@
 
 
 def test_silent_machines_are_released_unless_many_are_silent(harness: LeaderHarness) -> None:
-    """A lost machine's tasks can restart once its release is confirmed. If half of a part is
+    """A lost machine's tasks can restart once its release is confirmed. If half of a shard is
     silent, its owner may be cut off, and releasing the machines would lose all their tasks."""
     names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
     for name in names:
@@ -256,7 +256,7 @@
 def test_dead_machines_are_released_if_a_second_controller_cannot_reach_them(
     harness: LeaderHarness,
 ) -> None:
-    """If more than a quarter of a part was silent, no machine of it was released until the cloud
+    """If more than a quarter of a shard was silent, no machine of it was released until the cloud
     listed the dead ones as failed, 35 to 45 s later. They are released after three missed
     reports if a second controller cannot reach them either and the cloud has no more."""
     names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
@@ -540,7 +540,7 @@
     harness.allot("wk-000002", 0, [0, 1])
     harness.now += lease_s + 0.1
     assert harness.round() == {"wk-000001": 1}
-    harness.leader.assigned(["wk-000001"], harness.now)
+    harness.leader.on_assigned(["wk-000001"], harness.now)
     assert harness.round() == {}
     # A task that succeeds shows that the job was not at fault.
     harness.put(assignment_key("wk-000001", 1), {"t": {}, "d": [0, 1]})
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -1,4 +1,4 @@
-"""Pipelines in the job book and in the planner, against slow reference models."""
+"""Pipelines in the state replica and in the planner, against slow reference models."""
 
 import math
 import random
@@ -83,7 +83,7 @@
     assert found == Urgency(1e6 - 2.0 * length, 3)
 
 
-# -- the book ----------------------------------------------------------------------------
+# -- the replica -------------------------------------------------------------------------
 
 
 class ReferenceModel:
@@ -129,8 +129,8 @@
 
 @given(st.integers(0, 10_000))
 def test_derived_job_states_agree_with_a_reference_model(seed: int) -> None:
-    """After each of a random sequence of submissions, assignments, ends and cancellations the book
-    agrees with the reference model, and so does a book that reads all records in another
+    """After each of a random sequence of submissions, assignments, ends and cancellations the
+    replica agrees with the reference model, and so does one that reads all records in another
     order."""
     rng = random.Random(seed)
     replica, reference = StateReplica(), ReferenceModel()
@@ -224,7 +224,7 @@
     assert "awaits" not in job.view()
 
 
-# -- leaving the book ---------------------------------------------------------------------
+# -- leaving the replica ------------------------------------------------------------------
 
 
 def test_dependencies_are_archived_after_their_dependents() -> None:
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize("outcome", ["done", "cancelled"])
 def test_a_job_recorded_after_its_dependency_was_archived(outcome: str) -> None:
     """A submission may be recorded so late that its dependency has been archived. The outcome of
-    that one has to be looked up: by the book alone the job would wait forever."""
+    that one has to be looked up: by the replica alone the job would wait forever."""
     replica = StateReplica()
     records: dict[str, tuple[object, int]] = {}
     spec = parse_job(job_body(job_uid(2), awaits=[job_uid(1)]))
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -283,9 +283,9 @@
 
 
 def test_with_a_write_backlog_each_job_uses_one_part_first() -> None:
-    """Jobs spread over all parts take one record in each of them for a few tasks, and hundreds of
+    """Jobs spread over all shards take one record in each of them for a few tasks, and hundreds of
     placed tasks waited for the state service's write rate. Tasks that do not fit into one
-    part are placed as usual, so that no capacity stays unused."""
+    shard are placed as usual, so that no capacity stays unused."""
 
     def machines(cpus: float) -> list[MachineCapacity]:
         capacities = [capacity(f"m-{shard}", LARGE) for shard in range(2)]
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -1,7 +1,7 @@
 """An explicit-state model of one task, its owner, a second controller, the worker and the cloud.
 
 In every order of events, up to a bounded time, the task is started elsewhere only when it has
-certainly ended; the real verdicts decide about the release. Seeded faults are found.
+certainly ended; the real diagnosis decides about the release. Seeded faults are found.
 """
 
 from collections import deque
@@ -42,7 +42,7 @@
 
 
 def severity(state: State) -> Severity:
-    """The verdict's grade for the machine, by what the owner knows."""
+    """The severity of the machine's silence, by what the owner knows."""
     silent_s = float(state.now - state.last_report_at)
     probes = [
         ProbeResult(by, ProbeOutcome.NO_CONNECTION, float(state.now))
@@ -105,7 +105,7 @@
     if state.release_state == "executed":
         yield state._replace(release_state="answered", may_restart=True)
     surely_over = state.now > state.last_report_at + LEASE_S - (1 if fault == "early" else 0)
-    if surely_over or (fault == "verdict" and severity(state) >= Severity.LOST):
+    if surely_over or (fault == "diagnosis" and severity(state) >= Severity.LOST):
         yield state._replace(may_restart=True)
     if state.may_restart and not state.restarted:
         yield state._replace(restarted=True)
@@ -131,9 +131,9 @@
     assert states > 10_000
 
 
-@pytest.mark.parametrize("fault", ["verdict", "sent", "unanswered", "early"])
+@pytest.mark.parametrize("fault", ["diagnosis", "sent", "unanswered", "early"])
 def test_seeded_faults_are_found(fault: str) -> None:
-    """Faults: a machine counts as gone once its verdict is lost (`verdict`), once its release was
-    requested (`sent`) or was not answered (`unanswered`); a lease is counted one second short
-    (`early`)."""
+    """Faults: a machine counts as gone once its diagnosis is severe enough (`diagnosis`), once its
+    release was requested (`sent`) or was not answered (`unanswered`); a lease is counted one
+    second short (`early`)."""
     assert explore(fault)[0] is not None
