--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -360,13 +360,13 @@
                 # is new, or cannot reach the owner. Releasing it would lose its tasks. The same
                 # goes for one listed as starting, since the list lags: its owner's view has to
                 # come first.
-                may_be_unreported = machine.shard not in views or (
+                may_have_reported = machine.shard not in views or (
                     machine.listed_running_since is not None
                     and now - max(machine.listed_running_since, self._since)
                     < 2 * self._settings.settings.workers.lease_s
                 )
                 expected = self._expected_boots.get(machine.name)
-                if expected is not None and expected.is_given_up and not may_be_unreported:
+                if expected is not None and expected.is_given_up and not may_have_reported:
                     releases.append(machine.name)
             elif view is None:
                 continue
@@ -399,9 +399,9 @@
         It is charged and of no use meanwhile. Without this limit a machine that reaches no
         controller but answers probes is kept for as long as that lasts. Only for a machine that
         is silent alone: if many are, they have a common cause and may come back together."""
-        hope_s = RECOVERY_LEASES * self._settings.max_lease_s
+        recovery_s = RECOVERY_LEASES * self._settings.max_lease_s
         return (
             diagnosis.silent_alone
             and machine.last_report_at is not None
-            and now - machine.last_report_at > hope_s
+            and now - machine.last_report_at > recovery_s
         )
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -112,8 +112,8 @@
         was lost or this leader is new. Then the owner has to send a full view."""
         state = self._states.get(view.shard)
         if view.base == 0:
-            same = state is not None and state.token == view.token
-            listening_since = state.listening_since if state is not None and same else now
+            same_owner = state is not None and state.token == view.token
+            listening_since = state.listening_since if state is not None and same_owner else now
             state = self._states[view.shard] = ShardState(view.node, view.token, listening_since)
         elif state is None or (state.token, state.seq) != (view.token, view.base):
             return None
@@ -122,7 +122,7 @@
             now,
             dict(view.pending_removal),
         )
-        state.silences = {name: (stood_s, probes) for name, stood_s, probes in view.silences}
+        state.silences = {name: (stalled_s, probes) for name, stalled_s, probes in view.silences}
         state.failing = [FailingJob(*entry) for entry in view.failing]
         for name in view.gone:
             state.machines.pop(name, None)
@@ -135,9 +135,9 @@
         if self._full_read_count != self._replica.full_read_count:
             self._full_read_count = self._replica.full_read_count
             for state in self._states.values():
-                for name, shown in state.machines.items():
+                for name, observed in state.machines.items():
                     state.machines[name] = ObservedMachine(
-                        shown.view, shown.received_at, self._replica
+                        observed.view, observed.received_at, self._replica
                     )
 
     def fresh_shards(self, now: float) -> dict[int, ShardState]:
@@ -159,6 +159,6 @@
         state = self._states.get(shard)
         if state is None or now - state.received_at > self._settings.report_gap_s:
             return False
-        shown = state.machines.get(name)
+        observed = state.machines.get(name)
         lease_s = self._settings.settings.workers.lease_s
-        return shown is not None and shown.view.silent_s < lease_s
+        return observed is not None and observed.view.silent_s < lease_s
--- a/ryegauge/coordination/task_assignment.py
+++ b/ryegauge/coordination/task_assignment.py
@@ -65,10 +65,10 @@
     used_gpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     open_jobs: dict[str, Job] = {}
     for uid, job in replica.live.items():
-        n = job.assigned_count
+        assigned_count = job.assigned_count
         name = job.spec.team
-        used_cpus[name] = used_cpus.get(name, 0.0) + n * job.spec.cpus
-        used_gpus[name] = used_gpus.get(name, 0.0) + n * job.spec.gpus
+        used_cpus[name] = used_cpus.get(name, 0.0) + assigned_count * job.spec.cpus
+        used_gpus[name] = used_gpus.get(name, 0.0) + assigned_count * job.spec.gpus
         if (
             not job.is_terminal
             and job.ready
@@ -106,16 +106,16 @@
         name: TeamHeadroom(team.cpu_limit - used_cpus[name], team.gpu_limit - used_gpus[name])
         for name, team in teams.items()
     }
-    holding = [] if totals is None else holdings(replica, urgencies, totals)
+    assigned_tasks = [] if totals is None else finite_assigned_tasks(replica, urgencies, totals)
     demands: list[Demand] = []
     sizes = task_sizes(replica)
-    left = {job.uid: job.open_task_count for job in waiting}
+    remaining = {job.uid: job.open_task_count for job in waiting}
     retried: set[str] = set()
-    for uid, max_tasks, reserve_within_s in policy.order(waiting, holding, headroom, wall):
+    for uid, max_tasks, reserve_within_s in policy.order(waiting, assigned_tasks, headroom, wall):
         job = open_jobs[uid]
         spec = job.spec
         team = teams[spec.team]
-        count = left[uid] if max_tasks is None else min(left[uid], max_tasks)
+        count = remaining[uid] if max_tasks is None else min(remaining[uid], max_tasks)
         if uid in retry_backoff:
             if uid in retried:
                 continue
@@ -124,11 +124,11 @@
         count = _fitting_count(count, spec.cpus, team.cpu_limit - used_cpus[team.name])
         count = _fitting_count(count, spec.gpus, team.gpu_limit - used_gpus[team.name])
         zones = zone_limits(job)
-        if count <= 0 or (spec.kind == "gang" and count < left[uid]):
+        if count <= 0 or (spec.kind == "gang" and count < remaining[uid]):
             continue
         used_cpus[team.name] += count * spec.cpus
         used_gpus[team.name] += count * spec.gpus
-        left[uid] -= count
+        remaining[uid] -= count
         demand = make_demand(job, count, zones, estimates, urgencies.latest_finish(job), sizes)
         demand.reserve_within_s, demand.due_by_age = reserve_within_s, max_tasks is not None
         demand.may_rent = uid not in retry_backoff
@@ -147,29 +147,29 @@
     """The total CPUs, memory and GPUs of all running machines."""
 
     def __init__(self, running: list[MachineCapacity]) -> None:
-        self._cpus = sum(room.type.cpus for room in running)
-        self._memory_gb = sum(room.type.memory_gb for room in running)
-        self._gpus = sum(room.type.gpus for room in running)
+        self._cpus = sum(capacity.type.cpus for capacity in running)
+        self._memory_gb = sum(capacity.type.memory_gb for capacity in running)
+        self._gpus = sum(capacity.type.gpus for capacity in running)
 
     def weight(self, spec: JobSpec) -> float:
         """The largest share of any resource of the fleet that one task takes, 1.0 for a resource
         that the fleet does not have."""
         return (
             max(
-                shard / whole if whole > 0 else 1.0
-                for shard, whole in (
+                needed / total if total > 0 else 1.0
+                for needed, total in (
                     (spec.cpus, self._cpus),
                     (spec.memory_gb, self._memory_gb),
                     (spec.gpus, self._gpus),
                 )
-                if shard > 0
+                if needed > 0
             )
             if spec.cpus or spec.memory_gb or spec.gpus
             else 0.0
         )
 
 
-def holdings(
+def finite_assigned_tasks(
     replica: StateReplica, urgencies: Urgencies, totals: FleetTotals
 ) -> list[AssignedTasks]:
     """What counts against the share of the fleet reserved for aged jobs: the assigned tasks of
