--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -65,10 +65,10 @@
     ) -> None:
         """Requests machines in calls of at most 50 each, as far as the cloud's rate allows; the
         next round plans the rest again."""
-        left = rental.count
-        while left > 0 and self._rate_budget.try_take():
-            batch = Rental(rental.type, rental.zone, rental.spot, min(left, 50))
-            left -= batch.count
+        remaining = rental.count
+        while remaining > 0 and self._rate_budget.try_take():
+            batch = Rental(rental.type, rental.zone, rental.spot, min(remaining, 50))
+            remaining -= batch.count
             leader.fleet.on_rental_sent(batch, now)
             nursery.start_soon(self._rent, leader, batch)
 
@@ -86,7 +86,7 @@
                 "POST", "/hosts", body, timeout_s=self._timeout_s
             )
         except Unreachable as error:
-            log.info("renting %s: outcome unknown: %s", rental, error)
+            log.info("renting %s: no answer, so the outcome is unknown: %s", rental, error)
             return  # its machines are expected until they are listed or certainly do not exist
         now = trio.current_time()
         if status == 200:
@@ -96,7 +96,7 @@
         elif status == 503 and isinstance(answer, dict) and answer.get("error") == "no capacity":
             leader.fleet.on_rental_refused(rental, now, drop_pending=True)
         else:
-            log.info("renting %s: status %d", rental, status)
+            log.info("renting %s failed: the cloud answered with status %d", rental, status)
             leader.fleet.on_rental_failed(rental)
 
     async def _release(self, leader: Leader, names: list[str]) -> None:
@@ -106,7 +106,7 @@
                 "POST", "/hosts/release", {"hosts": names}, timeout_s=self._timeout_s
             )
         except Unreachable as error:
-            log.info("releasing %s: outcome unknown: %s", names, error)
+            log.info("releasing %s: no answer, so the outcome is unknown: %s", names, error)
             return
         finally:
             self._releasing.difference_update(names)
@@ -114,7 +114,7 @@
             log.info("released %s", ", ".join(names))
             leader.fleet.on_released(names, trio.current_time())
         else:
-            log.info("releasing %s: status %d", names, status)
+            log.info("releasing %s failed: the cloud answered with status %d", names, status)
 
     @property
     def _timeout_s(self) -> float:
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -117,13 +117,13 @@
             guaranteed = uid in guaranteed_jobs and waited_s > GUARANTEE_BOOTS * boot_s
             if zone_limits(job) is not None or job.spec.types is not None or job.spec.gpus:
                 continue
-            claim = PreemptionRequest(job.spec.team, rank_of(job), guaranteed, waited_s)
-            if policy.may_request_preemption(claim, lowest_rank):
-                waiting.append((job, count, claim))
+            request = PreemptionRequest(job.spec.team, rank_of(job), guaranteed, waited_s)
+            if policy.may_request_preemption(request, lowest_rank):
+                waiting.append((job, count, request))
         if not waiting:
             return
         victims = self._find_victims(now, wall, views, urgencies, boot_s, guaranteed_jobs)
-        for job, count, claim in waiting:
+        for job, count, request in waiting:
             uid = job.spec.uid
             for victim in victims:
                 if count <= 0:
@@ -133,7 +133,7 @@
                     victim.count <= 0
                     or victim.job is job
                     or (victim.machine.spot and not job.spec.spot)
-                    or not policy.may_preempt(claim, victim.running)
+                    or not policy.may_preempt(request, victim.running)
                 ):
                     continue
                 fits_per_victim = min(
@@ -152,12 +152,12 @@
                     "evicting %d tasks of %s on %s for %s", evict_count, spec.uid, machine, uid
                 )
             if count > 0 and policy.preempts_long_running:
-                self._evict_several(job, claim, count, victims, types, now)
+                self._evict_several(job, request, count, victims, types, now)
 
     def _evict_several(
         self,
         job: Job,
-        claim: PreemptionRequest,
+        request: PreemptionRequest,
         count: int,
         victims: list[Victim],
         types: dict[str, MachineType],
@@ -175,7 +175,7 @@
                 victim.count > 0
                 and victim.job is not job
                 and not (victim.machine.spot and not job.spec.spot)
-                and self._policy.may_preempt(claim, victim.running)
+                and self._policy.may_preempt(request, victim.running)
             ):
                 by_machine.setdefault(victim.machine.name, []).append(victim)
         selections: list[tuple[float, str, list[tuple[Victim, int]]]] = []
@@ -186,8 +186,8 @@
                 and (selection := _sufficient_victims(job, on_machine, type_)) is not None
             ):
                 lost_cpu_s = sum(
-                    n * victim.job.spec.cpus * max(0.0, victim.running.elapsed_s)
-                    for victim, n in selection
+                    evict_count * victim.job.spec.cpus * max(0.0, victim.running.elapsed_s)
+                    for victim, evict_count in selection
                 )
                 selections.append((lost_cpu_s, name, selection))
         selections.sort(key=lambda selection: selection[:2])
@@ -231,11 +231,11 @@
             for observed in state.machines.values():
                 if not observed.view.open:
                     continue
-                for job, count, until in observed.tasks:
+                for job, count, ends_at in observed.tasks:
                     if job.is_terminal or job.spec.kind != "sweep":
                         continue
                     run_s = self._estimates.run_s(job.spec.job_class, job.spec.estimate_s)
-                    left_s = max(0.0, until - now)
+                    left_s = max(0.0, ends_at - now)
                     elapsed_s = run_s - left_s
                     slack_s = urgencies.latest_finish(job) - wall - run_s
                     recent = elapsed_s < RECENT_RUN_SHARE * run_s and slack_s > boot_s
@@ -243,10 +243,10 @@
                         continue
                     uid, rank = job.spec.uid, urgencies.rank(job)
                     if policy.uses_ageing and uid not in is_protected_by_age:
-                        held = AssignedTasks(
+                        assigned_tasks = AssignedTasks(
                             rank, job.ready_at, job.done_count, job.assigned_count, 0.0
                         )
-                        is_protected_by_age[uid] = policy.is_protected_by_age(held, wall)
+                        is_protected_by_age[uid] = policy.is_protected_by_age(assigned_tasks, wall)
                     running = RunningTasks(
                         job.spec.team,
                         rank,
--- a/ryegauge/scheduling/estimates.py
+++ b/ryegauge/scheduling/estimates.py
@@ -16,9 +16,9 @@
     completed tasks show the direction.
     """
 
-    def __init__(self, prior: float = 4.0) -> None:
-        """The user's estimate counts as much as `prior` completed tasks."""
-        self._prior_weight = prior
+    def __init__(self, prior_weight: float = 4.0) -> None:
+        """The user's estimate counts as much as `prior_weight` completed tasks."""
+        self._prior_weight = prior_weight
         self._log_ratios: dict[str, tuple[float, float]] = {}
         self._squares: dict[str, tuple[float, float, float]] = {}
 
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -2,7 +2,7 @@
 
 The remaining critical path of a job includes the jobs that depend on it (equation 1 of the ECPTR
 paper, with jobs in place of tasks): a job has to finish early enough for each of them to finish in
-time, and is as urgent as the most urgent of them. Jobs that are over do not count.
+time, and is as urgent as the most urgent of them. Finished and cancelled jobs do not count.
 """
 
 from collections.abc import Callable, Iterable
@@ -23,8 +23,8 @@
     path_s: Callable[[str], float],
     computed: dict[str, Urgency],
 ) -> Urgency:
-    """The urgency of the job `start`, from its `own` and that of the jobs `after` it, each of which
-    takes `path_s` seconds. All urgencies computed on the way are stored in `known`.
+    """The urgency of the job `start`, from its own and that of its dependents, each of which takes
+    `path_s` seconds. All urgencies computed on the way are stored in `computed`.
 
     It does not recurse, since pipelines may be longer than the stack allows."""
     stack = [start]
--- a/ryegauge/scheduling/takeback_share.py
+++ b/ryegauge/scheduling/takeback_share.py
@@ -24,7 +24,7 @@
         """The time of the machines reclaimed within the window over the time of all spot machines,
         both counted within the window; 0.0 if there was none."""
         window_start = now - self._window_s
-        self._ended_spans = [span_s for span_s in self._ended_spans if span_s[1] > window_start]
+        self._ended_spans = [span for span in self._ended_spans if span[1] > window_start]
         total_s = sum(now - max(window_start, rented_at) for rented_at in self._rented_at.values())
         reclaimed_s = 0.0
         for rented_at, ended_at, reclaimed in self._ended_spans:
