--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -42,7 +42,7 @@
 def _sufficient_victims(
     job: Job, victims: list[Victim], type_: MachineType
 ) -> list[tuple[Victim, int]] | None:
-    """The victims on one machine, in the given order, whose eviction makes room for one task of
+    """The victims on one machine, in the given order, whose eviction frees enough for one task of
     a job, with how many tasks of each; None if all of them are not enough."""
     cpus = job.spec.cpus - (type_.cpus - victims[0].observed.cpus)
     memory_gb = job.spec.memory_gb - (type_.memory_gb - victims[0].observed.memory_gb)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -33,7 +33,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.replica = StateReplica()
-        self.parting = ShardMap(settings)
+        self.shard_map = ShardMap(settings)
         self.revision = 0
         for shard in range(3):
             self.put(f"r/p/{shard}", {"o": "node-0", "i": "x"})
@@ -51,7 +51,7 @@
     def shard_of(self, name: str) -> int:
         """The shard that a machine belongs to."""
         # No controller of the test's settings is in zone c, so any shard may get the machine.
-        return self.parting.shard_of(name, "c")
+        return self.shard_map.shard_of(name, "c")
 
     def put(self, key: str, value: object) -> None:
         """Writes a record to the replica at the next revision."""
@@ -231,9 +231,9 @@
     """A full view that was delayed on its way replaced everything received since."""
     harness.machine("m-1", zone="c")
     shard = harness.shard_of("m-1")
-    old = harness.view(shard, [])
+    delayed = harness.view(shard, [])
     harness.round()
-    assert harness.leader.on_shard_view(old, harness.now + 60.0).resync
+    assert harness.leader.on_shard_view(delayed, harness.now + 60.0).resync
     harness.job("wk-000001", pieces=1)
     assert harness.leader.round(harness.now, harness.now).new_assignments  # m-1 is still there
 
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -88,7 +88,7 @@
     return nullcontext()
 
 
-def delay_allotment_writes(world: Day) -> AbstractContextManager[None]:
+def delay_assignment_writes(world: Day) -> AbstractContextManager[None]:
     world.network.late_kind = KINDS["allotment"]
     return world.late_writes(0.5)
 
@@ -99,7 +99,7 @@
     "hung": hang,
     "deaf": lambda world: world.deaf(every_third_machine(world)),
     "mute": lambda world: world.mute(every_third_machine(world)),
-    "late allotments": delay_allotment_writes,
+    "late assignments": delay_assignment_writes,
     "lost answers": lambda world: world.late_writes(0.4, at_once=True),
 }
 
@@ -124,7 +124,7 @@
     check_end(play(some_controllers(tmp_path, 3), 31, JOBS, script, 86.0, FLEET))
 
 
-@pytest.mark.parametrize("fault", ["held up", "late allotments"])
+@pytest.mark.parametrize("fault", ["held up", "late assignments"])
 def test_jobs_cancelled_at_the_limit_while_ten_leaders_crash(tmp_path: Path, fault: str) -> None:
     """Ten leaders crash within two minutes, with repeated phases of faults."""
 
