--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -83,62 +83,73 @@
 @given(machines_strategy, demands_strategy)
 def test_place_agrees_with_placing_one_task_at_a_time(
     machines: list[tuple[str, str, bool, int, bool]],
-    wants: list[tuple[int, float, float, bool, str | None, bool, tuple[float, ...]]],
+    requests: list[tuple[int, float, float, bool, str | None, bool, tuple[float, ...]]],
 ) -> None:
     """The reference model tries every machine again for every single task: the earliest
     completion (within a tenth), then spot; among those, capacity that larger tasks leave over,
     then machines with the image, the smallest type, the fullest, the first."""
     capacities = []
     for i, (kind, zone, spot, used, cached) in enumerate(machines):
-        r = capacity(f"m{i}", TYPES[kind], zone, spot)
-        r.cpus -= min(used, r.cpus)
+        machine = capacity(f"m{i}", TYPES[kind], zone, spot)
+        machine.cpus -= min(used, machine.cpus)
         if cached:
-            r.images.add("i")
-        capacities.append(r)
-    plain = [[r.cpus, r.memory_gb, r.type, r.zone, r.spot, "i" in r.images] for r in capacities]
-    for count, cpus, memory, allows_spot, zone, on_demand_only, task_sizes in wants:
+            machine.images.add("i")
+        capacities.append(machine)
+    reference = [
+        [
+            machine.cpus,
+            machine.memory_gb,
+            machine.type,
+            machine.zone,
+            machine.spot,
+            "i" in machine.images,
+        ]
+        for machine in capacities
+    ]
+    for count, cpus, memory_gb, allows_spot, zone, on_demand_only, task_sizes in requests:
         larger_sizes = tuple(size for size in task_sizes if size > cpus)
-        n = demand(
+        requested = demand(
             count,
             cpus=cpus,
-            memory_gb=memory,
+            memory_gb=memory_gb,
             allows_spot=allows_spot,
             larger_sizes=larger_sizes,
             zones=None if zone is None else {zone: count},
         )
         got: dict[str, int] = {}
-        for r, k in place(n, capacities, on_demand_only=on_demand_only):
-            got[r.name] = got.get(r.name, 0) + k
+        for machine, placed in place(requested, capacities, on_demand_only=on_demand_only):
+            got[machine.name] = got.get(machine.name, 0) + placed
         level = [
-            ((30.0 if p[5] else 30.0 + 1.0 / p[2].fetch_gb_per_s) // 3.0, not p[4]) for p in plain
+            ((30.0 if p[5] else 30.0 + 1.0 / p[2].fetch_gb_per_s) // 3.0, not p[4])
+            for p in reference
         ]
         order = sorted(
-            range(len(plain)),
-            key=lambda i: (level[i], not plain[i][5], plain[i][2].cpus, plain[i][0], i),
+            range(len(reference)),
+            key=lambda i: (level[i], not reference[i][5], reference[i][2].cpus, reference[i][0], i),
         )
         expected: dict[str, int] = {}
         for _ in range(count):
             choices = [
                 (level[i], step, order.index(i))
-                for i, (free, mem, _type, where, spot, _) in enumerate(plain)
-                for step, whole in enumerate((*larger_sizes, math.inf))
+                for i, (free, free_memory_gb, _type, machine_zone, spot, _) in enumerate(reference)
+                for step, slot_cpus in enumerate((*larger_sizes, math.inf))
                 if free >= cpus
-                and mem >= memory
+                and free_memory_gb >= memory_gb
                 and (allows_spot or not spot)
                 and not (on_demand_only and spot)
-                and zone in (None, where)
-                and free % whole >= cpus
+                and zone in (None, machine_zone)
+                and free % slot_cpus >= cpus
             ]
             if choices:
                 i = order[min(choices)[2]]
-                plain[i][0] -= cpus
-                plain[i][1] -= memory
+                reference[i][0] -= cpus
+                reference[i][1] -= memory_gb
                 expected[f"m{i}"] = expected.get(f"m{i}", 0) + 1
         for name in expected:
-            plain[int(name[1:])][5] = True
+            reference[int(name[1:])][5] = True
         assert got == expected
-        assert n.count == count - sum(expected.values())
-        assert all(r.cpus >= -1e-9 and r.memory_gb >= -1e-9 for r in capacities)
+        assert requested.count == count - sum(expected.values())
+        assert all(machine.cpus >= -1e-9 and machine.memory_gb >= -1e-9 for machine in capacities)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -148,23 +159,27 @@
     """Remembering which kinds of demands found no capacity must not change the plan: the
     reference tries all of 300 machines for each of 60 jobs."""
 
-    def a_round() -> tuple[object, ...]:
+    def plan_round() -> tuple[object, ...]:
         rng = random.Random(seed)
         running, starting = [], []
         for i in range(300):
-            r = capacity(f"m{i}", rng.choice([SMALL, LARGE]), rng.choice("ab"), rng.random() < 0.7)
+            machine = capacity(
+                f"m{i}", rng.choice([SMALL, LARGE]), rng.choice("ab"), rng.random() < 0.7
+            )
             size = rng.choice([1.0, 2.0, 4.0])
-            count = int(rng.randint(0, 9) / 8 * r.cpus // size)
-            count = min(count, int(r.cpus // size))
-            r.cpus -= count * size
-            r.memory_gb -= count * size
-            r.ending_tasks = [(rng.uniform(0.0, 60.0), 1, size, size, 0.0) for _ in range(count)]
-            r.shard = i % 5
+            count = int(rng.randint(0, 9) / 8 * machine.cpus // size)
+            count = min(count, int(machine.cpus // size))
+            machine.cpus -= count * size
+            machine.memory_gb -= count * size
+            machine.ending_tasks = [
+                (rng.uniform(0.0, 60.0), 1, size, size, 0.0) for _ in range(count)
+            ]
+            machine.shard = i % 5
             if rng.random() < 0.1:
-                r.ending_tasks, r.available_in_s = [], 12.0
-                starting.append(r)
+                machine.ending_tasks, machine.available_in_s = [], 12.0
+                starting.append(machine)
             else:
-                running.append(r)
+                running.append(machine)
         demands = [
             demand(
                 rng.randint(1, 40),
@@ -182,9 +197,9 @@
         result = plan(demands, running, starting, market(refused=refused), 0.0)
         return result.placements, result.rentals, result.unplaced, result.used
 
-    decided = a_round()
+    expected = plan_round()
     monkeypatch.setattr(ExhaustedKinds, "is_exhausted", lambda *_, **__: False)
-    assert a_round() == decided
+    assert plan_round() == expected
 
 
 def test_small_tasks_leave_capacity_for_large_ones() -> None:
@@ -205,7 +220,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "kind"),
+    ("changes", "spot"),
     [
         ({"latest_finish": 60.0}, False),  # slack, but less than one boot
         ({"latest_finish": 20.0}, True),  # too late on any new machine, so the cheaper one
@@ -213,9 +228,9 @@
         ({"latest_finish": math.inf}, True),
     ],
 )
-def test_pricing_of_a_new_machine(changes: dict[str, object], kind: bool) -> None:
+def test_pricing_of_a_new_machine(changes: dict[str, object], spot: bool) -> None:
     result = plan([demand(1, **changes)], [], [], market(), now=0.0)
-    assert [r.spot for r in result.rentals] == [kind]
+    assert [r.spot for r in result.rentals] == [spot]
 
 
 def test_many_reclaimed_spot_machines_lead_to_on_demand_ones() -> None:
@@ -273,24 +288,24 @@
 
 
 def test_tasks_wait_for_a_busy_machine_that_is_free_before_a_new_one() -> None:
-    ending_tasks = capacity("m1")
-    ending_tasks.cpus = 0.0
-    ending_tasks.ending_tasks = [(5.0, 2, 2.0, 4.0, 0.0)]
-    result = plan([demand(3)], [ending_tasks], [], market(), 0.0)
+    busy = capacity("m1")
+    busy.cpus = 0.0
+    busy.ending_tasks = [(5.0, 2, 2.0, 4.0, 0.0)]
+    result = plan([demand(3)], [busy], [], market(), 0.0)
     assert [(r.type, r.count) for r in result.rentals] == [("small", 1)]
     # Later demands may use the machine only if they end before.
-    assert not place(demand(1, run_s=30.0), [ending_tasks], on_demand_only=False)
+    assert not place(demand(1, run_s=30.0), [busy], on_demand_only=False)
 
 
-def test_with_a_write_backlog_each_job_uses_one_part_first() -> None:
+def test_with_a_write_backlog_each_job_uses_one_shard_first() -> None:
     """Jobs spread over all shards take one record in each of them for a few tasks, and hundreds of
     placed tasks waited for the state service's write rate. Tasks that do not fit into one
     shard are placed as usual, so that no capacity stays unused."""
 
     def machines(cpus: float) -> list[MachineCapacity]:
         capacities = [capacity(f"m-{shard}", LARGE) for shard in range(2)]
-        for shard, capacity in enumerate(capacities):
-            capacity.shard, capacity.cpus = shard, cpus
+        for shard, machine in enumerate(capacities):
+            machine.shard, machine.cpus = shard, cpus
         return capacities
 
     for backlog, record_count in ((False, 3), (True, 2)):
