--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -38,8 +38,8 @@
     used: bool = False  # runs tasks, or the plan counts on it
     # What its tasks will free: (seconds until then, tasks; CPUs, GB and GPUs of each).
     ending_tasks: list[tuple[float, int, float, float, float]] = field(default_factory=list)
-    # It is reserved, from so many seconds on, for a task that fits nowhere now: others may run
-    # here only if they end before.
+    # Seconds until it is reserved for a task that fits nowhere now; other tasks may run here
+    # only if they end before.
     reserved_from_s: float = math.inf
     # What is free now or will be soon, less what waits for it: (CPUs, GB, GPUs).
     free_soon: tuple[float, float, float] | None = None
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -25,9 +25,9 @@
         self.rng = random.Random(seed)
         self.boots = BootTimes()
         self.up_at: dict[str, float] = {}
-        self.rented_at: dict[str, tuple[MachineKind, float]] = {}
-        self.released: dict[str, float] = {}  # name -> age at which it was given up
-        self.given_up_expecting: dict[str, float] = {}
+        self.booting: dict[str, tuple[MachineKind, float]] = {}
+        self.given_up: dict[str, float] = {}  # name -> age at which it was given up
+        self.no_longer_expected: dict[str, float] = {}
 
     def play(
         self,
@@ -37,32 +37,33 @@
         every_s: float = 1.0,
     ) -> None:
         """Rents one machine every `every_s` seconds. `factor_at` gives for each kind the factors on
-        the nominal boot time as (from when, factor), and `never` the share that fails."""
-        now, following = 0.0, 0.0
+        the nominal boot time as (from when, factor), and `failure_share` the share of machines
+        that never come up."""
+        now, next_rental_at = 0.0, 0.0
         while now < seconds:
-            while following <= now:
-                following += every_s
+            while next_rental_at <= now:
+                next_rental_at += every_s
                 kind = self.rng.choice(list(factor_at))
-                factor = [f for rented_time, f in factor_at[kind] if rented_time <= now][-1]
+                factor = [f for since, f in factor_at[kind] if since <= now][-1]
                 name = f"m-{len(self.up_at)}"
-                took = NOMINAL_S * self.rng.uniform(0.6, 1.5) * factor
-                self.rented_at[name] = kind, now
-                self.up_at[name] = math.inf if self.rng.random() < failure_share else now + took
+                took_s = NOMINAL_S * self.rng.uniform(0.6, 1.5) * factor
+                self.booting[name] = kind, now
+                self.up_at[name] = math.inf if self.rng.random() < failure_share else now + took_s
             pending = []
-            for name, (kind, rented_time) in list(self.rented_at.items()):
+            for name, (kind, rented_at) in list(self.booting.items()):
                 if self.up_at[name] <= now:
-                    self.boots.record_boot(kind, NOMINAL_S, self.up_at[name] - rented_time, now)
-                    del self.rented_at[name]
-                elif name in self.released:
-                    del self.rented_at[name]
+                    self.boots.record_boot(kind, NOMINAL_S, self.up_at[name] - rented_at, now)
+                    del self.booting[name]
+                elif name in self.given_up:
+                    del self.booting[name]
                 else:
-                    pending.append(PendingBoot(name, kind, NOMINAL_S, now - rented_time))
+                    pending.append(PendingBoot(name, kind, NOMINAL_S, now - rented_at))
             for name, expected in self.boots.assess(pending, now).items():
-                age = now - self.rented_at[name][1]
+                age_s = now - self.booting[name][1]
                 if expected.is_given_up:
-                    self.released[name] = age
+                    self.given_up[name] = age_s
                 if not expected.is_expected:
-                    self.given_up_expecting.setdefault(name, age)
+                    self.no_longer_expected.setdefault(name, age_s)
             now += 1.0
 
 
@@ -70,14 +71,14 @@
 def test_machines_that_never_boot_are_given_up(seed: int) -> None:
     rentals = SimulatedRentals(seed)
     rentals.play({ZONE_A: [(0.0, 1.0)]}, 0.05, 600.0)
-    failure_share = {name for name, rented_time in rentals.up_at.items() if rented_time == math.inf}
-    old = {name for name in failure_share if int(name[2:]) < 500}
-    assert set(rentals.released) <= failure_share
-    assert old <= set(rentals.released)
-    assert max(rentals.released.values()) <= 3.0 * NOMINAL_S + 1
+    never_up = {name for name, up_at in rentals.up_at.items() if up_at == math.inf}
+    rented_early = {name for name in never_up if int(name[2:]) < 500}
+    assert set(rentals.given_up) <= never_up
+    assert rented_early <= set(rentals.given_up)
+    assert max(rentals.given_up.values()) <= 3.0 * NOMINAL_S + 1
     # Replacements are rented sooner than that, and seldom needlessly.
-    assert all(age <= 2.2 * NOMINAL_S for age in rentals.given_up_expecting.values())
-    assert len(set(rentals.given_up_expecting) - failure_share) <= 0.01 * len(rentals.up_at)
+    assert all(age_s <= 2.2 * NOMINAL_S for age_s in rentals.no_longer_expected.values())
+    assert len(set(rentals.no_longer_expected) - never_up) <= 0.01 * len(rentals.up_at)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -85,8 +86,8 @@
     """New machines would be no faster, so the slow ones are waited for and expected late."""
     rentals = SimulatedRentals(seed)
     rentals.play({ZONE_A: [(0.0, 4.0)]}, 0.0, 300.0)
-    assert rentals.released == {}
-    assert len(rentals.given_up_expecting) <= 0.05 * len(rentals.up_at)
+    assert rentals.given_up == {}
+    assert len(rentals.no_longer_expected) <= 0.05 * len(rentals.up_at)
     assert rentals.boots.boot_s(ZONE_A, NOMINAL_S, 300.0) > 2.5 * NOMINAL_S
     # After the slow phase the estimates soon return to normal.
     for n in range(20):
@@ -98,10 +99,10 @@
 def test_only_one_zone_is_slow() -> None:
     rentals = SimulatedRentals(1)
     rentals.play({ZONE_A: [(0.0, 1.0)], ZONE_B: [(0.0, 3.0)]}, 0.0, 300.0)
-    assert rentals.released == {}
-    here, there = (rentals.boots.boot_s(kind, NOMINAL_S, 300.0) for kind in (ZONE_A, ZONE_B))
-    assert here < 1.6 * NOMINAL_S
-    assert there > 2.0 * NOMINAL_S
+    assert rentals.given_up == {}
+    zone_a_s, zone_b_s = (rentals.boots.boot_s(kind, NOMINAL_S, 300.0) for kind in (ZONE_A, ZONE_B))
+    assert zone_a_s < 1.6 * NOMINAL_S
+    assert zone_b_s > 2.0 * NOMINAL_S
 
 
 def test_a_phase_of_fast_boots_ends() -> None:
@@ -109,8 +110,8 @@
     expected boot time does not fall below its lower bound."""
     rentals = SimulatedRentals(2)
     rentals.play({ZONE_A: [(0.0, 0.05), (120.0, 1.0)]}, 0.0, 300.0)
-    assert rentals.released == {}
-    assert len(rentals.given_up_expecting) <= 0.05 * len(rentals.up_at)
+    assert rentals.given_up == {}
+    assert len(rentals.no_longer_expected) <= 0.05 * len(rentals.up_at)
     boots = BootTimes()
     for n in range(50):
         boots.record_boot(ZONE_A, NOMINAL_S, 1.0, float(n))
