--- a/ryegauge/coordination/capacity.py
+++ b/ryegauge/coordination/capacity.py
@@ -129,10 +129,10 @@
     for uid, job in replica.live.items():
         if job.cancelled:
             continue
-        for shard, held in job.held.items():
+        for shard, assigned_count in job.held.items():
             if shard not in by_shard:
                 continue
-            count = held - placed_counts.get((uid, shard), 0)
+            count = assigned_count - placed_counts.get((uid, shard), 0)
             if shard in views:
                 count -= views[shard].pending_removal.get(uid, 0)
             if count > 0:
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -88,7 +88,7 @@
 class Fleet:
     """The machines, rental requests and refusals of the cloud, and what is to be released.
 
-    Its state outlives a leader's token: a controller that leads again hands it on."""
+    Its state outlives a leader's token: a controller that is elected again passes it on."""
 
     def __init__(self, settings: Settings, now: float) -> None:
         self._settings = settings
@@ -127,11 +127,11 @@
         it: a machine is dropped from the fleet only after it was missing for twice the list
         lag, and nothing is concluded about its tasks."""
         self.has_listing = True
-        seen: set[str] = set()
+        listed_names: set[str] = set()
         for entry in machines:
             if entry.name in self.released_at:
                 continue
-            seen.add(entry.name)
+            listed_names.add(entry.name)
             machine = self.machines.get(entry.name)
             if machine is None:
                 # The listed age is as of the moment that the list describes.
@@ -148,7 +148,7 @@
             # rented again, and each spot machine of them would count as reclaimed.
             missing = (
                 machine.was_listed
-                and machine.name not in seen
+                and machine.name not in listed_names
                 and (now - machine.last_listed_at > 2 * self._settings.settings.cloud.list_lag_s)
             )
             if missing and not heard_recently(machine.shard, machine.name, now):
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -260,12 +260,16 @@
         }
 
     def _log_diagnoses(self, diagnoses: dict[str, Diagnosis]) -> None:
-        counts = Counter((v.severity.name.lower(), v.cause.value) for v in diagnoses.values())
+        counts = Counter(
+            (diagnosis.severity.name.lower(), diagnosis.cause.value)
+            for diagnosis in diagnoses.values()
+        )
         if counts:
             log.info(
                 "silent machines: %s",
                 ", ".join(
-                    f"{n} {severity} ({cause})" for (severity, cause), n in sorted(counts.items())
+                    f"{count} {severity} ({cause})"
+                    for (severity, cause), count in sorted(counts.items())
                 ),
             )
 
--- a/ryegauge/coordination/silent_machines.py
+++ b/ryegauge/coordination/silent_machines.py
@@ -67,13 +67,13 @@
         zones: dict[str, tuple[int, int]] = {}
         heard_shares: dict[int, float] = {}
         for shard, entries in silent.items():
-            heard = 0
+            heard_machines = 0
             for machine, silent_s in entries:
                 is_heard = silent_s <= gap_s or machine.has_reclaim_notice
-                heard += is_heard
+                heard_machines += is_heard
                 heard_count, count = zones.get(machine.zone, (0, 0))
                 zones[machine.zone] = (heard_count + is_heard, count + 1)
-            heard_shares[shard] = heard / len(entries) if entries else 1.0
+            heard_shares[shard] = heard_machines / len(entries) if entries else 1.0
         self.unreachable_zones = cut_zones(zones)
         result: dict[str, Diagnosis] = {}
         for shard, entries in silent.items():
--- a/ryegauge/scheduling/boot_times.py
+++ b/ryegauge/scheduling/boot_times.py
@@ -79,9 +79,9 @@
 
     def add(self, value: float, now: float, half_life_s: float) -> None:
         weight, total, squares = self.decayed(now, half_life_s)
-        keep = min(1.0, (MAX_WEIGHT_BOOTS - 1) / weight) if weight else 1.0
-        self.weight, self.total = keep * weight + 1, keep * total + value
-        self.squares = keep * squares + value * value
+        keep_factor = min(1.0, (MAX_WEIGHT_BOOTS - 1) / weight) if weight else 1.0
+        self.weight, self.total = keep_factor * weight + 1, keep_factor * total + value
+        self.squares = keep_factor * squares + value * value
         self.updated_at = now
 
 
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -359,7 +359,10 @@
     if not critical_demands:
         return []
     name = max(
-        sorted(critical_demands), key=lambda m: sum(n.cpus * n.count for n in critical_demands[m])
+        sorted(critical_demands),
+        key=lambda machine_name: sum(
+            critical.cpus * critical.count for critical in critical_demands[machine_name]
+        ),
     )
     other_machines = [machine for machine in (*running, *booting) if machine.name != name]
     for demand in critical_demands[name]:
@@ -522,10 +525,10 @@
     for demand in lost_demands:
         place(demand, running, on_demand_only=False)
         place(demand, booting, on_demand_only=False)
-        before = sum(rented.values())
+        rented_before = sum(rented.values())
         spot = demand.allows_spot and market.takeback_share < market.takeback_threshold
         _rent(demand, market, spot, now, booting, rented)
-        result.rented_ahead += sum(rented.values()) - before
+        result.rented_ahead += sum(rented.values()) - rented_before
     for demand in reserve_standbys(critical_demands or {}, running, booting):
         _rent(demand, market, True, now, booting, rented)
     result.rentals = [Rental(t, z, s, n) for (t, z, s), n in rented.items()]
@@ -657,7 +660,7 @@
 ) -> bool:
     """Rents machines for the rest of a demand and adds them to `booting`, so that later demands
     can use what they leave free. Returns whether any were rented."""
-    before = len(booting)
+    count_before = len(booting)
     while demand.count > 0:
         choice = _choose_type(demand, market, spot, now)
         if choice is None:
@@ -675,7 +678,7 @@
             booting.append(machine)
             if not place(demand, [machine], on_demand_only=False):
                 return True
-    return len(booting) > before
+    return len(booting) > count_before
 
 
 def _choose_type(
