--- a/ryegauge/coordination/demands.py
+++ b/ryegauge/coordination/demands.py
@@ -1,4 +1,4 @@
-"""From jobs in the book to the planner's needs."""
+"""Derives the planner's demands, deadlines and zone limits from the jobs in the replica."""
 
 import math
 
@@ -9,8 +9,8 @@
 from ryegauge.scheduling.estimates import Estimates
 from ryegauge.scheduling.planner import EPSILON, Demand
 
-# Tasks count as of another size from so many times the CPUs.
-SIZE_STEP = 1.5
+# Tasks with more than this many times the CPUs count as another size.
+MIN_SIZE_RATIO = 1.5
 
 
 def make_demand(
@@ -18,9 +18,11 @@
     count: int,
     zones: dict[str, int] | None,
     estimates: Estimates,
-    latest: float,
+    latest_finish: float,
     sizes: tuple[float, ...] = (),
 ) -> Demand:
+    """The demand of `count` open tasks of a job, with the allowed `zones` and the latest finish
+    (time of day in seconds). `sizes` are those of `task_sizes`."""
     spec = job.spec
     return Demand(
         uid=spec.uid,
@@ -32,70 +34,73 @@
         image_gb=spec.image_gb,
         allows_spot=spec.spot,
         service=spec.kind == "standing",
-        # Its tasks start together; those of a started gang join one by one.
+        # A gang starts as a whole; tasks lost after its start rejoin one by one.
         gang=spec.kind == "gang" and count == spec.tasks,
         run_s=estimates.run_s(spec.job_class, spec.estimate_s),
-        latest_finish=latest,
+        latest_finish=latest_finish,
         types=None if spec.types is None else frozenset(spec.types),
         zones=zones,
         one_zone=spec.one_zone and zones is None,
-        larger=tuple(size for size in sizes if size > spec.cpus + EPSILON),
-        shards=frozenset(job.held),
+        larger_sizes=tuple(size for size in sizes if size > spec.cpus + EPSILON),
+        assigned_shards=frozenset(job.held),
     )
 
 
 def task_sizes(replica: StateReplica) -> tuple[float, ...]:
-    """CPUs of the tasks of jobs that are under way, ascending; of many only some, each
-    well above the next smaller one."""
+    """The CPUs per task that occur among unfinished jobs, ascending. Sizes of at most
+    `MIN_SIZE_RATIO` times the previous one are left out, so that there are few."""
     sizes: list[float] = []
     for cpus in sorted({job.spec.cpus for job in replica.live.values() if not job.is_terminal}):
-        if not sizes or cpus > SIZE_STEP * sizes[-1]:
+        if not sizes or cpus > MIN_SIZE_RATIO * sizes[-1]:
             sizes.append(cpus)
     return tuple(sizes)
 
 
 def latest_finish(job: Job, objectives: list[Objective], run_s: float) -> float:
-    """By the job's own deadline, which counts from its submission, or for classes without
-    one by the tightest time that the settings want them finished or started in, which
-    counts from when it waits for no other job (the paper knows only deadlines)."""
+    """When a job has to be finished at the latest, as time of day in seconds; infinite if
+    nothing says so.
+
+    That is its own deadline, which counts from its submission. Without one it is the tightest
+    objective in the settings for its class to be finished or started, which counts from when
+    its last dependency was done. (The ECPTR paper knows only deadlines.)"""
     if job.spec.kind == "standing":
         return math.inf
     if job.spec.deadline_s is not None:
         return job.submitted_at + job.spec.deadline_s
     if not job.ready:
         return math.inf
-    within = [
-        o.within_s if o.kind == "finished" else o.within_s + run_s
-        for o in objectives
-        if o.kind in ("finished", "wait") and o.job_class == job.spec.job_class
+    limits_s = [
+        objective.within_s if objective.kind == "finished" else objective.within_s + run_s
+        for objective in objectives
+        if objective.kind in ("finished", "wait") and objective.job_class == job.spec.job_class
     ]
-    return job.ready_at + min(within, default=math.inf)
+    return job.ready_at + min(limits_s, default=math.inf)
 
 
 def zone_limits(job: Job) -> dict[str, int] | None:
-    """The zones that further tasks of a job may take, with how many each; None: any.
+    """The zones that further tasks of a job may use, with the number of tasks each; None: any.
 
-    Everything allotted counts, since it may be on a machine."""
+    All assigned tasks count, since each may already be on a machine."""
     spec = job.spec
     if spec.zone is None and not spec.one_zone and not spec.spread:
         return None
-    live: dict[str, int] = {}
+    assigned_by_zone: dict[str, int] = {}
     for assignment in job.assignments.values():
         for zone, tasks in assignment.assigned.items():
-            live[zone] = live.get(zone, 0) + len(tasks)
-    limits = _Limits(spec.tasks if not spec.spread else (spec.tasks + 1) // 2)
-    for zone, count in live.items():
+            assigned_by_zone[zone] = assigned_by_zone.get(zone, 0) + len(tasks)
+    limits = _ZoneLimits(spec.tasks if not spec.spread else (spec.tasks + 1) // 2)
+    for zone, count in assigned_by_zone.items():
         limits[zone] = max(0, limits.default - count)
     if spec.zone is not None:
         return {spec.zone: limits[spec.zone]}
     if spec.one_zone:
-        chosen = next((zone for zone, count in live.items() if count), None)
-        return None if chosen is None else {chosen: limits[chosen]}
+        chosen_zone = next((zone for zone, count in assigned_by_zone.items() if count), None)
+        return None if chosen_zone is None else {chosen_zone: limits[chosen_zone]}
     return limits
 
 
-class _Limits(dict[str, int]):
-    """Zones not named may take `default` tasks."""
+class _ZoneLimits(dict[str, int]):
+    """Limits by zone; zones that are not named may take `default` tasks."""
 
     def __init__(self, default: int) -> None:
         super().__init__()
@@ -109,14 +114,14 @@
 
 
 def records_zones(spec: JobSpec) -> bool:
-    """Whether allotments of the job must say in which zone they run."""
+    """Whether the assignments of a job must record in which zone its tasks run."""
     return spec.zone is not None or spec.one_zone or spec.spread
 
 
 def unrunnable_reason(
     spec: JobSpec, types: dict[str, MachineType], teams: dict[str, Team]
 ) -> str | None:
-    """Why a job can never run (422), or None."""
+    """Why a job can never run, as text for the user (HTTP status 422), or None if it can."""
     team = teams.get(spec.team)
     if team is None:
         return "unknown team"
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -1,7 +1,8 @@
-"""The leader: gives parts their allotments, and rents and returns machines.
+"""The leader's decisions: assigns tasks to shards, rents and releases machines.
 
-No I/O and no clock. What is decided here is written (or called) by the loops in
-`leading` and `cloud`; only what the book shows counts as allotted.
+No I/O and no clock: callers pass the current time. The loops in `leader_loops` write the
+assignments and those in `cloud` call the cloud's API. Only tasks that the state replica shows as
+assigned count as assigned.
 """
 
 import logging
@@ -36,23 +37,27 @@
 
 log = logging.getLogger(__name__)
 
-# One task of a job that fails everywhere is tried after a lease, then ever more seldom, at
-# least after so many.
+# A job that fails on every machine is retried with a single task: first after one lease, then
+# at growing intervals up to this many leases.
 MAX_RETRY_PAUSE_LEASES = 8.0
-# Jobs held back that owners are told of in one message.
-MOST_TOLD = 200
+# Held-back jobs that one answer to an owner lists at most.
+MAX_FAILING_JOBS_SENT = 200
 
 
 @dataclass(slots=True)
 class RoundResult:
-    """What a round wants done."""
+    """What one planning round decided; nothing of it has been carried out yet."""
 
+    # (job UID, shard) -> the assignment to write.
     new_assignments: dict[tuple[str, int], Assignment] = field(default_factory=dict)
     rentals: list[Rental] = field(default_factory=list)
-    releases: list[str] = field(default_factory=list)
+    releases: list[str] = field(default_factory=list)  # names of machines
 
 
 class Leader:
+    """Plans in rounds, from the state replica, the owners' views of their shards and the cloud's
+    list of machines."""
+
     def __init__(
         self,
         token: int,
@@ -62,23 +67,27 @@
         types: Mapping[str, MachineType] | None = None,
         previous_leader: "Leader | None" = None,
     ) -> None:
-        """`types` as the book has them: a leader that begins while the cloud is away would
-        decide nothing until it can read the catalogue. `former`: ourselves, under a token
-        before this one; what was learnt of fleet and run times stays true. (Found by a day on
-        which a leader fenced off its own allotment just before the cloud's trouble: no round
-        for a minute, `docs/incidents/ramdin-curepipe-next-rounds.md`.)"""
+        """Starts to lead under the fencing token `token`.
+
+        `types` are the machine types from the replica: without them a leader that starts while the
+        cloud is unreachable could plan nothing until it has read the catalogue. `previous_leader`
+        is this controller's leader under an earlier token; what it learnt of the fleet and of
+        run times remains valid. Otherwise a leader that renews its token to fence off one of its
+        own writes, just before the cloud fails, plans no round for a minute (see
+        `docs/incidents/ramdin-curepipe-next-rounds.md`)."""
         self.token = token
         self._replica = replica
         self._settings = settings
         self._teams = {team.name: team for team in settings.settings.teams}
         self._views = ShardViews(replica, settings)
-        self._silences = SilentMachines(settings)
+        self._silent_machines = SilentMachines(settings)
         self.fleet: Fleet = (
             Fleet(settings, now) if previous_leader is None else previous_leader.fleet
         )
         if not self.fleet.types:
             self.fleet.types = dict(types or {})
-        self.backlog = False  # the last round's allotments could not all be written
+        # More of the last round's assignments are unwritten than one transaction takes.
+        self.backlog = False
         self._logged_at = -math.inf
         self.estimates: Estimates = (
             Estimates() if previous_leader is None else previous_leader.estimates
@@ -87,81 +96,90 @@
         self._preemption = Preemption(replica, settings, self.estimates, self._policy)
         self._urgencies = Urgencies(replica, settings, self.estimates, ())
         lease_s = settings.settings.workers.lease_s
-        self._held: RetryBackoff = (
+        self._retry_backoff: RetryBackoff = (
             RetryBackoff(lease_s, MAX_RETRY_PAUSE_LEASES * lease_s)
             if previous_leader is None
-            else previous_leader._held
+            else previous_leader._retry_backoff
         )
 
     def on_shard_view(self, view: ShardView, now: float) -> ShardOrders:
-        if self._views.late(view):
+        """Takes in an owner's view of its shard; returns the orders for that owner.
+
+        The answer asks for a full view (`resync`) if this one is outdated or is a delta to a
+        view that this leader does not have."""
+        if self._views.is_outdated(view):
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
-        self._silences.take_in(view, now)
-        state = self._views.take_in(view, now)
+        self._silent_machines.on_view(view, now)
+        state = self._views.apply_view(view, now)
         if state is None:
             return ShardOrders(self._replica.state_revision, [], [], resync=True)
         for sample in view.samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
         for machine in view.machines:
-            self.fleet.shown(machine, now)
-        mine = [name for name in state.machines if name in self.fleet.gone]
-        retire = [name for name in self.fleet.retire if name in state.machines]
-        evict = self._preemption.orders(state.machines)
+            self.fleet.on_machine_view(machine, now)
+        released_machines = [name for name in state.machines if name in self.fleet.released_at]
+        to_retire = [name for name in self.fleet.to_retire if name in state.machines]
+        evict = self._preemption.take_evictions(state.machines)
         return ShardOrders(
             self._replica.state_revision,
-            retire,
-            mine,
+            to_retire,
+            released_machines,
             evict,
-            unreported=self._silences.unreported(view.shard),
-            failing_jobs=self._held.newest(MOST_TOLD),
+            unreported=self._silent_machines.unreported(view.shard),
+            failing_jobs=self._retry_backoff.newest(MAX_FAILING_JOBS_SENT),
         )
 
     def on_machine_list(self, machines: list[ListedMachine], now: float) -> None:
-        self.fleet.on_machine_list(machines, now, self._views.heard)
+        """Takes in a complete list of machines from the cloud."""
+        self.fleet.on_machine_list(machines, now, self._views.heard_recently)
 
     def round(self, now: float, wall: float) -> RoundResult:
+        """Plans one round.
+
+        `now` is the monotonic clock and `wall` the time of day, both in seconds. Without any
+        known machine type the result is empty."""
         result = RoundResult()
-        self._views.renew()
-        self.fleet.forget(now)
+        self._views.refresh_jobs()
+        self.fleet.forget_released(now)
         types = self.fleet.types
         if not types:
             return result
-        views = self._views.fresh(now)
+        views = self._views.fresh_shards(now)
         running = running_capacity(self._replica, self.fleet, views, self.estimates, now)
-        diagnoses = self._silences.diagnoses(self.fleet, views, now)
+        diagnoses = self._silent_machines.diagnoses(self.fleet, views, now)
         subtract_in_transit(self._replica, self.estimates, running, views)
-        self._hold_back(views, now)
-        within = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
+        self._update_retry_backoff(views, now)
+        guaranteed = within_guarantee(self._replica, self._teams, lambda job: job.ready_at)
         self._urgencies = Urgencies(self._replica, self._settings, self.estimates, types.values())
-        # A team's urgent jobs have its guarantee too, whatever came earlier.
-        first = within_guarantee(
+        # A team's most urgent jobs are covered by its guarantee too, whichever came earlier.
+        guaranteed_by_urgency = within_guarantee(
             self._replica, self._teams, lambda job: (self._urgencies.rank(job), job.ready_at)
         )
-        needs, jobs = ordered_demands(
+        demands, jobs = ordered_demands(
             self._replica,
             self._teams,
             self._urgencies,
             self.estimates,
-            within | first,
+            guaranteed | guaranteed_by_urgency,
             self._policy,
             running,
             wall,
-            self._held,
+            self._retry_backoff,
             now,
         )
         market = Market(
             types=types,
-            refused=self.fleet.refused_kinds(now) | self._cut_off(types),
+            refused=self.fleet.refused_kinds(now) | self._kinds_in_unreachable_zones(types),
             takeback_share=self.fleet.takeback.share(now),
             takeback_threshold=self._settings.properties.takeback_threshold,
-            patience=self._settings.properties.patience_boots,
+            patience_boots=self._settings.properties.patience_boots,
             backlog=self.backlog,
         )
-        starting = self.fleet.starting(now, diagnoses)
-        market.boots = self.fleet.boot_times(now)
-        due = [(need.uid, need.count) for need in needs if need.due]
-        decided = plan(
-            needs,
+        starting = self.fleet.starting_capacity(now, diagnoses)
+        market.boots = self.fleet.expected_boot_times(now)
+        due_by_age = [(demand.uid, demand.count) for demand in demands if demand.due_by_age]
+        round_plan = plan(
+            demands,
             running,
             starting,
             market,
@@ -178,97 +196,113 @@
         )
         if now - self._logged_at > 10:
             self._logged_at = now
-            self._log(decided, jobs, running, market)
-            self._log_silent(diagnoses)
-            if self._held:
-                log.info("held back: %s", self._held.describe(now))
-            if due:
+            self._log_round(round_plan, jobs, running, market)
+            self._log_diagnoses(diagnoses)
+            if self._retry_backoff:
+                log.info("held back: %s", self._retry_backoff.describe(now))
+            if due_by_age:
                 log.info(
-                    "due by age: %d tasks of %d jobs, first %s since %.0f s",
-                    sum(n for _, n in due),
-                    len(due),
-                    due[0][0],
-                    wall - jobs[due[0][0]].ready_at,
+                    "first in line because of their age: %d tasks of %d jobs, first %s, "
+                    "waiting for %.0f s",
+                    sum(n for _, n in due_by_age),
+                    len(due_by_age),
+                    due_by_age[0][0],
+                    wall - jobs[due_by_age[0][0]].ready_at,
                 )
         result.new_assignments = assign_tasks(
-            decided, jobs, self._settings.state_limits.value_bytes
+            round_plan, jobs, self._settings.state_limits.value_bytes
         )
         if self.fleet.has_listing:
-            result.rentals = decided.rentals
-        result.releases = self.fleet.returns(decided, now, views, diagnoses)
-        self._preemption.decide(decided, jobs, within, self._urgencies, types, views, now, wall)
+            result.rentals = round_plan.rentals
+        result.releases = self.fleet.machines_to_release(round_plan, now, views, diagnoses)
+        self._preemption.choose_evictions(
+            round_plan, jobs, guaranteed, self._urgencies, types, views, now, wall
+        )
         return result
 
-    def _hold_back(self, views: dict[int, ShardState], now: float) -> None:
-        def may_be_mistaken(uid: str) -> bool:
+    def _update_retry_backoff(self, views: dict[int, ShardState], now: float) -> None:
+        def may_be_failing(uid: str) -> bool:
             job = self._replica.live.get(uid)
             return job is not None and not job.is_terminal and not job.done_count
 
-        self._held.keep(may_be_mistaken)
-        told = [f for state in views.values() for f in state.failing if may_be_mistaken(f.uid)]
-        for uid, machines, tries in self._held.on_failing(told, now):
+        self._retry_backoff.keep(may_be_failing)
+        reports = [
+            report
+            for state in views.values()
+            for report in state.failing
+            if may_be_failing(report.uid)
+        ]
+        for uid, machines, tries in self._retry_backoff.on_failing(reports, now):
             log.warning(
-                "%s is held back: its tasks failed %d times on %d machines and none was done; "
-                "one is tried after %.0f s, then ever more seldom, until it succeeds or its user "
-                "cancels it",
+                "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
+                "one task is retried after %.0f s, then at growing intervals, until it succeeds "
+                "or the job is cancelled",
                 uid,
                 tries,
                 machines,
-                self._held.wait_s(uid, now),
+                self._retry_backoff.wait_s(uid, now),
             )
 
-    def assigned(self, uids: Iterable[str], now: float) -> None:
-        """Tasks of these jobs were given to parts."""
+    def on_assigned(self, uids: Iterable[str], now: float) -> None:
+        """Tasks of these jobs have been assigned; for a held-back job that counts as a retry."""
         for uid in uids:
-            self._held.on_retry(uid, now)
+            self._retry_backoff.on_retry(uid, now)
 
-    def _cut_off(self, types: dict[str, MachineType]) -> set[tuple[str, str, bool]]:
-        """What is rented in a zone that nothing is heard of could not be used either."""
+    def _kinds_in_unreachable_zones(
+        self, types: dict[str, MachineType]
+    ) -> set[tuple[str, str, bool]]:
+        """All kinds of machines in unreachable zones: one rented there could not be used."""
         return {
             (name, zone, spot)
-            for zone in self._silences.cut
+            for zone in self._silent_machines.unreachable_zones
             for name in types
             for spot in (True, False)
         }
 
-    def _log_silent(self, diagnoses: dict[str, Diagnosis]) -> None:
-        counts = Counter((v.severity.name.lower(), v.cause.value) for v in diagnoses.values())
+    def _log_diagnoses(self, diagnoses: dict[str, Diagnosis]) -> None:
+        counts = Counter(
+            (diagnosis.severity.name.lower(), diagnosis.cause.value)
+            for diagnosis in diagnoses.values()
+        )
         if counts:
             log.info(
                 "silent machines: %s",
                 ", ".join(
-                    f"{n} {severity} ({cause})" for (severity, cause), n in sorted(counts.items())
+                    f"{count} {severity} ({cause})"
+                    for (severity, cause), count in sorted(counts.items())
                 ),
             )
 
-    def _log(
-        self, decided: Plan, jobs: dict[str, Job], running: list[MachineCapacity], market: Market
+    def _log_round(
+        self, round_plan: Plan, jobs: dict[str, Job], running: list[MachineCapacity], market: Market
     ) -> None:
-        waiting: dict[float, int] = {}
+        open_by_cpus: dict[float, int] = {}
         for job in jobs.values():
-            size = job.spec.cpus
-            waiting[size] = waiting.get(size, 0) + len(job.open_tasks)
-        pieces: dict[float, int] = {}
-        for room in running:
-            if room.cpus > 0:
-                pieces[room.cpus] = pieces.get(room.cpus, 0) + 1
+            task_cpus = job.spec.cpus
+            open_by_cpus[task_cpus] = open_by_cpus.get(task_cpus, 0) + len(job.open_tasks)
+        machines_by_free_cpus: dict[float, int] = {}
+        for capacity in running:
+            if capacity.cpus > 0:
+                machines_by_free_cpus[capacity.cpus] = (
+                    machines_by_free_cpus.get(capacity.cpus, 0) + 1
+                )
         log.info(
-            "open tasks by cpus %s, %d of them for want of room (%d wait for a busy machine, "
-            "%d for one that boots), %d placed now; %d machines, "
-            "%d open, %.0f cpus free of %.0f in pieces of %s; "
-            "renting %s, %d of them ahead; refused %s; take-back share %.2f",
-            dict(sorted(waiting.items())),
-            sum(n for _, n in decided.unplaced),
-            decided.waiting_for_busy,
-            decided.waiting_for_boot,
-            sum(p.count for p in decided.placements),
+            "open tasks by CPUs %s, %d of them without capacity (%d wait for a busy machine, "
+            "%d for a booting one), %d placed now; %d machines, "
+            "%d of them open, %.0f of %.0f CPUs free, machines by free CPUs %s; "
+            "renting %s, %d of them for tasks on lost machines; refused %s; take-back share %.2f",
+            dict(sorted(open_by_cpus.items())),
+            sum(n for _, n in round_plan.unplaced),
+            round_plan.waiting_for_busy,
+            round_plan.waiting_for_boot,
+            sum(p.count for p in round_plan.placements),
             len(self.fleet.machines),
             len(running),
             sum(max(0.0, r.cpus) for r in running),
             sum(r.type.cpus for r in running),
-            dict(sorted(pieces.items())),
-            [(r.type, r.zone, r.spot, r.count) for r in decided.rentals],
-            decided.ahead,
+            dict(sorted(machines_by_free_cpus.items())),
+            [(r.type, r.zone, r.spot, r.count) for r in round_plan.rentals],
+            round_plan.rented_ahead,
             sorted(market.refused),
             market.takeback_share,
         )
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -1,4 +1,4 @@
-"""What the owners of parts show the leader of their machines, and how old that is.
+"""The owners' views of their shards as the leader has received them, and how old they are.
 
 No I/O and no clock.
 """
@@ -13,98 +13,116 @@
 
 
 class ObservedMachine:
-    """A machine as its part's owner described it, with what follows from that."""
+    """A machine as the owner of its shard last described it, with what its tasks take."""
 
-    __slots__ = ("at", "busy", "cpus", "gpus", "known", "memory_gb", "tasks", "view")
+    __slots__ = (
+        "cpus",
+        "ending_tasks",
+        "gpus",
+        "jobs_known",
+        "memory_gb",
+        "received_at",
+        "tasks",
+        "view",
+    )
 
-    def __init__(self, view: MachineView, at: float, replica: StateReplica) -> None:
+    def __init__(self, view: MachineView, received_at: float, replica: StateReplica) -> None:
         self.view = view
-        self.at = at
+        self.received_at = received_at
         self.cpus = self.memory_gb = self.gpus = 0.0  # taken by its tasks
-        self.known = True  # whether the book has all of its jobs
-        self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the longest ends)
-        # (job class, estimate, when it ends, tasks, CPUs, GB, cards)
-        self.busy: list[tuple[str, float, float, int, float, float, float]] = []
+        self.jobs_known = True  # whether the replica has the jobs of all of its tasks
+        self.tasks: list[tuple[Job, int, float]] = []  # (job, tasks, when the last of them ends)
+        # (job class, estimate, when the last ends, tasks; CPUs, GB and GPUs of each)
+        self.ending_tasks: list[tuple[str, float, float, int, float, float, float]] = []
         for uid, flat, left_s in view.tasks:
             job = replica.jobs.get(uid)
             if job is None:
-                self.known = False
+                self.jobs_known = False
                 continue
-            n = len(Ranges.from_flat(flat))
+            count = len(Ranges.from_flat(flat))
             spec = job.spec
-            self.tasks.append((job, n, at + left_s))
-            self.busy.append(
+            self.tasks.append((job, count, received_at + left_s))
+            self.ending_tasks.append(
                 (
                     spec.job_class,
                     spec.estimate_s,
-                    at + left_s,
-                    n,
+                    received_at + left_s,
+                    count,
                     spec.cpus,
                     spec.memory_gb,
                     spec.gpus,
                 )
             )
-            self.cpus += n * spec.cpus
-            self.memory_gb += n * spec.memory_gb
-            self.gpus += n * spec.gpus
+            self.cpus += count * spec.cpus
+            self.memory_gb += count * spec.memory_gb
+            self.gpus += count * spec.gpus
 
 
 class ShardState:
-    """What the leader knows of a part: whole views, and changes to them since."""
+    """What the leader knows of a shard: its owner's last full view and the deltas since."""
 
     __slots__ = (
-        "at",
         "failing",
+        "listening_since",
         "machines",
         "node",
         "pending_removal",
+        "received_at",
         "seq",
         "silences",
-        "since",
         "token",
     )
 
-    def __init__(self, node: str, token: int, since: float) -> None:
-        self.since = since  # when this owner first showed the part; it has listened since
+    def __init__(self, node: str, token: int, listening_since: float) -> None:
+        # When this owner's first view arrived; it has listened to the shard's machines since.
+        self.listening_since = listening_since
         self.node = node
         self.token = token
         self.seq = 0
-        self.at = -math.inf
+        self.received_at = -math.inf
         self.machines: dict[str, ObservedMachine] = {}
-        # Silent machine -> (seconds that its owner stood still, attempts to ask it).
+        # Silent machine -> (seconds for which its owner itself stood still since the machine's
+        # last report, probes of it as (by, outcome, seconds ago)).
         self.silences: dict[str, tuple[float, list[tuple[str, str, float]]]] = {}
-        self.failing: list[FailingJob] = []  # jobs that fail wherever they are tried
-        self.pending_removal: dict[str, int] = {}  # job -> tasks that are nowhere, not yet written
+        self.failing: list[FailingJob] = []  # jobs that fail on every machine
+        # Job -> tasks that are on no machine any more, which is not recorded yet.
+        self.pending_removal: dict[str, int] = {}
 
 
 class ShardViews:
-    """Of all parts, by the latest views of their owners."""
+    """The states of all shards, by the latest views of their owners."""
 
     def __init__(self, replica: StateReplica, settings: Settings) -> None:
         self._replica = replica
         self._settings = settings
-        self._shards: dict[int, ShardState] = {}
+        self._states: dict[int, ShardState] = {}
         self._full_read_count = replica.full_read_count
 
-    def late(self, view: ShardView) -> bool:
-        """A copy of an earlier view, or one that was held on its way: an owner numbers its
-        views, and tokens only rise. (A whole one took the place of what was known since, and
-        what it had overheard long ago counted as heard just now.)"""
-        state = self._shards.get(view.shard)
+    def is_outdated(self, view: ShardView) -> bool:
+        """Whether a view is a duplicate or was overtaken by a later one: an owner numbers its
+        views, and tokens only rise. Without this check a delayed full view replaces what is
+        known since, and reports that it overheard long ago count as recent."""
+        state = self._states.get(view.shard)
         return state is not None and (view.token, view.seq) <= (state.token, state.seq)
 
-    def take_in(self, view: ShardView, now: float) -> ShardState | None:
-        """None: changes to something that we don't have, since an answer of ours was
-        lost, or we have just begun to lead. The owner has to send everything."""
-        state = self._shards.get(view.shard)
+    def apply_view(self, view: ShardView, now: float) -> ShardState | None:
+        """Applies a view and returns the state of its shard.
+
+        Returns None for a delta to a view that is not known here, because an answer to the owner
+        was lost or this leader is new. Then the owner has to send a full view."""
+        state = self._states.get(view.shard)
         if view.base == 0:
-            same = state is not None and state.token == view.token
-            since = state.since if state is not None and same else now
-            state = self._shards[view.shard] = ShardState(view.node, view.token, since)
+            same_owner = state is not None and state.token == view.token
+            listening_since = state.listening_since if state is not None and same_owner else now
+            state = self._states[view.shard] = ShardState(view.node, view.token, listening_since)
         elif state is None or (state.token, state.seq) != (view.token, view.base):
             return None
-        state.seq, state.at, state.pending_removal = view.seq, now, dict(view.pending_removal)
-        state.silences = {name: (stood_s, probes) for name, stood_s, probes in view.silences}
+        state.seq, state.received_at, state.pending_removal = (
+            view.seq,
+            now,
+            dict(view.pending_removal),
+        )
+        state.silences = {name: (stalled_s, probes) for name, stalled_s, probes in view.silences}
         state.failing = [FailingJob(*entry) for entry in view.failing]
         for name in view.gone:
             state.machines.pop(name, None)
@@ -112,31 +130,35 @@
             state.machines[machine.name] = ObservedMachine(machine, now, self._replica)
         return state
 
-    def renew(self) -> None:
-        """After a full read of the book its jobs are other objects."""
+    def refresh_jobs(self) -> None:
+        """Looks up all jobs again after a full read of the replica, which replaces its objects."""
         if self._full_read_count != self._replica.full_read_count:
             self._full_read_count = self._replica.full_read_count
-            for state in self._shards.values():
-                for name, shown in state.machines.items():
-                    state.machines[name] = ObservedMachine(shown.view, shown.at, self._replica)
-
-    def fresh(self, now: float) -> dict[int, ShardState]:
+            for state in self._states.values():
+                for name, observed in state.machines.items():
+                    state.machines[name] = ObservedMachine(
+                        observed.view, observed.received_at, self._replica
+                    )
+
+    def fresh_shards(self, now: float) -> dict[int, ShardState]:
+        """The shards, by number, whose present owner sent a view within the longest ordinary
+        pause between reports."""
         views: dict[int, ShardState] = {}
-        for shard, state in self._shards.items():
+        for shard, state in self._states.items():
             owner = self._replica.shards.get(shard)
             if (
                 owner is not None
                 and owner.token == state.token
-                and now - state.at < self._settings.report_gap_s
+                and now - state.received_at < self._settings.report_gap_s
             ):
                 views[shard] = state
         return views
 
-    def heard(self, shard: int, name: str, now: float) -> bool:
-        """Whether the part's owner has heard from a machine within its lease."""
-        state = self._shards.get(shard)
-        if state is None or now - state.at > self._settings.report_gap_s:
+    def heard_recently(self, shard: int, name: str, now: float) -> bool:
+        """Whether the shard's owner has heard from a machine within its lease, by a recent view."""
+        state = self._states.get(shard)
+        if state is None or now - state.received_at > self._settings.report_gap_s:
             return False
-        shown = state.machines.get(name)
+        observed = state.machines.get(name)
         lease_s = self._settings.settings.workers.lease_s
-        return shown is not None and shown.view.silent_s < lease_s
+        return observed is not None and observed.view.silent_s < lease_s
--- a/ryegauge/coordination/silent_machines.py
+++ b/ryegauge/coordination/silent_machines.py
@@ -1,4 +1,4 @@
-"""What the leader makes of the machines that are silent, from all that it is shown of them.
+"""The leader's diagnoses of silent machines, from the views of all owners and the cloud's list.
 No I/O and no clock."""
 
 import math
@@ -19,24 +19,24 @@
 )
 from ryegauge.protocol.peers import ShardView
 
-# Machines that an owner is asked to ask, at once; with those that answer or are returned,
-# others follow.
-MOST_UNHEARD = 100
+# Machines that an owner is asked to probe at once; as they answer or are released, others
+# follow.
+MAX_PROBED_MACHINES = 100
 
 
 class SilentMachines:
+    """Collects the evidence on machines that do not report, and judges them once a round."""
+
     def __init__(self, settings: Settings) -> None:
         self._limits = DetectionLimits(settings.report_gap_s, settings.max_lease_s)
-        self._unheard: dict[int, list[tuple[str, str]]] = {}
-        self.cut: set[str] = set()  # zones that nothing is heard of
-        self._probes: dict[
-            str, list[ProbeResult]
-        ] = {}  # the last that were told of a silent machine
-        self._foreign_reports: dict[
-            str, float
-        ] = {}  # machine -> when another than its owner heard it
+        self._unreported: dict[int, list[tuple[str, str]]] = {}
+        self.unreachable_zones: set[str] = set()  # zones from which no machine is heard
+        self._probes: dict[str, list[ProbeResult]] = {}  # silent machine -> its latest known probes
+        # Machine -> when it last reported to a controller that does not own it.
+        self._foreign_reports: dict[str, float] = {}
 
-    def take_in(self, view: ShardView, now: float) -> None:
+    def on_view(self, view: ShardView, now: float) -> None:
+        """Takes in which machines of other owners have reported to the sender of a view."""
         for name, ago_s in view.foreign_reports:
             self._foreign_reports[name] = max(
                 self._foreign_reports.get(name, -math.inf), now - ago_s
@@ -45,99 +45,113 @@
     def diagnoses(
         self, fleet: Fleet, views: dict[int, ShardState], now: float
     ) -> dict[str, Diagnosis]:
-        """Of the machines that are not well, in the parts that can be seen: those that their
-        owners show as silent, and those that are listed as running and not shown at all,
-        because their lease ran out or a new owner has not heard of them yet."""
+        """The diagnoses of all machines that are not healthy, by name, in the shards with a recent
+        view: machines that their owners show as silent, and machines listed as running that are
+        not in the view at all, because their lease ran out or a new owner has not heard from
+        them yet. Also updates `unreachable_zones` and the machines to probe (`unreported`)."""
         keep_s = 2 * self._limits.lease_s
         self._foreign_reports = {
-            n: at for n, at in self._foreign_reports.items() if now - at < keep_s
+            name: at for name, at in self._foreign_reports.items() if now - at < keep_s
         }
         by_shard: dict[int, list[FleetMachine]] = {shard: [] for shard in views}
-        for rented in fleet.machines.values():
-            if rented.shard in views and (
-                rented.listed_running_since is not None or rented.reported
+        for machine in fleet.machines.values():
+            if machine.shard in views and (
+                machine.listed_running_since is not None or machine.has_reported
             ):
-                by_shard[rented.shard].append(rented)
+                by_shard[machine.shard].append(machine)
         silent = {
-            shard: [(r, self._silent_s(r, views[shard], now)) for r in machines]
+            shard: [(machine, self._silent_s(machine, views[shard], now)) for machine in machines]
             for shard, machines in by_shard.items()
         }
         gap_s = SUSPECT_GAPS * self._limits.gap_s
         zones: dict[str, tuple[int, int]] = {}
-        shares: dict[int, float] = {}
-        for shard, some in silent.items():
-            heard = 0
-            for rented, silent_s in some:
-                well = silent_s <= gap_s or rented.noticed
-                heard += well
-                h, n = zones.get(rented.zone, (0, 0))
-                zones[rented.zone] = (h + well, n + 1)
-            shares[shard] = heard / len(some) if some else 1.0
-        self.cut = cut_zones(zones)
+        heard_shares: dict[int, float] = {}
+        for shard, entries in silent.items():
+            heard_machines = 0
+            for machine, silent_s in entries:
+                is_heard = silent_s <= gap_s or machine.has_reclaim_notice
+                heard_machines += is_heard
+                heard_count, count = zones.get(machine.zone, (0, 0))
+                zones[machine.zone] = (heard_count + is_heard, count + 1)
+            heard_shares[shard] = heard_machines / len(entries) if entries else 1.0
+        self.unreachable_zones = cut_zones(zones)
         result: dict[str, Diagnosis] = {}
-        for shard, some in silent.items():
-            for rented, silent_s in some:
+        for shard, entries in silent.items():
+            for machine, silent_s in entries:
                 if silent_s <= gap_s:
                     continue
-                diagnosis = self._judge(rented, silent_s, views[shard], shares[shard], now)
+                diagnosis = self._diagnose(
+                    machine, silent_s, views[shard], heard_shares[shard], now
+                )
                 if diagnosis.severity is not Severity.HEALTHY:
-                    result[rented.name] = diagnosis
-        self._unheard = {
+                    result[machine.name] = diagnosis
+        self._unreported = {
             shard: [
-                (r.name, r.address)
-                for r, silent_s in some
-                if silent_s > gap_s and r.name not in views[shard].machines
-            ][:MOST_UNHEARD]
-            for shard, some in silent.items()
+                (machine.name, machine.address)
+                for machine, silent_s in entries
+                if silent_s > gap_s and machine.name not in views[shard].machines
+            ][:MAX_PROBED_MACHINES]
+            for shard, entries in silent.items()
         }
-        self._probes = {n: probes for n, probes in self._probes.items() if n in result}
+        self._probes = {name: probes for name, probes in self._probes.items() if name in result}
         return result
 
     def unreported(self, shard: int) -> list[tuple[str, str]]:
-        """(name, address) of a part's machines that are silent and not shown by its owner."""
-        return self._unheard.get(shard, [])
+        """(name, address) of a shard's machines that are silent and not shown by its owner."""
+        return self._unreported.get(shard, [])
 
-    def _judge(
-        self, rented: FleetMachine, silent_s: float, state: ShardState, share: float, now: float
+    def _diagnose(
+        self,
+        machine: FleetMachine,
+        silent_s: float,
+        state: ShardState,
+        heard_share: float,
+        now: float,
     ) -> Diagnosis:
-        stood_s, told = state.silences.get(rented.name, (0.0, []))
+        owner_stalled_s, reported_probes = state.silences.get(machine.name, (0.0, []))
         probes = [
             probe
-            for by, outcome, ago_s in told
-            if (probe := ProbeResult.of(by, outcome, state.at - ago_s)) is not None
+            for by, outcome, ago_s in reported_probes
+            if (probe := ProbeResult.of(by, outcome, state.received_at - ago_s)) is not None
         ]
         if not probes:
-            # Its owner has just given it up, and asks it anew for us. (Until it had, one that
-            # answered or hung was taken for lost and returned, where there were no more.)
+            # Its owner has just removed it and now probes it again on the leader's request.
+            # Earlier probes count until those results arrive: otherwise a machine that answers
+            # or hangs is taken for lost and released if the cloud has no more of its kind.
             keep_s = LOST_GAPS * self._limits.gap_s
-            probes = [p for p in self._probes.get(rented.name, ()) if now - p.at < keep_s]
+            probes = [
+                probe for probe in self._probes.get(machine.name, ()) if now - probe.at < keep_s
+            ]
         if probes:
-            self._probes[rented.name] = probes
-        elsewhere_s = now - self._foreign_reports.get(rented.name, -math.inf)
+            self._probes[machine.name] = probes
+        elsewhere_s = now - self._foreign_reports.get(machine.name, -math.inf)
         return diagnose(
             Evidence(
-                silent_s - stood_s,
+                silent_s - owner_stalled_s,
                 silent_s,
                 elsewhere_s,
                 probes,
-                rented.noticed,
-                stood_s,
-                share,
-                rented.zone in self.cut,
+                machine.has_reclaim_notice,
+                owner_stalled_s,
+                heard_share,
+                machine.zone in self.unreachable_zones,
             ),
             self._limits,
         )
 
-    def _silent_s(self, rented: FleetMachine, state: ShardState, now: float) -> float:
-        """Seconds since its last word to an owner."""
-        shown = state.machines.get(rented.name)
-        if shown is not None:
-            # What is silent is shown anew with each view; what is not was heard since.
-            silent_s = shown.view.silent_s
+    def _silent_s(self, machine: FleetMachine, state: ShardState, now: float) -> float:
+        """Seconds since its last report to an owner."""
+        observed = state.machines.get(machine.name)
+        if observed is not None:
+            # Every view includes all silent machines again; one that is no longer included has
+            # reported since.
+            silent_s = observed.view.silent_s
             if silent_s > SUSPECT_GAPS * self._limits.gap_s:
-                silent_s += now - shown.at
+                silent_s += now - observed.received_at
             return silent_s
-        # Its owner gave it up at the end of its lease, or is new and has not heard it yet.
+        # Its owner removed it at the end of its lease, or is new and has not heard from it yet.
         return now - max(
-            state.since, rented.listed_running_since or -math.inf, rented.heard_at or -math.inf
+            state.listening_since,
+            machine.listed_running_since or -math.inf,
+            machine.last_report_at or -math.inf,
         )
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -1,9 +1,9 @@
-"""The ECPTR planner: what runs where, what to rent and what to return.
+"""The ECPTR planner: which tasks run on which machines, what to rent and which machines are used.
 
-Pure functions of a snapshot and the time. Task, machine and rental names follow the
-paper: LTO is the latest time to turn to steady machines, EFT and LFT the earliest
-and latest finish. Jobs here are sets of independent tasks, so the critical path of
-a job is the longest remaining task on the type at hand, with its image fetch.
+Pure functions of a snapshot and the time. Algorithm names and abbreviations follow the ECPTR
+paper: LTO is the latest time to turn to on-demand machines, EFT and LFT are the earliest and
+latest finish time. A job is a set of independent tasks, so its critical path on a machine type
+is its longest remaining task there plus the fetch of its image.
 """
 
 import math
@@ -16,13 +16,14 @@
 from ryegauge.protocol.cloud import MachineType
 
 EPSILON = 1e-6
-# Speeds of machines of a type differ by up to this share; less says nothing.
+# Speeds of machines of one type differ by up to this share, so smaller differences between
+# expected completions mean nothing.
 SPEED_TOLERANCE = 0.1
 
 
 @dataclass(slots=True)
 class MachineCapacity:
-    """A machine's free room; `ready_s` is 0 if it runs, else the time until it may."""
+    """The free capacity of a machine that runs, boots or is about to be rented."""
 
     name: str
     type: MachineType
@@ -33,40 +34,47 @@
     memory_gb: float
     gpus: float
     images: set[str] = field(default_factory=set)
-    available_in_s: float = 0.0
-    used: bool = False
-    # What its tasks will free: (seconds until then, tasks, CPUs, GB, cards of each).
-    busy: list[tuple[float, int, float, float, float]] = field(default_factory=list)
-    # A task that fits nowhere now waits for room here until then.
-    held_s: float = math.inf
-    # Free room now and what comes free soon, less what waits for it: (CPUs, GB, cards).
-    soon: tuple[float, float, float] | None = None
-
-    def fits(self, need: "Demand") -> int:
-        """How many of the need's tasks still fit."""
-        return _fit(need, self.cpus, self.memory_gb, self.gpus)
-
-    def take(self, need: "Demand", count: int) -> None:
-        self.cpus -= need.cpus * count
-        self.memory_gb -= need.memory_gb * count
-        self.gpus -= need.gpus * count
-        if need.image not in self.images:
-            self.images = self.images | {need.image}
-        if self.soon is not None:
-            c, m, g = self.soon
-            self.soon = (c - need.cpus * count, m - need.memory_gb * count, g - need.gpus * count)
+    available_in_s: float = 0.0  # expected seconds until it is up, 0 if it runs
+    used: bool = False  # runs tasks, or the plan counts on it
+    # What its tasks will free: (seconds until then, tasks; CPUs, GB and GPUs of each).
+    ending_tasks: list[tuple[float, int, float, float, float]] = field(default_factory=list)
+    # Seconds until it is reserved for a task that fits nowhere now; other tasks may run here
+    # only if they end before.
+    reserved_from_s: float = math.inf
+    # What is free now or will be soon, less what waits for it: (CPUs, GB, GPUs).
+    free_soon: tuple[float, float, float] | None = None
+
+    def fits(self, demand: "Demand") -> int:
+        """How many of the demand's tasks fit into what is free now."""
+        return _count_fitting(demand, self.cpus, self.memory_gb, self.gpus)
+
+    def occupy(self, demand: "Demand", count: int) -> None:
+        """Subtracts `count` tasks of a demand; its image will be on the machine."""
+        self.cpus -= demand.cpus * count
+        self.memory_gb -= demand.memory_gb * count
+        self.gpus -= demand.gpus * count
+        if demand.image not in self.images:
+            self.images = self.images | {demand.image}
+        if self.free_soon is not None:
+            c, m, g = self.free_soon
+            self.free_soon = (
+                c - demand.cpus * count,
+                m - demand.memory_gb * count,
+                g - demand.gpus * count,
+            )
         self.used = True
 
 
 def unused_capacity(
     type_: MachineType, name: str, zone: str, spot: bool, shard: int = -1
 ) -> MachineCapacity:
+    """The capacity of a machine without tasks."""
     return MachineCapacity(name, type_, zone, spot, shard, type_.cpus, type_.memory_gb, type_.gpus)
 
 
 @dataclass(slots=True)
 class Demand:
-    """Tasks of one job that wait for a place."""
+    """Open tasks of one job that wait for capacity; placing some of them lowers `count`."""
 
     uid: str
     count: int
@@ -78,33 +86,36 @@
     allows_spot: bool
     service: bool
     run_s: float
-    # Latest finish, in the clock of `now`; infinite without any deadline.
+    # Time of day in seconds by which it has to be finished; infinite without any deadline.
     latest_finish: float
     types: frozenset[str] | None = None
-    # Zones allowed and how many tasks each may still take; None: any number anywhere.
+    # Zone -> how many more tasks it may take, other zones none; None: any number in any zone.
     zones: dict[str, int] | None = None
-    # All tasks in one zone, not yet chosen.
+    # All tasks have to run in one zone, which is not chosen yet.
     one_zone: bool = False
-    # Starts whole, on one pricing kind.
+    # All tasks start at once, either all on spot machines or all on on-demand ones.
     gang: bool = False
-    # Parts that hold tasks of the job already.
-    shards: frozenset[int] = frozenset()
-    # CPUs of larger tasks that are around, ascending: room that one of them fits into
+    # Shards that tasks of the job are assigned to already.
+    assigned_shards: frozenset[int] = frozenset()
+    # CPUs of the larger tasks that exist, ascending: free capacity that one of them fits into
     # is broken up last.
-    larger: tuple[float, ...] = ()
-    # If it finds no room, machines that come free within so long are held for it.
-    hold_s: float = 0.0
-    due: bool = False  # goes first for its age
-    may_rent: bool = True  # if not, it takes running room or comes again later
+    larger_sizes: tuple[float, ...] = ()
+    # If it finds no capacity, machines that become free within so many seconds are reserved.
+    reserve_within_s: float = 0.0
+    due_by_age: bool = False  # comes first because of its job's age
+    may_rent: bool = True  # whether machines may be rented for it
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
-        """The critical path on a type: the fetch and the longest remaining task."""
+        """The critical path on a machine type in seconds: the fetch of the image, unless it is
+        cached, and the run time of a task."""
         fetch = 0.0 if cached or not self.image_gb else self.image_gb / type_.fetch_gb_per_s
         return self.run_s + fetch
 
 
 @dataclass(slots=True, frozen=True)
 class Placement:
+    """Tasks of a job that the plan puts on a running machine."""
+
     uid: str
     count: int
     machine: str
@@ -114,6 +125,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Rental:
+    """Machines of one type, zone and pricing to be rented."""
+
     type: str
     zone: str
     spot: bool
@@ -122,186 +135,199 @@
 
 @dataclass(slots=True)
 class Plan:
+    """The decisions of one planning round."""
+
     placements: list[Placement] = field(default_factory=list)
     rentals: list[Rental] = field(default_factory=list)
-    # What found no room on running machines, in order: (job, tasks).
+    # Demands without capacity on running machines, in order of precedence: (job UID, tasks).
     unplaced: list[tuple[str, int]] = field(default_factory=list)
-    # Machines that the plan counts on, starting ones included.
+    # Machines that run tasks or that the plan counts on, including those that still boot.
     used: set[str] = field(default_factory=set)
-    # Of the unplaced tasks: those that wait for a busy machine, and for one that boots.
+    # Unplaced tasks that wait for a busy machine, and those that wait for a booting one.
     waiting_for_busy: int = 0
     waiting_for_boot: int = 0
-    ahead: int = 0  # machines rented for tasks that are most likely lost
+    rented_ahead: int = 0  # machines rented for tasks that are probably lost with their machines
 
 
-def _fit(need: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
+def _count_fitting(demand: Demand, cpus: float, memory_gb: float, gpus: float) -> int:
     n = math.inf
-    if need.cpus > 0:
-        n = min(n, (cpus + EPSILON) // need.cpus)
-    if need.memory_gb > 0:
-        n = min(n, (memory_gb + EPSILON) // need.memory_gb)
-    if need.gpus > 0:
-        n = min(n, (gpus + EPSILON) // need.gpus)
-    return int(min(n, need.count))
+    if demand.cpus > 0:
+        n = min(n, (cpus + EPSILON) // demand.cpus)
+    if demand.memory_gb > 0:
+        n = min(n, (memory_gb + EPSILON) // demand.memory_gb)
+    if demand.gpus > 0:
+        n = min(n, (gpus + EPSILON) // demand.gpus)
+    return int(min(n, demand.count))
 
 
-def allowed(need: Demand, type_name: str, zone: str, spot: bool) -> bool:
+def allowed(demand: Demand, type_name: str, zone: str, spot: bool) -> bool:
+    """Whether the demand's tasks may run on such a machine, whatever is free there."""
     return (
-        (need.types is None or type_name in need.types)
-        and (need.zones is None or need.zones.get(zone, 0) > 0)
-        and (need.allows_spot or not spot)
+        (demand.types is None or type_name in demand.types)
+        and (demand.zones is None or demand.zones.get(zone, 0) > 0)
+        and (demand.allows_spot or not spot)
     )
 
 
-def latest_on_demand_start(need: Demand, types: Iterable[MachineType]) -> float:
-    """LTO = D - CP, with the path on the slowest allowed type (Algorithm 1, line 8)."""
-    paths = [need.path_s(t) for t in types if need.types is None or t.name in need.types]
-    return need.latest_finish - max(paths, default=need.run_s)
+def latest_on_demand_start(demand: Demand, types: Iterable[MachineType]) -> float:
+    """LTO = D - CP: when to turn to on-demand machines at the latest, with the critical path on
+    the slowest allowed type (Algorithm 1, line 8)."""
+    paths = [demand.path_s(t) for t in types if demand.types is None or t.name in demand.types]
+    return demand.latest_finish - max(paths, default=demand.run_s)
 
 
 def place(
-    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], *, on_demand_only: bool
 ) -> list[tuple[MachineCapacity, int]]:
-    """Takes room for as much of the need as fits (FindFreeSlot and FindRunningVM).
-
-    The earliest completion comes first. Machines of a type differ in speed by a tenth,
-    so completions within a tenth of the path count as equal; of those, a spot machine,
-    so that the dearer steady ones run empty and are returned; of these, room that larger
-    tasks cannot use, machines that have the image, the smallest, few parts, since each
-    part's share of a job is a record of its own, and the fullest, so that others run
-    empty.
+    """Places as much of the demand as fits (FindFreeSlot and FindRunningVM); returns the machines
+    taken and the number of tasks on each.
+
+    The earliest completion comes first. Machines of one type differ in speed by a tenth, so
+    completions within a tenth of the path count as equal. Among equals the order is:
+
+    - spot machines, so that the more expensive on-demand ones become idle and are released;
+    - capacity that larger tasks cannot use;
+    - machines that have the image;
+    - the smallest machine types;
+    - few shards, since each shard's assignment of a job is a record of its own;
+    - the fullest machines, so that others become idle.
     """
-    if need.count <= 0:
+    if demand.count <= 0:
         return []
-    grain = SPEED_TOLERANCE * need.run_s
-    taken: list[tuple[MachineCapacity, int]] = []
-    cpus, run_s = need.cpus - EPSILON, need.run_s
-    memory_gb = need.memory_gb - EPSILON
+    step_s = SPEED_TOLERANCE * demand.run_s
+    placed: list[tuple[MachineCapacity, int]] = []
+    cpus, run_s = demand.cpus - EPSILON, demand.run_s
+    memory_gb = demand.memory_gb - EPSILON
     fitting = [
-        room
-        for room in rooms
-        if room.cpus >= cpus
-        and room.memory_gb >= memory_gb
-        and run_s <= room.held_s
-        and not (on_demand_only and room.spot)
-        and allowed(need, room.type.name, room.zone, room.spot)
-        and room.fits(need) > 0
+        machine
+        for machine in machines
+        if machine.cpus >= cpus
+        and machine.memory_gb >= memory_gb
+        and run_s <= machine.reserved_from_s
+        and not (on_demand_only and machine.spot)
+        and allowed(demand, machine.type.name, machine.zone, machine.spot)
+        and machine.fits(demand) > 0
     ]
-    if need.one_zone and fitting:
-        zone = _best_zone(need, fitting)
-        fitting = [room for room in fitting if room.zone == zone]
-    ranks = _shard_ranks(need, fitting)
+    if demand.one_zone and fitting:
+        zone = _best_zone(demand, fitting)
+        fitting = [machine for machine in fitting if machine.zone == zone]
+    shard_ranks = _rank_shards(demand, fitting)
     candidates = [
         (
-            _completion(need, room, grain),
-            not room.spot,
-            need.image not in room.images,
-            room.type.cpus,
-            ranks[room.shard],
-            room.cpus,
+            _completion_steps(demand, machine, step_s),
+            not machine.spot,
+            demand.image not in machine.images,
+            machine.type.cpus,
+            shard_ranks[machine.shard],
+            machine.cpus,
             i,
-            room,
+            machine,
         )
-        for i, room in enumerate(fitting)
+        for i, machine in enumerate(fitting)
     ]
     candidates.sort(key=lambda c: c[:7])
-    alike = groupby(candidates, key=lambda c: c[:2])
-    for _, group in alike:
-        equal = [c[7] for c in group]
-        # First what larger tasks could not use anyway.
-        for whole in (*need.larger, 0.0):
-            for room in equal:
-                if need.count <= 0:
-                    return taken
-                if (n := _take(need, room, whole)) > 0:
-                    taken.append((room, n))
+    groups = groupby(candidates, key=lambda c: c[:2])
+    for _, group in groups:
+        equal_machines = [c[7] for c in group]
+        # First the capacity that larger tasks could not use anyway.
+        for slot_cpus in (*demand.larger_sizes, 0.0):
+            for machine in equal_machines:
+                if demand.count <= 0:
+                    return placed
+                if (count := _place_on(demand, machine, slot_cpus)) > 0:
+                    placed.append((machine, count))
+    return placed
+
+
+def _place_on(demand: Demand, machine: MachineCapacity, slot_cpus: float) -> int:
+    """Places what fits and returns the number of tasks. If `slot_cpus` is not 0, only capacity is
+    used that tasks of so many CPUs leave over."""
+    taken = machine.fits(demand)
+    if slot_cpus and demand.cpus > 0:
+        taken = min(taken, int((machine.cpus % slot_cpus + EPSILON) // demand.cpus))
+    if demand.zones is not None:
+        taken = min(taken, demand.zones.get(machine.zone, 0))
+    if taken <= 0:
+        return 0
+    machine.occupy(demand, taken)
+    demand.count -= taken
+    if demand.zones is not None:
+        demand.zones[machine.zone] -= taken
+    if demand.one_zone:
+        demand.one_zone = False
+        demand.zones = {machine.zone: demand.count}
     return taken
 
 
-def _take(need: Demand, room: MachineCapacity, whole: float) -> int:
-    """Takes what fits; with `whole`, only what is left beside tasks of so many CPUs."""
-    n = room.fits(need)
-    if whole and need.cpus > 0:
-        n = min(n, int((room.cpus % whole + EPSILON) // need.cpus))
-    if need.zones is not None:
-        n = min(n, need.zones.get(room.zone, 0))
-    if n <= 0:
-        return 0
-    room.take(need, n)
-    need.count -= n
-    if need.zones is not None:
-        need.zones[room.zone] -= n
-    if need.one_zone:
-        need.one_zone = False
-        need.zones = {room.zone: need.count}
-    return n
-
-
-def _shard_ranks(need: Demand, rooms: list[MachineCapacity]) -> dict[int, int]:
-    """Parts in the order in which a need should take them, so that its job ends up in
-    few: those that hold some of it, then the smallest that fits all, then the roomiest."""
+def _rank_shards(demand: Demand, machines: list[MachineCapacity]) -> dict[int, int]:
+    """The rank of each shard for a demand, chosen so that few shards get tasks of its job: first
+    shards that already have some, then the one with the least capacity that fits all, then
+    those with the most."""
     fitting: dict[int, int] = {}
-    for room in rooms:
-        fitting[room.shard] = fitting.get(room.shard, 0) + room.fits(need)
+    for machine in machines:
+        fitting[machine.shard] = fitting.get(machine.shard, 0) + machine.fits(demand)
     ordered = sorted(
         fitting,
         key=lambda shard: (
-            shard not in need.shards,
-            fitting[shard] < need.count,
-            fitting[shard] if fitting[shard] >= need.count else -fitting[shard],
+            shard not in demand.assigned_shards,
+            fitting[shard] < demand.count,
+            fitting[shard] if fitting[shard] >= demand.count else -fitting[shard],
             shard,
         ),
     )
     return {shard: rank for rank, shard in enumerate(ordered)}
 
 
-def _completion(need: Demand, room: MachineCapacity, grain: float) -> float:
-    path = room.available_in_s + need.path_s(room.type, need.image in room.images)
-    return path if grain <= 0 else path // grain
+def _completion_steps(demand: Demand, machine: MachineCapacity, step_s: float) -> float:
+    """The expected time until a task completes on a machine, in steps of `step_s` seconds."""
+    path = machine.available_in_s + demand.path_s(machine.type, demand.image in machine.images)
+    return path if step_s <= 0 else path // step_s
 
 
 def place_gang(
-    need: Demand, rooms: list[MachineCapacity], *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], *, on_demand_only: bool
 ) -> list[tuple[MachineCapacity, int]]:
-    """All tasks at once on machines of one pricing kind, or none."""
+    """Places all tasks of a gang on machines of one pricing, spot first, or none of them."""
     for spot in (False,) if on_demand_only else (True, False):
-        kind = [room for room in rooms if room.spot == spot]
-        trial = replace(need, zones=None if need.zones is None else copy(need.zones))
-        place(trial, [replace(room) for room in kind], on_demand_only=False)
+        same_pricing = [machine for machine in machines if machine.spot == spot]
+        trial = replace(demand, zones=None if demand.zones is None else copy(demand.zones))
+        place(trial, [replace(machine) for machine in same_pricing], on_demand_only=False)
         if trial.count <= 0:
-            return place(need, kind, on_demand_only=False)
+            return place(demand, same_pricing, on_demand_only=False)
     return []
 
 
-def _best_zone(need: Demand, rooms: list[MachineCapacity]) -> str:
+def _best_zone(demand: Demand, machines: list[MachineCapacity]) -> str:
+    """The zone that fits most of the demand's tasks."""
     fitting: dict[str, int] = {}
-    for room in rooms:
-        fitting[room.zone] = fitting.get(room.zone, 0) + room.fits(need)
+    for machine in machines:
+        fitting[machine.zone] = fitting.get(machine.zone, 0) + machine.fits(demand)
     return max(sorted(fitting), key=lambda zone: fitting[zone])
 
 
 @dataclass(slots=True)
 class Market:
-    """What can be rented and how the spot machines have fared."""
+    """What can be rented, and how often spot machines were reclaimed."""
 
     types: dict[str, MachineType]
-    # (type, zone, spot) refused of late.
+    # (type, zone, spot) that the cloud has refused a short while ago.
     refused: set[tuple[str, str, bool]]
     takeback_share: float
     takeback_threshold: float
-    # How long tasks wait for a busy machine instead of a new one, in boots.
-    patience: float = 0.5
+    # How long tasks wait for a busy machine rather than for a new one, in boot times.
+    patience_boots: float = 0.5
     # More was placed in the last round than could be recorded.
     backlog: bool = False
-    # (type, zone, spot) -> what boots are expected to take; else the nominal time.
+    # (type, zone, spot) -> expected boot time in seconds; for others the nominal time counts.
     boots: dict[tuple[str, str, bool], float] = field(default_factory=dict)
 
     def boot_s(self, type_: MachineType, zone: str, spot: bool) -> float:
+        """The expected boot time of such a machine in seconds."""
         return self.boots.get((type_.name, zone, spot), type_.boot_s)
 
     @property
     def longest_boot_s(self) -> float:
-        """Of all types, each where and how it is had soonest."""
+        """The longest expected boot time of all types, each in its fastest zone and pricing."""
         return max(
             (
                 min(
@@ -314,268 +340,310 @@
 
 
 def needs_standby(run_left_s: float, boot_s: float, latest_finish: float, now: float) -> bool:
-    """EFT + one boot reaches LFT: there is no time for a new machine after a loss."""
+    """Whether a task needs standby capacity: EFT plus one boot time reaches LFT, so after the
+    loss of its machine there is no time to boot a replacement."""
     return now + run_left_s + boot_s >= latest_finish
 
 
 def reserve_standbys(
-    critical: dict[str, list[Demand]], running: list[MachineCapacity], coming: list[MachineCapacity]
+    critical_demands: dict[str, list[Demand]],
+    running: list[MachineCapacity],
+    booting: list[MachineCapacity],
 ) -> list[Demand]:
-    """Holds room for the tasks without time for a new machine, on running machines that
-    do not hold them, else on starting ones; returns what found none.
+    """Reserves capacity for the tasks that would have no time for a new machine, on other
+    running machines, else on booting ones; returns the demands that found too little.
 
-    Room is held, nothing runs there: two runs of a task at once would break a rule.
-    One machine is taken at a time, so its standbys' room serves those of the others
-    (backup overloading): what the fullest machine needs is held."""
-    if not critical:
+    Nothing runs on it: a task must not run twice at the same time. Machines are assumed to be
+    lost one at a time, so all can share the same standby capacity (backup overloading): it is
+    reserved for the machine whose critical tasks need the most."""
+    if not critical_demands:
         return []
-    name = max(sorted(critical), key=lambda m: sum(n.cpus * n.count for n in critical[m]))
-    others = [room for room in (*running, *coming) if room.name != name]
-    for need in critical[name]:
-        place(need, others, on_demand_only=False)
-    return [need for need in critical[name] if need.count > 0]
+    name = max(
+        sorted(critical_demands),
+        key=lambda machine_name: sum(
+            critical.cpus * critical.count for critical in critical_demands[machine_name]
+        ),
+    )
+    other_machines = [machine for machine in (*running, *booting) if machine.name != name]
+    for demand in critical_demands[name]:
+        place(demand, other_machines, on_demand_only=False)
+    return [demand for demand in critical_demands[name] if demand.count > 0]
 
 
 class ExhaustedKinds:
-    """Kinds of tasks for which a round has found no room left. Room only shrinks within
-    a round, so what asks for as much and runs as long need not look again: with many
-    jobs waiting for a full fleet, a round would else try every machine for each."""
+    """The kinds of demands for which a round has found no capacity left.
+
+    Capacity only shrinks within a round, so a demand whose tasks are as large and run as long
+    need not search again. Without this a round with many jobs waiting for a full fleet would
+    try every machine for each of them."""
 
     def __init__(self) -> None:
         self._kinds: dict[tuple[object, ...], list[tuple[float, float, float, float]]] = {}
 
     @staticmethod
-    def _kind(need: Demand, steady: bool) -> tuple[object, ...] | None:
-        if need.gang or need.one_zone or need.zones is not None:
-            return None  # limits of its own
-        return (steady, need.allows_spot, need.types)
-
-    def note(self, need: Demand, steady: bool = False) -> None:
-        """The need has just looked; if some of it is left, the room is used up."""
-        kind = self._kind(need, steady)
-        if kind is not None and need.count > 0:
-            size = (need.cpus, need.memory_gb, need.gpus, need.run_s)
+    def _kind(demand: Demand, on_demand_only: bool) -> tuple[object, ...] | None:
+        if demand.gang or demand.one_zone or demand.zones is not None:
+            return None  # its limits differ from those of all other demands
+        return (on_demand_only, demand.allows_spot, demand.types)
+
+    def record_search(self, demand: Demand, on_demand_only: bool = False) -> None:
+        """Records that a demand has just searched: if tasks are left, nothing fits them."""
+        kind = self._kind(demand, on_demand_only)
+        if kind is not None and demand.count > 0:
+            size = (demand.cpus, demand.memory_gb, demand.gpus, demand.run_s)
             self._kinds.setdefault(kind, []).append(size)
 
-    def covers(self, need: Demand, steady: bool = False) -> bool:
-        kind = self._kind(need, steady)
+    def is_exhausted(self, demand: Demand, on_demand_only: bool = False) -> bool:
+        """Whether it is known that none of the demand's tasks fit."""
+        kind = self._kind(demand, on_demand_only)
         return kind is not None and any(
-            c <= need.cpus and m <= need.memory_gb and g <= need.gpus and r <= need.run_s
+            c <= demand.cpus and m <= demand.memory_gb and g <= demand.gpus and r <= demand.run_s
             for c, m, g, r in self._kinds.get(kind, ())
         )
 
     def forget(self) -> None:
+        """Clears all kinds, since capacity was added."""
         self._kinds.clear()
 
 
-def _place_by_shard(
-    needs: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
+def _place_in_single_shards(
+    demands: list[Demand], running: list[MachineCapacity], market: Market, now: float, result: Plan
 ) -> None:
-    """Each need takes room in one part first, the one that can take the most of it: a part's
-    share of a job is a record, and with many records to write for few tasks each, machines
-    stand idle beside tasks that wait for being recorded."""
+    """Places each demand in a single shard first, the one that can take most of it.
+
+    A shard's assignment of a job is a record. If many records have to be written for few tasks
+    each, machines stay idle while tasks wait for their assignment to be written."""
     by_shard: dict[int, list[MachineCapacity]] = {}
-    for room in running:
-        if room.cpus > EPSILON:
-            by_shard.setdefault(room.shard, []).append(room)
-    for need in needs:
-        if need.gang or need.service:
+    for machine in running:
+        if machine.cpus > EPSILON:
+            by_shard.setdefault(machine.shard, []).append(machine)
+    for demand in demands:
+        if demand.gang or demand.service:
             continue
-        late = latest_on_demand_start(need, market.types.values()) <= now
+        late = latest_on_demand_start(demand, market.types.values()) <= now
         best: tuple[int, bool, int] | None = None
-        for shard, rooms in by_shard.items():
+        for shard, machines in by_shard.items():
             fits = sum(
-                room.fits(need)
-                for room in rooms
-                if room.cpus + EPSILON >= need.cpus
-                and allowed(need, room.type.name, room.zone, room.spot)
+                machine.fits(demand)
+                for machine in machines
+                if machine.cpus + EPSILON >= demand.cpus
+                and allowed(demand, machine.type.name, machine.zone, machine.spot)
             )
             if fits > 0:
-                key = (min(fits, need.count), shard in need.shards, -shard)
+                key = (min(fits, demand.count), shard in demand.assigned_shards, -shard)
                 best = key if best is None else max(best, key)
         if best is None:
             continue
-        rooms = by_shard[-best[2]]
-        taken = place(need, rooms, on_demand_only=True) if late else []
-        for room, count in taken + place(need, rooms, on_demand_only=False):
-            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
+        machines = by_shard[-best[2]]
+        taken = place(demand, machines, on_demand_only=True) if late else []
+        for machine, count in taken + place(demand, machines, on_demand_only=False):
+            result.placements.append(
+                Placement(demand.uid, count, machine.name, machine.shard, machine.zone)
+            )
 
 
 def plan(
-    needs: list[Demand],
+    demands: list[Demand],
     running: list[MachineCapacity],
     starting: list[MachineCapacity],
     market: Market,
     now: float,
-    critical: dict[str, list[Demand]] | None = None,
-    missed: Iterable[Demand] = (),
+    critical_demands: dict[str, list[Demand]] | None = None,
+    lost_demands: Iterable[Demand] = (),
 ) -> Plan:
-    """One round, needs in their order of precedence. Of `missed`, tasks on machines that are
-    most likely lost, nothing is placed: what they will need is rented ahead."""
+    """Plans one round; `demands` come in their order of precedence and `now` is the time of day.
+
+    `critical_demands` are those that standby capacity is reserved for, by machine. `lost_demands`
+    are the tasks on machines that are probably lost: they are not placed, but machines are rented
+    in advance for what finds no capacity."""
     result = Plan()
     rented: dict[tuple[str, str, bool], int] = {}
-    coming = list(starting)
-    now_full, soon_full, coming_full = ExhaustedKinds(), ExhaustedKinds(), ExhaustedKinds()
+    booting = list(starting)
+    exhausted_now, exhausted_soon, exhausted_booting = (
+        ExhaustedKinds(),
+        ExhaustedKinds(),
+        ExhaustedKinds(),
+    )
     boot_s = market.longest_boot_s
     if market.backlog:
-        _place_by_shard(needs, running, market, now, result)
-    for need in needs:
-        if need.count <= 0:
+        _place_in_single_shards(demands, running, market, now, result)
+    for demand in demands:
+        if demand.count <= 0:
             continue
-        slack = latest_on_demand_start(need, market.types.values()) - now
-        ahead = slack > 0 and not need.service
-        put = place_gang if need.gang else place
-        taken: list[tuple[MachineCapacity, int]] = []
-        if not ahead and not now_full.covers(need, steady=True):
-            taken = put(need, running, on_demand_only=True)
-            now_full.note(need, steady=True)
-        if need.count > 0 and not need.service and not now_full.covers(need):
-            # Past the point this is the exception "late on spot": with no steady room
-            # free, a running spot machine still finishes sooner than waiting for one.
-            taken += put(need, running, on_demand_only=False)
-            now_full.note(need)
-        for room, count in taken:
-            result.placements.append(Placement(need.uid, count, room.name, room.shard, room.zone))
-        if need.count <= 0 or not need.may_rent:
+        slack_s = latest_on_demand_start(demand, market.types.values()) - now
+        before_lto = slack_s > 0 and not demand.service
+        place_tasks = place_gang if demand.gang else place
+        placed: list[tuple[MachineCapacity, int]] = []
+        if not before_lto and not exhausted_now.is_exhausted(demand, on_demand_only=True):
+            placed = place_tasks(demand, running, on_demand_only=True)
+            exhausted_now.record_search(demand, on_demand_only=True)
+        if demand.count > 0 and not demand.service and not exhausted_now.is_exhausted(demand):
+            # After the LTO this is the paper's exception "late on spot": if no on-demand
+            # capacity is free, a running spot machine still finishes sooner than a machine
+            # that would have to be waited for.
+            placed += place_tasks(demand, running, on_demand_only=False)
+            exhausted_now.record_search(demand)
+        for machine, count in placed:
+            result.placements.append(
+                Placement(demand.uid, count, machine.name, machine.shard, machine.zone)
+            )
+        if demand.count <= 0 or not demand.may_rent:
             continue
-        result.unplaced.append((need.uid, need.count))
+        result.unplaced.append((demand.uid, demand.count))
         spot = (
-            ahead
-            and need.allows_spot
-            and slack - boot_s > 0
+            before_lto
+            and demand.allows_spot
+            and slack_s - boot_s > 0
             and market.takeback_share < market.takeback_threshold
         )
-        if not spot and need.allows_spot and not need.service and not _in_time(need, market, now):
-            # Exception "no type in time": no new machine of any type meets the deadline,
-            # so a steady one would be dearer and no earlier.
+        if (
+            not spot
+            and demand.allows_spot
+            and not demand.service
+            and not _meets_deadline(demand, market, now)
+        ):
+            # The paper's exception "no type in time": no new machine of any type meets the
+            # deadline, so an on-demand one would cost more and finish no earlier.
             spot = market.takeback_share < market.takeback_threshold
-        left = need.count
-        if not soon_full.covers(need):
-            queue_on_busy_machines(need, running, market.patience * boot_s, on_demand_only=False)
-            soon_full.note(need)
-        result.waiting_for_busy += left - need.count
-        left = need.count
-        # What is on its way already is rented for someone; room that is left serves.
-        if not coming_full.covers(need, steady=not spot):
-            put(need, coming, on_demand_only=not spot)
-            coming_full.note(need, steady=not spot)
-        result.waiting_for_boot += left - need.count
-        if _rent(need, market, spot, now, coming, rented):
-            coming_full.forget()
-        if need.count > 0 and need.hold_s > 0:
-            reserve_capacity(need, running, need.hold_s)
-    for need in missed:
-        place(need, running, on_demand_only=False)
-        place(need, coming, on_demand_only=False)
-        before = sum(rented.values())
-        spot = need.allows_spot and market.takeback_share < market.takeback_threshold
-        _rent(need, market, spot, now, coming, rented)
-        result.ahead += sum(rented.values()) - before
-    for need in reserve_standbys(critical or {}, running, coming):
-        _rent(need, market, True, now, coming, rented)
+        count_before = demand.count
+        if not exhausted_soon.is_exhausted(demand):
+            queue_on_busy_machines(
+                demand, running, market.patience_boots * boot_s, on_demand_only=False
+            )
+            exhausted_soon.record_search(demand)
+        result.waiting_for_busy += count_before - demand.count
+        count_before = demand.count
+        # Machines on their way were rented for earlier demands; the rest of them is free.
+        if not exhausted_booting.is_exhausted(demand, on_demand_only=not spot):
+            place_tasks(demand, booting, on_demand_only=not spot)
+            exhausted_booting.record_search(demand, on_demand_only=not spot)
+        result.waiting_for_boot += count_before - demand.count
+        if _rent(demand, market, spot, now, booting, rented):
+            exhausted_booting.forget()
+        if demand.count > 0 and demand.reserve_within_s > 0:
+            reserve_capacity(demand, running, demand.reserve_within_s)
+    for demand in lost_demands:
+        place(demand, running, on_demand_only=False)
+        place(demand, booting, on_demand_only=False)
+        rented_before = sum(rented.values())
+        spot = demand.allows_spot and market.takeback_share < market.takeback_threshold
+        _rent(demand, market, spot, now, booting, rented)
+        result.rented_ahead += sum(rented.values()) - rented_before
+    for demand in reserve_standbys(critical_demands or {}, running, booting):
+        _rent(demand, market, True, now, booting, rented)
     result.rentals = [Rental(t, z, s, n) for (t, z, s), n in rented.items()]
-    result.used = {room.name for room in (*running, *coming) if room.used}
+    result.used = {machine.name for machine in (*running, *booting) if machine.used}
     return result
 
 
 def queue_on_busy_machines(
-    need: Demand, rooms: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
+    demand: Demand, machines: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
 ) -> None:
-    """FindRunningVM for machines that are busy now: tasks that a running machine can
-    take before a rented one would be up wait for it instead. The machine is held for
-    them: tasks that come later in the order may use it only if they end before."""
-    if not need.count or need.gang:
+    """FindRunningVM for machines that are busy now: tasks that a running machine can take within
+    `horizon_s` wait for it instead of a rental. The machine is reserved for them: later demands
+    may use it only if they end before."""
+    if not demand.count or demand.gang:
         return
-    waits: list[tuple[float, int, MachineCapacity]] = []
-    for i, room in enumerate(rooms):
-        if not room.busy:
+    openings: list[tuple[float, int, MachineCapacity]] = []
+    for i, machine in enumerate(machines):
+        if not machine.ending_tasks:
             continue
-        if room.soon is None:
-            room.busy.sort()
-            room.soon = _soon(room, horizon_s)
+        if machine.free_soon is None:
+            machine.ending_tasks.sort()
+            machine.free_soon = _free_within(machine, horizon_s)
         if (
-            room.soon[0] + EPSILON < need.cpus
-            or room.soon[1] + EPSILON < need.memory_gb
-            or room.soon[2] + EPSILON < need.gpus
-            or (on_demand_only and room.spot)
-            or not allowed(need, room.type.name, room.zone, room.spot)
+            machine.free_soon[0] + EPSILON < demand.cpus
+            or machine.free_soon[1] + EPSILON < demand.memory_gb
+            or machine.free_soon[2] + EPSILON < demand.gpus
+            or (on_demand_only and machine.spot)
+            or not allowed(demand, machine.type.name, machine.zone, machine.spot)
         ):
             continue
-        cpus, memory_gb, gpus, fits = room.cpus, room.memory_gb, room.gpus, 0
-        for left_s, count, c, m, g in room.busy:
+        cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
+        for left_s, count, c, m, g in machine.ending_tasks:
             if left_s > horizon_s:
                 break
             cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
-            more = _fit(need, cpus, memory_gb, gpus) - fits
-            if more > 0:
-                waits += [(left_s, i, room)] * more
-                fits += more
-    waits.sort(key=lambda w: w[:2])
-    for left_s, _, room in waits[: need.count]:
-        # Not more than once: what waits here has taken what will be free.
-        insort(room.busy, (left_s, -1, need.cpus, need.memory_gb, need.gpus))
-        room.soon = (
+            added = _count_fitting(demand, cpus, memory_gb, gpus) - fitting
+            if added > 0:
+                openings += [(left_s, i, machine)] * added
+                fitting += added
+    openings.sort(key=lambda w: w[:2])
+    for left_s, _, machine in openings[: demand.count]:
+        # Take what will be free there, so that it is not given away twice.
+        insort(machine.ending_tasks, (left_s, -1, demand.cpus, demand.memory_gb, demand.gpus))
+        machine.free_soon = (
             None
-            if room.soon is None
-            else (room.soon[0] - need.cpus, room.soon[1] - need.memory_gb, room.soon[2] - need.gpus)
+            if machine.free_soon is None
+            else (
+                machine.free_soon[0] - demand.cpus,
+                machine.free_soon[1] - demand.memory_gb,
+                machine.free_soon[2] - demand.gpus,
+            )
         )
-        room.held_s = min(room.held_s, left_s)
-        room.used = True
-        need.count -= 1
-
-
-def reserve_capacity(need: Demand, rooms: list[MachineCapacity], horizon_s: float) -> None:
-    """Holds machines for tasks that no rental can help and that small ones would keep from
-    ever fitting: those that have room for one earliest, by what their tasks are expected to
-    take, within the horizon. Until then only what ends before runs there. A gang is held
-    for whole or not at all."""
-    found: list[tuple[float, str, int, MachineCapacity]] = []
-    for room in rooms:
-        if not allowed(need, room.type.name, room.zone, room.spot):
+        machine.reserved_from_s = min(machine.reserved_from_s, left_s)
+        machine.used = True
+        demand.count -= 1
+
+
+def reserve_capacity(demand: Demand, machines: list[MachineCapacity], horizon_s: float) -> None:
+    """Reserves machines for tasks that no rental can help and that would never fit anywhere as
+    long as smaller tasks keep taking what becomes free.
+
+    Those machines are reserved that are expected to fit such a task earliest, within
+    `horizon_s`; until then only tasks that end before may run there. For a gang, capacity is
+    reserved for all tasks or for none."""
+    openings: list[tuple[float, str, int, MachineCapacity]] = []
+    for machine in machines:
+        if not allowed(demand, machine.type.name, machine.zone, machine.spot):
             continue
-        room.busy.sort()
-        cpus, memory_gb, gpus, fits = room.cpus, room.memory_gb, room.gpus, 0
-        for left_s, count, c, m, g in [(0.0, 0, 0.0, 0.0, 0.0), *room.busy]:
+        machine.ending_tasks.sort()
+        cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
+        for left_s, count, c, m, g in [(0.0, 0, 0.0, 0.0, 0.0), *machine.ending_tasks]:
             if left_s > horizon_s:
                 break
             cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
-            more = _fit(need, cpus, memory_gb, gpus) - fits
-            if more > 0:
-                found.append((left_s, room.name, more, room))
-                fits += more
-    if need.one_zone and found:
-        zone = _best_zone(need, [f[3] for f in found if f[2] >= need.count] or [found[0][3]])
-        found = [f for f in found if f[3].zone == zone]
-    found.sort(key=lambda f: f[:2])
-    if need.gang and sum(f[2] for f in found) < need.count:
+            added = _count_fitting(demand, cpus, memory_gb, gpus) - fitting
+            if added > 0:
+                openings.append((left_s, machine.name, added, machine))
+                fitting += added
+    if demand.one_zone and openings:
+        zone = _best_zone(
+            demand,
+            [opening[3] for opening in openings if opening[2] >= demand.count] or [openings[0][3]],
+        )
+        openings = [opening for opening in openings if opening[3].zone == zone]
+    openings.sort(key=lambda opening: opening[:2])
+    if demand.gang and sum(opening[2] for opening in openings) < demand.count:
         return
-    for left_s, _, more, room in found:
-        if need.count <= 0:
+    for left_s, _, added, machine in openings:
+        if demand.count <= 0:
             return
-        n = min(more, need.count)
-        # What waits here has taken what will be free.
-        insort(room.busy, (left_s, -n, need.cpus, need.memory_gb, need.gpus))
-        room.soon = None
-        room.held_s = min(room.held_s, left_s)
-        room.used = True
-        need.count -= n
-
-
-def _soon(room: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
-    cpus, memory_gb, gpus = room.cpus, room.memory_gb, room.gpus
-    for left_s, count, c, m, g in room.busy:
+        taken = min(added, demand.count)
+        # Take what will be free there, so that it is not given away twice.
+        insort(machine.ending_tasks, (left_s, -taken, demand.cpus, demand.memory_gb, demand.gpus))
+        machine.free_soon = None
+        machine.reserved_from_s = min(machine.reserved_from_s, left_s)
+        machine.used = True
+        demand.count -= taken
+
+
+def _free_within(machine: MachineCapacity, horizon_s: float) -> tuple[float, float, float]:
+    """The (CPUs, GB, GPUs) that are free on a machine within `horizon_s`."""
+    cpus, memory_gb, gpus = machine.cpus, machine.memory_gb, machine.gpus
+    for left_s, count, c, m, g in machine.ending_tasks:
         if left_s > horizon_s:
             break
         cpus, memory_gb, gpus = cpus + count * c, memory_gb + count * m, gpus + count * g
     return cpus, memory_gb, gpus
 
 
-def _in_time(need: Demand, market: Market, now: float) -> bool:
-    """Whether some steady machine rented now would meet the deadline (Algorithm 3)."""
+def _meets_deadline(demand: Demand, market: Market, now: float) -> bool:
+    """Whether some on-demand machine rented now would meet the deadline (Algorithm 3)."""
     return any(
-        now + market.boot_s(t, z, False) + need.path_s(t) <= need.latest_finish
-        and _fit(need, t.cpus, t.memory_gb, t.gpus) > 0
-        and allowed(need, t.name, z, False)
+        now + market.boot_s(t, z, False) + demand.path_s(t) <= demand.latest_finish
+        and _count_fitting(demand, t.cpus, t.memory_gb, t.gpus) > 0
+        and allowed(demand, t.name, z, False)
         and (t.name, z, False) not in market.refused
         for t in market.types.values()
         for z in t.zones
@@ -583,52 +651,57 @@
 
 
 def _rent(
-    need: Demand,
+    demand: Demand,
     market: Market,
     spot: bool,
     now: float,
-    coming: list[MachineCapacity],
+    booting: list[MachineCapacity],
     rented: dict[tuple[str, str, bool], int],
 ) -> bool:
-    """New machines for what is left of a need; their spare room serves later needs.
-    Whether any are wanted."""
-    before = len(coming)
-    while need.count > 0:
-        room_type = _choose(need, market, spot, now)
-        if room_type is None:
+    """Rents machines for the rest of a demand and adds them to `booting`, so that later demands
+    can use what they leave free. Returns whether any were rented."""
+    count_before = len(booting)
+    while demand.count > 0:
+        choice = _choose_type(demand, market, spot, now)
+        if choice is None:
             break
-        type_, zone = room_type
+        type_, zone = choice
         key = (type_.name, zone, spot)
-        # As many as the need fills, then the choice is made anew for the rest.
-        full = need.count // max(1, _fit(need, type_.cpus, type_.memory_gb, type_.gpus))
-        for _ in range(max(1, full)):
+        # As many as the demand fills; for the rest the choice is made again.
+        filled = demand.count // max(
+            1, _count_fitting(demand, type_.cpus, type_.memory_gb, type_.gpus)
+        )
+        for _ in range(max(1, filled)):
             rented[key] = rented.get(key, 0) + 1
-            room = unused_capacity(type_, f"new-{len(coming)}", zone, spot)
-            room.available_in_s = market.boot_s(type_, zone, spot)
-            coming.append(room)
-            if not place(need, [room], on_demand_only=False):
+            machine = unused_capacity(type_, f"new-{len(booting)}", zone, spot)
+            machine.available_in_s = market.boot_s(type_, zone, spot)
+            booting.append(machine)
+            if not place(demand, [machine], on_demand_only=False):
                 return True
-    return len(coming) > before
+    return len(booting) > count_before
 
 
-def _choose(need: Demand, market: Market, spot: bool, now: float) -> tuple[MachineType, str] | None:
-    """FindCostPerfEffectiveVM: of the types that meet the deadline (all, if none
-    does), the lowest path time times price for all the tasks that wait."""
+def _choose_type(
+    demand: Demand, market: Market, spot: bool, now: float
+) -> tuple[MachineType, str] | None:
+    """FindCostPerfEffectiveVM: the type and zone with the lowest product of path time and price
+    for all waiting tasks, among those that meet the deadline, else among all; None if nothing
+    suitable can be rented."""
     best: tuple[tuple[bool, float, float, str, str], MachineType, str] | None = None
     for type_ in market.types.values():
-        n = _fit(need, type_.cpus, type_.memory_gb, type_.gpus)
-        if n <= 0:
+        fitting = _count_fitting(demand, type_.cpus, type_.memory_gb, type_.gpus)
+        if fitting <= 0:
             continue
         for zone in type_.zones:
             if (type_.name, zone, spot) in market.refused:
                 continue
-            if not allowed(need, type_.name, zone, spot):
+            if not allowed(demand, type_.name, zone, spot):
                 continue
-            path = market.boot_s(type_, zone, spot) + need.path_s(type_)
-            late = now + path > need.latest_finish
-            machines = math.ceil(need.count / n)
-            cost = machines * type_.hourly_price(spot) * path
-            key = (late, cost, path, type_.name, zone)
+            path_s = market.boot_s(type_, zone, spot) + demand.path_s(type_)
+            late = now + path_s > demand.latest_finish
+            machine_count = math.ceil(demand.count / fitting)
+            cost = machine_count * type_.hourly_price(spot) * path_s
+            key = (late, cost, path_s, type_.name, zone)
             if best is None or key < best[0]:
                 best = (key, type_, zone)
     return None if best is None else (best[1], best[2])
--- a/ryegauge/scheduling/takeback_share.py
+++ b/ryegauge/scheduling/takeback_share.py
@@ -1,31 +1,35 @@
-"""The take-back share: how much of the spot machines' time was taken back of late."""
+"""The take-back share: the share of recent spot machine time that was spent on machines which the
+cloud has reclaimed since."""
 
 
 class TakebackShare:
-    """Spot machine time in the window that belonged to machines taken back in it,
-    over all spot machine time in the window; zero if there was none."""
+    """Tracks the spot machines' time and computes the share of reclaimed machines in it."""
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._from: dict[str, float] = {}
-        self._ended: list[tuple[float, float, bool]] = []
+        self._rented_at: dict[str, float] = {}
+        self._ended_spans: list[tuple[float, float, bool]] = []
 
     def began(self, name: str, at: float) -> None:
-        self._from.setdefault(name, at)
+        """A spot machine was rented at `at`; repeated calls for one machine are ignored."""
+        self._rented_at.setdefault(name, at)
 
-    def ended(self, name: str, at: float, taken: bool) -> None:
-        start = self._from.pop(name, None)
-        if start is not None:
-            self._ended.append((start, at, taken))
+    def ended(self, name: str, at: float, reclaimed: bool) -> None:
+        """A spot machine is gone since `at`; `reclaimed` says that the cloud reclaimed it."""
+        rented_at = self._rented_at.pop(name, None)
+        if rented_at is not None:
+            self._ended_spans.append((rented_at, at, reclaimed))
 
     def share(self, now: float) -> float:
-        edge = now - self._window_s
-        self._ended = [span for span in self._ended if span[1] > edge]
-        total = sum(now - max(edge, start) for start in self._from.values())
-        lost = 0.0
-        for start, end, taken in self._ended:
-            span = end - max(edge, start)
-            total += span
-            if taken:
-                lost += span
-        return lost / total if total > 0 else 0.0
+        """The time of the machines reclaimed within the window over the time of all spot machines,
+        both counted within the window; 0.0 if there was none."""
+        window_start = now - self._window_s
+        self._ended_spans = [span for span in self._ended_spans if span[1] > window_start]
+        total_s = sum(now - max(window_start, rented_at) for rented_at in self._rented_at.values())
+        reclaimed_s = 0.0
+        for rented_at, ended_at, reclaimed in self._ended_spans:
+            span_s = ended_at - max(window_start, rented_at)
+            total_s += span_s
+            if reclaimed:
+                reclaimed_s += span_s
+        return reclaimed_s / total_s if total_s > 0 else 0.0
