--- a/ryegauge/bookkeeping/jobbook.py
+++ b/ryegauge/bookkeeping/jobbook.py
@@ -1,18 +1,23 @@
-"""The job book: this controller's copy of everything under `r/`, kept by reading
-changes, and the jobs that it describes.
+"""The replica: this controller's copy of all records under `r/`, and the jobs in them.
 
-Keys: `r/n/NODE` live controllers, `r/p/PART` part owners, `r/l` the leader,
-`r/c/TYPE` machine types, `r/j/UID` jobs, `r/j/UID/PART` what a part was given of a
-job and what of it is done; outside the copy, `f/UID` jobs that are over.
+The syncer keeps it current by reading changes. Keys:
 
-Not known to versions before pipelines, which pass over them: `r/w/UID/DIGEST/N` the
-jobs that a job needs, where its record cannot hold them, `r/q/UID` the answer that is owed to
-the queue that a job came from, `r/s/UID/PART/N` done tasks
-moved out of a share that grew too large, `r/o/UID` the outcome of a job that is no
-longer in the book and is needed by one that is.
+- `r/n/NODE`: a live controller; `r/p/PART`: the owner of a part; `r/l`: the leader.
+- `r/c/TYPE`: a machine type.
+- `r/j/UID`: a job; `r/j/UID/PART`: a part's share of it, that is, its assigned and done tasks.
+- `f/UID`, not in the replica: the outcome of an archived job.
 
-Only after the state service has lost data (`docs/design/rebuilding.md`): `r/e` the era, which
-every loss raises, `r/k/NAME` outcomes that were put back, many to a record.
+Versions before pipelines ignore these:
+
+- `r/w/UID/DIGEST/N`: names of the jobs that a job needs, if its own record cannot hold them.
+- `r/q/UID`: the reply that is owed to the queue that submitted the job.
+- `r/s/UID/PART/N`: done tasks moved out of a share that grew too large.
+- `r/o/UID`: the outcome of a job that has left the replica and is needed by one in it.
+
+Written only after the state service has lost data (`docs/design/rebuilding.md`):
+
+- `r/e`: the epoch, which every loss raises.
+- `r/k/NAME`: restored outcomes, many to a record.
 """
 
 import hashlib
@@ -32,7 +37,7 @@
 
 
 class Share:
-    """What one part was given of a job: allotted tasks by zone ("" for any), done ones."""
+    """One part's share of a job: assigned tasks by zone ("" for any zone), and done tasks."""
 
     __slots__ = ("allotted", "done", "ended_at", "origin", "version")
 
@@ -47,15 +52,16 @@
         self.allotted = allotted
         self.done = done
         self.version = version
-        # When the part last had no task of it left, if that was recorded: jobs that need
-        # this one age from then, the same in every controller and after every restart.
-        # Versions before ageing pass over it, and leave it out when they write.
+        # When the part last ran out of tasks of the job, if recorded. Jobs that need this one age
+        # from then, so that their age is the same in every controller and after restarts.
+        # Versions before ageing ignore it, and drop it when they write the record.
         self.ended_at = ended_at
-        # Of a record that was put back after a loss: era and version that it had before.
+        # For a record restored after a loss: the epoch and version that it had before.
         self.origin = origin
 
     @staticmethod
     def from_record(record: dict[str, Any], version: int) -> "Share":
+        """Parses the value of an `r/j/UID/PART` record."""
         allotted = {zone: Ranges.from_flat(flat) for zone, flat in record["t"].items()}
         origin = record.get("o")
         return Share(
@@ -67,6 +73,7 @@
         )
 
     def to_record(self) -> dict[str, Any]:
+        """The value to write under `r/j/UID/PART`."""
         record: dict[str, Any] = {
             "t": {zone: r.flat() for zone, r in self.allotted.items() if r},
             "d": self.done.flat(),
@@ -79,10 +86,12 @@
 
     @property
     def count(self) -> int:
+        """Number of assigned tasks, over all zones."""
         return sum(len(ranges) for ranges in self.allotted.values())
 
     @property
     def tasks(self) -> Ranges:
+        """The assigned tasks of all zones."""
         if len(self.allotted) == 1:
             return next(iter(self.allotted.values()))
         result = Ranges()
@@ -95,6 +104,8 @@
 
 
 class Job:
+    """A job with the shares that parts have of it. Times are wall-clock seconds."""
+
     __slots__ = (
         "_open",
         "allotted_count",
@@ -123,27 +134,29 @@
     ) -> None:
         self.spec = spec
         self.submitted_at = submitted_at
-        # By its own record or, derived by the book, by that of any job that it needs.
+        # By its own record or, derived by the replica, because a job that it needs is cancelled.
         self.cancelled = cancelled
         self.version = version
-        # Where the needs are kept if not in the record: digest and number of pieces.
+        # (digest, number of records) of the `r/w/` records with the names of needed jobs, if
+        # the job's own record does not hold them.
         self.pieces = pieces
-        # None: not all of the pieces have been read yet.
+        # None until all of those records have been read.
         self.needs: tuple[str, ...] | None = None if pieces else spec.needs or ()
-        self.waits_for: set[str] = set()  # needs that are not done, kept by the book
-        self.ready_at = submitted_at  # when the last need was done, as far as is known
+        self.waits_for: set[str] = set()  # needed jobs that are not done, kept by the replica
+        self.ready_at = submitted_at  # when the last needed job was done, as far as is known
         self.sealed: dict[tuple[int, int], Ranges] = {}  # (part, number) -> done tasks
         self.sealed_tasks = Ranges()
-        self.shares: dict[int, Share] = {}
+        self.shares: dict[int, Share] = {}  # by part
         self.done_count = 0
         self.allotted_count = 0
-        self.held: dict[int, int] = {}  # part -> how many tasks it holds, if any
+        self.held: dict[int, int] = {}  # part -> number of tasks assigned to it, if not 0
         self._open: Ranges | None = None
 
     def changed(self) -> None:
+        """Recomputes the counts after a change of the shares or overflow pages."""
         self._open = None
         if self.sealed:
-            # What is sealed may still stand in its share as well: not to be counted twice.
+            # A task in an overflow page may still be in its share too; it counts once.
             done = self.sealed_tasks
             for share in self.shares.values():
                 done = done | share.done
@@ -155,6 +168,7 @@
         self.allotted_count = sum(self.held.values())
 
     def seal(self, part: int, number: int, tasks: Ranges | None) -> None:
+        """Sets an overflow page of a part; None removes it."""
         if tasks is None:
             self.sealed.pop((part, number), None)
         else:
@@ -166,12 +180,12 @@
 
     @property
     def ready(self) -> bool:
-        """All jobs that it needs are durably done, which never goes back."""
+        """Whether all needed jobs are durably done. Once true it stays true."""
         return self.needs is not None and not self.waits_for
 
     @property
     def open_tasks(self) -> Ranges:
-        """Neither done nor allotted to a part."""
+        """Tasks that are neither done nor assigned to a part."""
         if self._open is None:
             rest = Ranges.up_to(self.spec.tasks) - self.sealed_tasks
             for share in self.shares.values():
@@ -180,16 +194,17 @@
         return self._open
 
     def is_open(self, index: int) -> bool:
-        """Whether a task is still to be done and no share holds it."""
+        """Whether the job still has to run the task and no share holds it."""
         return not self.over and index in self.open_tasks
 
     @property
     def done(self) -> bool:
+        """Whether all tasks are done; never true of a standing job."""
         return self.spec.kind != "standing" and self.done_count >= self.spec.tasks
 
     @property
     def ended_at(self) -> float | None:
-        """When its last task was recorded as done, if all of its parts recorded that."""
+        """When the last task was done; None if the job is not done or a share lacks the time."""
         latest = -math.inf
         for share in self.shares.values():
             if share.done:
@@ -200,9 +215,10 @@
 
     @property
     def status(self) -> str:
-        # A cancellation is only written while the job is not done (guarded by the
-        # versions of all its shares), so the flag decides whatever comes later. One
-        # that comes from a needed job finds nothing done, since nothing had started.
+        """`queued`, `running`, `done` or `cancelled`."""
+        # The flag takes precedence over later results: a cancellation is only written while
+        # the job is not done, guarded by the versions of all its shares. One that follows from
+        # a needed job finds no task done, since none has started.
         if self.cancelled:
             return "cancelled"
         if self.done:
@@ -211,9 +227,11 @@
 
     @property
     def over(self) -> bool:
+        """Whether the job is done or cancelled."""
         return self.done or self.cancelled
 
     def view(self) -> dict[str, Any]:
+        """The job's state as users are shown it."""
         running = 0 if self.over else self.allotted_count
         view = {
             "uid": self.spec.uid,
@@ -229,8 +247,9 @@
 def job_record(
     spec: JobSpec, submitted_at: float, cancelled: bool, pieces: tuple[str, int] | None = None
 ) -> dict[str, Any]:
+    """The value of an `r/j/UID` record. `pieces` as in `Job.pieces`."""
     if cancelled or pieces:
-        # What a cancelled job needs no longer matters, to it or to those that need it.
+        # The needs of a cancelled job matter neither to it nor to the jobs that need it.
         spec = msgspec.structs.replace(spec, needs=None)
     record: dict[str, Any] = {"s": spec.to_wire(), "at": submitted_at}
     if cancelled:
@@ -241,8 +260,9 @@
 
 
 def cancelled_record(spec: JobSpec, submitted_at: float, limit: int) -> dict[str, Any]:
-    """Fits the limit even if the job was recorded when larger values were allowed: the
-    type names restrict nothing any more, the others only describe."""
+    """The record of a cancelled job, within `limit` bytes even if the job was recorded when
+    larger values were allowed: the machine types are dropped and descriptive fields cut, since
+    a cancelled job is no longer placed."""
     record = job_record(spec, submitted_at, True)
     if value_bytes(record) > limit:
         spec = msgspec.structs.replace(
@@ -253,13 +273,14 @@
 
 
 def value_bytes(value: Any) -> int:
-    """The size of a value as the service may count it: as JSON, in its longest form."""
+    """Upper bound of a value's size as the service counts it: as ASCII-only JSON with spaces."""
     return len(json.dumps(value))
 
 
 def need_pieces(needs: tuple[str, ...], limit: int) -> tuple[str, list[list[str]]]:
-    """The names cut into values within the limit, and a digest that names them: the same
-    names always make the same records, so writing them again changes nothing."""
+    """Splits the names of needed jobs into lists within `limit` bytes each. Returns a digest of
+    the names and the lists: the same names always give the same records under the same keys, so
+    that writing them again changes nothing."""
     pieces: list[list[str]] = [[]]
     size = 2
     for name in needs:
@@ -272,7 +293,8 @@
 
 
 def span_bytes(tasks: int) -> int:
-    """What one range of a job's task numbers may take in a record."""
+    """Most bytes that one range of a job's task numbers takes in a record. `tasks` is the
+    job's number of tasks."""
     return 2 * (len(str(tasks)) + 2)
 
 
@@ -305,7 +327,8 @@
 
 
 class Owner:
-    """A role's record: who holds it. The token is its version, under the book's era."""
+    """A role's record: which controller holds it, as which incarnation. The fencing token is
+    made of the replica's epoch and the record's version."""
 
     __slots__ = ("incarnation", "node", "token")
 
@@ -316,52 +339,56 @@
 
 
 class JobBook:
-    """Applies changes in order; `ledger` is the revision up to which it is complete."""
+    """Applies changes in order; complete up to the revision in `ledger`."""
 
     def __init__(self, wall: Callable[[], float] = lambda: -math.inf) -> None:
+        """`wall` returns the wall-clock time in seconds."""
         self._wall = wall
         self.ledger = 0
         self.jobs: dict[str, Job] = {}
-        # Those that are not over and wait for no other job, or of which a part still
-        # holds tasks: what has to be looked at in every round.
+        # Jobs that every scheduling round looks at: those that are not over and wait for no
+        # other job, and those of which a part still holds tasks.
         self.live: dict[str, Job] = {}
-        self.waiting: dict[str, Job] = {}  # those that wait for other jobs
-        self.dependents: dict[str, set[str]] = {}  # job -> jobs in the book that need it
-        # Outcomes of jobs that left the book before one that needs them came into it,
-        # and the names of those whose outcome has yet to be looked up.
+        self.waiting: dict[str, Job] = {}  # jobs that wait for other jobs
+        self.dependents: dict[str, set[str]] = {}  # job -> jobs in the replica that need it
+        # Outcomes of jobs that left the replica before a job that needs them was recorded,
+        # and the names of needed jobs whose outcome has yet to be looked up.
         self.outcomes: dict[str, Outcome] = {}
         self.lost: set[str] = set()
-        # Answers that are owed for jobs that came from queues: job -> (record, version).
+        # Replies owed to the queues that submitted jobs: job -> (record, version).
         self.debts: dict[str, tuple[Any, int]] = {}
-        # Records that belong to no job in the book any more, to be deleted.
+        # Keys of records whose job is no longer in the replica, to be deleted.
         self.orphans: set[str] = set()
         self._pieces: dict[str, dict[str, dict[int, list[str]]]] = {}
-        self.epoch = 0  # counts full reads: after one, all jobs are new objects
-        self.nodes: dict[str, str] = {}  # live controllers and their incarnation
-        self.deaf: dict[str, frozenset[int]] = {}  # of these: parts whose workers it can't hear
+        self.epoch = 0  # number of full reads; each one replaces all Job objects
+        self.nodes: dict[str, str] = {}  # live controller -> its incarnation
+        # Live controller -> parts whose workers cannot reach it.
+        self.deaf: dict[str, frozenset[int]] = {}
         self.parts: dict[int, Owner] = {}
         self.leader: Owner | None = None
         self.types: dict[str, Any] = {}
         self.on_job: list[Callable[[str], None]] = []
-        # Jobs that are known to be cancelled before this book can show it (`ahead`).
+        # Jobs known to be cancelled before this replica shows it.
         self.cancelled_ahead: set[str] = set()
-        # The era, the version at which it began, the present one of its record, how far its
-        # rebuilding has come, and whether it can be sure to have found everything.
+        # The epoch, the version at which it began, the present version of its record, the stage
+        # of its recovery, and whether the recovery is known to have found everything.
         self.era = self.era_start = self.era_version = 0
         self.era_stage, self.era_complete = REBUILT, True
         self.era_kind = ""
-        # Roles' records of before this era: they count for nothing, but guard their claims.
+        # Role records from before this epoch, key -> (holder, version). They grant no role;
+        # their versions only guard new claims.
         self.stale: dict[str, tuple[str, int]] = {}
-        # Controllers that have put back what they knew: name -> (era, saw the loss itself).
+        # Controllers that have restored what they knew: name -> (epoch, saw the loss itself).
         self.back: dict[str, tuple[int, bool]] = {}
-        self.packed: dict[str, tuple[Outcome, int]] = {}  # outcomes that were put back
-        self.packs: set[str] = set()  # the names of their records
-        # Outcomes of jobs that left the book, the latest last: as many as are to be kept.
+        self.packed: dict[str, tuple[Outcome, int]] = {}  # restored: job -> (outcome, done tasks)
+        self.packs: set[str] = set()  # NAME of each `r/k/NAME` record with restored outcomes
+        # Outcomes and done counts of jobs that left the replica, the latest last; at most
+        # `keep_finals` of them.
         self.finals: dict[str, tuple[Outcome, int]] = {}
         self.keep_finals = 0
 
     def replace(self, items: Iterable[Event], ledger: int) -> None:
-        """Starts over from a full read."""
+        """Replaces the contents by those of a full read at revision `ledger`."""
         before = list(self.jobs)
         self.jobs, self.live, self.nodes, self.parts, self.types = {}, {}, {}, {}, {}
         self.deaf = {}
@@ -376,11 +403,12 @@
         for event in items:
             self._take_in(event)
         self.ledger = ledger
-        # When needs were done is not known any more.
+        # A full read does not tell when needed jobs were done.
         self._settle({*self.jobs, *self.outcomes, *self.packed}, -math.inf)
         self._notify(sorted({*before, *self.jobs}))
 
     def apply(self, events: Iterable[Event], ledger: int) -> None:
+        """Takes in changes, in order, up to revision `ledger`."""
         touched: set[str] = set()
         for event in events:
             if (uid := self._take_in(event)) is not None:
@@ -391,7 +419,7 @@
         self._notify(self._settle(touched, self._wall()))
 
     def outcome(self, uid: str) -> Outcome | None:
-        """How a job has ended, for good; None while it has not, or if nothing is known."""
+        """How the job has ended, for good; None if it has not or the replica does not know."""
         if (job := self.jobs.get(uid)) is not None:
             if job.cancelled:
                 return "cancelled"
@@ -401,12 +429,13 @@
         return self.outcomes.get(uid)
 
     def is_cancelled(self, uid: str) -> bool:
-        """By the book, or known already without it."""
+        """Whether the job is cancelled, by the replica or known before it shows it."""
         job = self.jobs.get(uid)
         return uid in self.cancelled_ahead or (job is not None and job.cancelled)
 
     def hangs_on_lost(self, job: Job) -> bool:
-        """Whether it needs, directly or through others, one whose outcome is to be looked up."""
+        """Whether the job needs, directly or through others, one whose outcome has yet to be
+        looked up."""
         todo, seen = list(job.waits_for), set(job.waits_for)
         while todo:
             uid = todo.pop()
@@ -419,7 +448,8 @@
         return False
 
     def version_of(self, key: str) -> int | None:
-        """Of a job's or a share's record, or of a role's; None: of others it is not known."""
+        """Version of a record of a job, a share, a role or the epoch, 0 if it does not exist;
+        None for other records, whose versions are not kept."""
         match key.split("/"):
             case ["r", "j", uid]:
                 return job.version if (job := self.jobs.get(uid)) is not None else 0
@@ -436,14 +466,14 @@
         return None
 
     def versions(self) -> Iterable[tuple[str, int]]:
-        """Of all records whose versions are known but roles."""
+        """(key, version) of all job and share records."""
         for uid, job in self.jobs.items():
             yield job_key(uid), job.version
             for part, share in job.shares.items():
                 yield share_key(uid, part), share.version
 
     def _begin_era(self, value: Any, version: int) -> None:
-        if value is None:  # only seen by a book that is about to be read anew
+        if value is None:  # deleted: only seen by a replica that is about to be read anew
             return
         self.era, self.era_stage, self.era_version = value["e"], value["s"], version
         self.era_start = value.get("v", version)
@@ -460,8 +490,8 @@
             self.nodes, self.deaf, self.back = {}, {}, {}
 
     def _role(self, key: str, owner: Owner) -> None:
-        """A role's record, its token still the bare version. One of before the era proves
-        nothing: its lease may be of another time."""
+        """Takes in a role's record, whose token is still the bare version. A record from
+        before the epoch grants nothing: its lease may be one of before the loss."""
         if owner.token < self.era_start:
             self.stale[key] = (owner.node, owner.token)
             return
@@ -472,7 +502,7 @@
             self.parts[int(key[4:])] = owner
 
     def pieces(self) -> Iterable[tuple[str, str, int, list[str]]]:
-        """The records with the names of needed jobs: (job, digest, number, names)."""
+        """The `r/w/` records with names of needed jobs: (job, digest, number, names)."""
         for uid, by_digest in self._pieces.items():
             for digest, found in by_digest.items():
                 for number, names in found.items():
@@ -486,8 +516,8 @@
                 self.lost.discard(uid)
 
     def _settle(self, touched: set[str], wall: float) -> list[str]:
-        """What follows from changed records for the jobs that need theirs, directly or
-        through others; returns all that changed. The work is proportional to that."""
+        """Updates the jobs that need the touched ones, directly or through others, and returns
+        all jobs that changed, in order. The work is proportional to their number."""
         reached = set(touched)
         queue = list(touched)
         while queue:
@@ -512,7 +542,7 @@
         return result
 
     def _ended_at(self, job: Job, wall: float) -> float:
-        """When the last need of a job was done, as recorded; else as seen here."""
+        """When the last needed job was done, as recorded; `wall` if a record lacks the time."""
         ends: list[float] = []
         for name in job.needs or ():
             need = self.jobs.get(name)
@@ -522,6 +552,7 @@
         return max(ends, default=wall)
 
     def _file(self, uid: str) -> None:
+        """Enters the job under `live` or `waiting`, or under neither."""
         job = self.jobs.get(uid)
         ended = job is None or (job.over and not job.allotted_count)
         if job is not None and not ended and (job.ready or job.allotted_count):
@@ -534,7 +565,7 @@
             self.waiting.pop(uid, None)
 
     def _link(self, job: Job) -> None:
-        """Enters the job under those that it needs, once all their names are known."""
+        """Registers the job as a dependent of those that it needs, once all names are known."""
         if job.pieces is not None and job.needs is None:
             digest, count = job.pieces
             found = self._pieces.get(job.spec.uid, {}).get(digest, {})
