--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -1,4 +1,4 @@
-"""The client of the state service, within this controller's share of its limits."""
+"""Client of the state service that keeps to this controller's part of the rate limits."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple, Protocol
@@ -10,107 +10,133 @@
 from ryegauge.bookkeeping.eras import ERA_KEY, version_in
 from ryegauge.transport.http import Caller, Unreachable
 
-# After a 429: a small part of the second that the service's bursts are worth.
+# Pause after a 429. The service allows bursts of one second's worth of requests, so a small
+# part of a second is enough.
 RETRY_S = 0.05
 
-# What all controllers' parts of the changes come to, of the limit.
+# Sum of all controllers' parts of the write rate, relative to the limit.
 OVERCOMMIT = 1.6
 
-# Sends a request by way of a peer; None if no peer got an answer for us.
+# Sends a request through a peer: (method, target, body, timeout in s) -> (status, answer), or
+# None if no peer could send it.
 Relayer = Callable[[str, str, Any, float], Awaitable[tuple[int, Any] | None]]
 
 
 class Unavailable(Exception):
-    """Refused or not executed for certain: 429, 503 or no share left."""
+    """The request was certainly not executed: 429, 503 or no part of the rate limit left."""
 
 
 class TooMany(Unavailable):
-    """Refused for its rate, not executed."""
+    """The request was refused with 429 and not executed."""
 
 
 class Unknown(Exception):
-    """No answer: it may have been executed, or may still be."""
+    """No conclusive answer: the request may have been executed, or may still be."""
 
 
 class Gone(Exception):
-    """The lease or the revision asked for no longer exists."""
+    """The lease or the requested revision no longer exists."""
 
 
 class Put(NamedTuple):
+    """Writes a value, which the service deletes when the lease ends, if one is given."""
+
     key: str
     value: Any
     lease: int | None = None
 
 
 class Delete(NamedTuple):
+    """Deletes a key."""
+
     key: str
 
 
 class Conflict(Exception):
+    """A transaction was not executed, since the guards of the `failed` keys do not hold."""
+
     def __init__(self, failed: list[str]) -> None:
         super().__init__(", ".join(failed))
         self.failed = failed
 
 
 class Write(NamedTuple):
-    """Changes that are made together, if all that they rest on still is as the book says."""
+    """Changes that are committed together if every guarded key still has the given version
+    (0: the key does not exist)."""
 
     guards: dict[str, int]
     changes: list[Put | Delete]
 
 
 class Event(NamedTuple):
+    """A key's value at a revision, as a full read or a read of changes returns it."""
+
     key: str
     value: Any  # None: deleted
     version: int
 
 
 class Witness(Protocol):
-    """What sees to it that the service has lost nothing (`rebuilding`). Not there unless
-    switched on."""
+    """Compares the service's answers to detect a loss of its data (`rebuilding`). Present only
+    if rebuilding is enabled."""
 
     @property
     def era_version(self) -> int:
-        """Of the era's record: every transaction is guarded by it, so that none that was
+        """Version of the epoch's record. It guards every transaction, so that none that was
         decided before a loss is executed after it."""
 
-    def confirmed(self, revision: int, puts: list[Put]) -> None: ...
+    def confirmed(self, revision: int, puts: list[Put]) -> None:
+        """A transaction of ours was committed at the revision."""
+        ...
 
-    def conflicted(self, guards: dict[str, int], failed: list[str]) -> None: ...
+    def conflicted(self, guards: dict[str, int], failed: list[str]) -> None:
+        """A transaction of ours failed on the guards of the `failed` keys."""
+        ...
 
 
 class StateClient:
+    """Sends reads and transactions within this controller's rate budgets.
+
+    All methods raise Unavailable if the request was certainly not executed and OutcomeUnknown
+    if it may have been; timeouts are in seconds."""
+
     def __init__(self, client: Caller, rps: float, write_rps: float, nodes: int) -> None:
+        """`rps`, `write_rps`: the service's limits, in requests and changes per second, which
+        `nodes` controllers have in common."""
         self._client = client
         self.witness: Witness | None = None
-        # A tenth stays unused: the service counts by its own clock.
+        # A tenth of the limits stays unused, since the service counts by its own clock.
         self._rps, self._write_rps = 0.9 * rps, 0.9 * write_rps
         self.requests = Budget(self._rps / nodes, self._rps / nodes)
         self.writes = Budget(self._write_rps / nodes, self._write_rps / nodes)
-        self.refused_writes = 0  # transactions answered 429: together we write too fast
-        # When it last served us directly, and since when it has not.
+        # Transactions answered 429: the controllers together exceed the limit.
+        self.refused_writes = 0
+        # Since when the service has not served this controller directly; None while it does.
         self.failing_since: float | None = None
         self._patience_s = 0.0
         self._relayer: Relayer | None = None
 
     def share(self, live: int, leads: bool) -> None:
-        """Our part of the limits, which all live controllers have in common. The leader
-        writes for all of them, so most of the writes are its own. Together the parts are
-        more than there is, since seldom do all need theirs at once: what was unused by
-        one was missing to another, and 429 says that nothing was executed."""
+        """Sets this controller's part of the limits that all live controllers have in common.
+
+        The leader writes for all of them, so most of the write rate is its own. The parts of the
+        write rate add up to OVERCOMMIT times the limit: controllers seldom need theirs at once,
+        exact parts would leave unused what another one lacks, and a 429 guarantees that nothing
+        was executed."""
         total = (3 * live - 1) / 2
         part = min(1.0, OVERCOMMIT * ((live + 1) / 2 if leads else 1.0) / total)
         self.requests.resize(self._rps / live, self._rps / live)
         self.writes.resize(self._write_rps * part, self._write_rps * max(part, 0.5))
 
     def use_relay(self, relayer: Relayer, patience_s: float) -> None:
-        """Peers carry our requests once the service has refused us for so long."""
+        """Sends requests through peers once the service has not served us for `patience_s`."""
         self._relayer, self._patience_s = relayer, patience_s
 
     async def direct(
         self, method: str, target: str, body: Any, timeout_s: float
     ) -> tuple[int, Any]:
-        """One request as it is, for ourselves or for a peer."""
+        """Sends one request without budget or relay, for this controller or for a peer. Returns
+        (status, answer); raises OutcomeUnknown if there was no answer."""
         try:
             status, answer, _ = await self._client.request(
                 method, target, body, timeout_s=timeout_s
@@ -146,13 +172,13 @@
             if target == "/multi":
                 self.refused_writes += 1
             (self.requests if target != "/multi" else self.writes).drain()
-            raise TooMany("429")
+            raise TooMany("429: over the rate limit")
         if status == 503:
             raise Unavailable(str(status))
         return status, answer
 
     async def get(self, key: str, *, timeout_s: float) -> tuple[Any, int] | None:
-        """(value, version), or None if there is no such key."""
+        """Reads a key: (value, version), or None if it does not exist."""
         status, answer = await self._call(
             "GET", f"/kv/{quote(key)}", timeout_s=timeout_s, urgent=False
         )
@@ -165,6 +191,8 @@
     async def page(
         self, prefix: str, after: str | None, *, timeout_s: float
     ) -> tuple[list[Event], bool, int]:
+        """Reads one page of the keys under a prefix, after the key `after`: the records, whether
+        there are more, and the revision of the page."""
         target = f"/kv?under={quote(prefix)}&page=500"
         if after is not None:
             target += f"&since={quote(after)}"
@@ -177,7 +205,8 @@
     async def changes(
         self, prefix: str, since: int, *, timeout_s: float, urgent: bool
     ) -> tuple[list[Event], int]:
-        """Everything under the prefix after a revision, read at once (no waiting)."""
+        """Reads the changes under a prefix after revision `since`, without waiting for any, and
+        the revision up to which they are complete. Raises Gone if `since` is too old."""
         status, answer = await self._call(
             "GET",
             f"/watch?under={quote(prefix)}&since={since}&waitMs=0",
@@ -205,9 +234,12 @@
         reserve: float = USUAL,
         across_eras: bool = False,
     ) -> int:
-        """One transaction; returns its revision. Raises Conflict, Gone (the lease),
-        Unavailable (not executed) or Unknown (may be executed, even later). Guards may be
-        tokens. `across_eras`: not guarded by the era, since it begins one."""
+        """Commits one transaction and returns its revision. Raises Conflict, Gone (the lease has
+        ended), Unavailable (not executed) or OutcomeUnknown (may be executed, even later).
+
+        `guards`: versions or fencing tokens by key, 0 for a key that must not exist. `reserve`:
+        the part of the write budget to leave to more urgent requests. `across_eras`: do not
+        guard by the epoch's record, for the transaction that begins an epoch."""
         guards = {key: version_in(token) for key, token in guards.items()}
         era_version = 0 if self.witness is None else self.witness.era_version
         if self.witness is not None and changes and not across_eras:
@@ -232,18 +264,18 @@
                 )
                 break
             except TooMany:
-                # Not executed: another controller's burst took what there was.
+                # Not executed: a burst of another controller used up the limit.
                 if trio.current_time() > until:
                     raise
-                # What users wait for tries again at once; the rest makes way.
+                # Requests that users wait for are retried at once; others queue again.
                 await trio.sleep(RETRY_S)
                 if reserve > SOON:
                     await self.writes.take(1.0, URGENT)
         if status == 200:
             if self.witness is not None and not across_eras:
                 if self.witness.era_version != era_version:
-                    # Executed before a loss, for all we know, and gone with it.
-                    raise Unknown("an era has begun meanwhile")
+                    # It may have been executed before a loss and be lost with the other data.
+                    raise Unknown("a new epoch began while the transaction was under way")
                 puts = [change for change in changes if isinstance(change, Put)]
                 self.witness.confirmed(int(answer["ledger"]), puts)
             return int(answer["ledger"])
@@ -255,10 +287,11 @@
         if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
             raise Gone
         if status == 400:
-            raise Unavailable(f"refused as malformed: {answer!r}")
+            raise Unavailable(f"status 400: {answer!r}")
         raise Unknown(f"status {status}")
 
     async def grant(self, ttl_s: float, *, timeout_s: float) -> int:
+        """Obtains a lease of `ttl_s` seconds and returns its number."""
         status, answer = await self._call(
             "POST", "/grants", {"ttlMs": int(ttl_s * 1000)}, timeout_s=timeout_s, urgent=True
         )
@@ -267,6 +300,7 @@
         return int(answer["tenure"])
 
     async def extend(self, lease: int, *, timeout_s: float) -> None:
+        """Renews a lease for its full duration. Raises Gone if it has ended."""
         status, _ = await self._call(
             "POST", f"/grants/{lease}/extend", {}, timeout_s=timeout_s, urgent=True
         )
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -1,4 +1,4 @@
-"""Keeps the job book current, and answers when it is current enough for a question."""
+"""Keeps the replica current and tells when it is current enough to answer a request."""
 
 import logging
 from collections.abc import Callable
@@ -13,22 +13,27 @@
 
 
 class Witness(Protocol):
+    """Checks every read for signs that the service has lost data."""
+
     @property
     def unread(self) -> bool:
-        """Whether something was confirmed or refused that no read has shown yet."""
+        """Whether a commit or conflict was confirmed to us that no read has shown yet."""
 
     def begin(self) -> int:
-        """A read begins: the revision after which to read changes."""
+        """Called before a read; returns the revision after which to read changes."""
 
     def read(self, events: list[Event], ledger: int) -> list[Event]:
-        """Those that the book does not have yet. Raises Unavailable if the answer
-        contradicts earlier ones, and Gone if everything is to be read anew."""
+        """Called after a read of changes; returns those that the replica does not have yet.
+        Raises Unavailable if the answer contradicts earlier ones, and Gone if a full read is
+        needed."""
 
     def reread(self, items: list[Event], ledger: int) -> None:
-        """Everything was read. Raises Unavailable as above."""
+        """Called after a full read. Raises Unavailable if it contradicts earlier answers."""
 
 
 class _Question:
+    """A caller that waits for a read which begins after its call."""
+
     __slots__ = ("done", "failed")
 
     def __init__(self) -> None:
@@ -37,38 +42,40 @@
 
 
 class Syncer:
-    """One read of the changes serves every question that was asked before it began."""
+    """Reads changes in a loop. One read serves all callers that asked before it began."""
 
     def __init__(
         self, state: StateClient, book: JobBook, idle_s: Callable[[], float], timeout_s: float
     ) -> None:
+        """`idle_s` returns the longest pause between two reads if nobody asks for one."""
         self._state = state
         self._book = book
         self._idle_s = idle_s
         self._timeout_s = timeout_s
         self._asked = trio.Event()
         self._waiting: list[_Question] = []
-        # When the last successful read was sent: the book holds all that was
-        # written before.
+        # When the last successful read was sent: the replica holds all that was committed
+        # before then.
         self.began_at = float("-inf")
-        self.failures = 0
-        self.on_sync: list[Callable[[], None]] = []
-        self.ready = trio.Event()
-        # Looks at every read for signs that the service has lost data; None: nobody does.
+        self.failures = 0  # consecutive failed reads
+        self.on_sync: list[Callable[[], None]] = []  # called after each successful read
+        self.ready = trio.Event()  # set after the first successful read
+        # None if rebuilding is not enabled.
         self.witness: Witness | None = None
         self._full = True
 
     @property
     def _gap_s(self) -> float:
-        """At most half of our requests go into reading."""
+        """Least time between two reads, so that they take at most half of the request rate."""
         return 2.0 / self._state.requests.rate
 
     def poke(self) -> None:
-        """Something was written; read soon."""
+        """Asks for a read soon, without waiting for it."""
         self._asked.set()
 
     async def fresh(self) -> None:
-        """Returns once a read that began after this call is taken in."""
+        """Returns once the replica holds a read that began after this call. Raises Unavailable
+        if that read failed or took too long."""
         question = _Question()
         self._waiting.append(question)
         self._asked.set()
@@ -76,7 +83,7 @@
             with trio.fail_after(1.5 * self._timeout_s):
                 await question.done.wait()
         except trio.TooSlowError:
-            raise Unavailable("no read in time") from None
+            raise Unavailable("reading the state service took too long") from None
         finally:
             if question in self._waiting:
                 self._waiting.remove(question)
@@ -84,11 +91,12 @@
             raise Unavailable("the state service did not answer")
 
     def reread(self) -> None:
-        """Everything anew, with the next read."""
+        """Makes the next read a full one."""
         self._full = True
         self._asked.set()
 
     async def run(self) -> None:
+        """Reads changes, and everything when that is needed, until cancelled."""
         while True:
             served, self._waiting = self._waiting, []
             self._asked = trio.Event()
@@ -108,7 +116,7 @@
                 self.began_at = began
                 self.failures = 0
             except Gone:
-                log.info("the revision asked for is too old: reading everything again")
+                log.info("changes since the last read are no longer available: full read needed")
                 self._full = True
             except (Unavailable, Unknown, trio.TooSlowError) as error:
                 self.failures += 1
@@ -137,13 +145,14 @@
         self._book.apply(events, ledger)
 
     async def _read_all(self) -> bool:
-        """Whether a read of changes has to follow: what was confirmed to us while the answers were
-        under way must be in one that began after it.
-
-        Pages are of different revisions, and what follows from several records would follow
-        from a mixture: a job whose last tasks ended after its cancellation would be done until
-        the changes since the first page were read. So these are there before the book takes
-        anything in, and nobody is told anything in between."""
+        """Reads all records into the replica. Returns whether a read of changes has to follow:
+        a commit confirmed to us while the answers were under way must be checked against a read
+        that began after it.
+
+        The pages are of different revisions, and what is derived from several records could be
+        wrong in between: a job whose last tasks ended after its cancellation would count as done
+        until the changes since the first page are applied. So these changes are read before the
+        replica takes in anything, and no caller is answered in between."""
         items: list[Event] = []
         after: str | None = None
         first: int | None = None
@@ -167,5 +176,5 @@
             self.witness.begin()
             events = self.witness.read(events, ledger)
         self._book.apply(events, ledger)
-        log.info("read the book: %d records, %d jobs under way", len(items), len(self._book.live))
+        log.info("full read: %d records, %d live jobs", len(items), len(self._book.live))
         return more
