--- a/ryegauge/bookkeeping/__init__.py
+++ b/ryegauge/bookkeeping/__init__.py
@@ -1,1 +1,1 @@
-"""The job book, the state service and what may be spent on it."""
+"""The replica of the state service's records, the client of the service and its rate budgets."""
--- a/ryegauge/bookkeeping/ahead.py
+++ b/ryegauge/bookkeeping/ahead.py
@@ -1,14 +1,13 @@
-"""Cancellations that are known here before the book can be read: confirmed by a write of ours,
-or named by a peer.
+"""Cancellations known before the replica shows them: committed here, or reported by a peer.
 
-A controller that the state service refuses goes on with the authority that its peers grant it
-(`coordination/terms.py`), and its book stands still meanwhile, so it may lack what others have
-told users. Each peer names what the asker's book may lack; what was named is kept here until the
-book shows it, and holds for shares and parts that are taken in later too.
+A controller that the state service does not serve keeps the authority that its peers grant it
+(`coordination/terms.py`). Its replica is not updated meanwhile, and may lack cancellations that
+other controllers have confirmed to users. Each peer therefore reports the cancellations that the
+asker's replica may lack, and they are kept here until the replica shows them.
 
-Found by reading: only what a process itself had written of late was named. It left out what it
-had told a user because its book said so, and what its predecessor had confirmed; and what was
-named marked the tasks of that moment only.
+A peer reports more than its own recent writes: also what it confirmed to a user because its
+replica showed it, and what its predecessor confirmed. A reported cancellation holds for shares
+and parts that are taken in later too, not only for the tasks known at that moment.
 """
 
 from collections.abc import Iterable
@@ -17,12 +16,14 @@
 
 
 class Ahead:
+    """Cancelled jobs that the replica may not show yet."""
+
     def __init__(self, book: JobBook) -> None:
         self._book = book
-        self._known: dict[str, float] = {}  # job -> when it was learnt last
+        self._known: dict[str, float] = {}  # job -> when it was last learnt, in seconds
 
     def learn(self, uids: Iterable[str], now: float) -> list[str]:
-        """Those that were confirmed by now; returns which of them are news."""
+        """Adds jobs whose cancellation is confirmed; returns those not known before."""
         news: list[str] = []
         for uid in uids:
             if uid not in self._known and not self._in_book(uid):
@@ -32,14 +33,14 @@
         return news
 
     def read(self, began_at: float) -> None:
-        """The book holds all that was written before `began_at`."""
+        """Drops what the replica shows now: it holds all that was committed before `began_at`."""
         self._known = {uid: at for uid, at in self._known.items() if at >= began_at}
         self._book.cancelled_ahead = set(self._known)
 
     def beyond(self, ledger: int) -> list[str]:
-        """All jobs that somebody here may have been told are cancelled, as far as a book that
-        is complete up to `ledger` may not show it and a part may hold tasks of them: none does of
-        those that left the book, nor of those that are cancelled with one that they need."""
+        """All jobs that a user may have been told are cancelled and of which a part may hold
+        tasks, as far as a replica at revision `ledger` may not show the cancellation. No part
+        holds tasks of jobs that left the replica, or that are cancelled with one they need."""
         return sorted(
             self._known
             | {
--- a/ryegauge/bookkeeping/budget.py
+++ b/ryegauge/bookkeeping/budget.py
@@ -1,16 +1,16 @@
-"""What may be spent of a rate limit that several controllers share."""
+"""Token buckets for rate limits that several controllers have in common."""
 
 import trio
 
-# Parts of the bucket that takers leave untouched, the more urgent the smaller.
-URGENT = 0.0  # renewals and claims
-SOON = 0.1  # what users wait for
+# Reserves: the part of a full bucket that a taker must leave. The more urgent, the smaller.
+URGENT = 0.0  # lease renewals and claims of roles
+SOON = 0.1  # requests that users wait for
 USUAL = 0.25
-IDLE = 0.6  # what can as well be done later
+IDLE = 0.6  # requests that can be made later
 
 
 class _Turn:
-    """Somebody waits."""
+    """A caller that waits for the bucket to fill."""
 
     __slots__ = ("reserve",)
 
@@ -19,9 +19,10 @@
 
 
 class Budget:
-    """A token bucket: this controller's part of a limit."""
+    """A token bucket with this controller's part of a limit."""
 
     def __init__(self, rate: float, burst: float) -> None:
+        """`rate` is in units per second; `burst`, the size of the bucket, is at least 1."""
         self.rate = rate
         self.burst = max(1.0, burst)
         self._level = self.burst
@@ -29,7 +30,7 @@
         self._turns: list[_Turn] = []
 
     def resize(self, rate: float, burst: float) -> None:
-        """Another part of the limit, since controllers come and go."""
+        """Sets another part of the limit, after a controller has come or gone."""
         self._refill()
         self.rate, self.burst = rate, max(1.0, burst)
         self._level = min(self._level, self.burst)
@@ -40,26 +41,31 @@
         self._at = now
 
     def available(self, reserve: float = USUAL) -> float:
+        """How much can be taken now without touching the reserve; may be negative."""
         self._refill()
         return self._level - reserve * self.burst
 
     def has(self, cost: float, reserve: float) -> bool:
+        """Whether `cost` can be taken now. A cost that leaves less than the reserve even of a
+        full bucket only needs a full bucket."""
         return self.available(0.0) - cost >= min(reserve * self.burst, self.burst - cost)
 
     def try_take(self, cost: float = 1.0, reserve: float = USUAL) -> bool:
+        """Takes `cost` if it is there now, and returns whether it was."""
         if not self.has(cost, reserve):
             return False
         self._level -= cost
         return True
 
     def drain(self) -> None:
-        """The other side said 429: the bucket is in truth empty."""
+        """Empties the bucket, after the other side has answered 429."""
         self._refill()
         self._level = min(self._level, 0.0)
 
     async def take(self, cost: float = 1.0, reserve: float = USUAL) -> None:
-        """The most urgent first, else in turn. (Whoever came back right after a take saw each
-        refill first: a cancellation waited for seconds beside queued submissions.)"""
+        """Waits until `cost` can be taken, and takes it. The smallest reserve comes first, then
+        the longest wait. Without an order, a caller that returns right after a take would see
+        each refill first: a cancellation waited for seconds behind queued submissions."""
         turn = _Turn(reserve)
         self._turns.append(turn)
         try:
--- a/ryegauge/bookkeeping/finals.py
+++ b/ryegauge/bookkeeping/finals.py
@@ -1,8 +1,8 @@
-"""Outcomes of jobs that have left the book: read once, kept, and asked for together.
+"""Looks up the outcomes of archived jobs, in batches, and caches them.
 
-Users ask about many jobs at once, about unknown ones too, and a request for each is more than
-the service takes: one transaction without changes asks which of many records there are. A
-question is only answered by a request that began after it.
+Users ask about many jobs at once, unknown ones included, and one request for each would exceed
+the service's rate limit. A transaction without changes tells which of many records exist: its
+guards fail for those that do. A lookup is only answered by a request that began after it.
 """
 
 from collections.abc import Iterable
@@ -17,36 +17,41 @@
 
 
 class _Batch:
+    """Lookups that are answered together."""
+
     def __init__(self) -> None:
         self.uids: set[str] = set()
-        # What it found, for all who asked: what is remembered beyond may be dropped before each
-        # of them has looked. (Found by reading: a job that one batch had found while the next
-        # asked for it again counted as never accepted.)
+        # Kept until every caller of the batch has read it, since the cache may evict an outcome
+        # earlier: a job that one batch found while the next one asked for it again would then
+        # count as never accepted.
         self.found: dict[str, dict[str, Any]] = {}
         self.over = False
         self.error: Unavailable | Unknown | None = None
 
 
 class Finals:
+    """Batched and cached lookups of `f/UID` records."""
+
     def __init__(self, state: StateClient, conditions: int, keep: int) -> None:
-        """`conditions`: as many as a transaction may have; `keep`: outcomes remembered."""
+        """`conditions`: most guards of a transaction; `keep`: most outcomes in the cache."""
         self._state = state
         self._conditions = conditions
         self._keep = keep
-        # They never change; the latest read is last.
+        # Outcomes never change. In the order in which they were read; the oldest is evicted first.
         self._known: dict[str, dict[str, Any]] = {}
         self._next = _Batch()
         self._turn = trio.Lock()
 
     def known(self, uid: str) -> dict[str, Any] | None:
-        """What is remembered, without asking."""
+        """The cached record, without a request."""
         return self._known.get(uid)
 
     async def find(self, uid: str) -> dict[str, Any] | None:
+        """The job's record, or None if there is none. Raises as `find_all`."""
         return (await self.find_all([uid])).get(uid)
 
     async def find_all(self, uids: Iterable[str]) -> dict[str, dict[str, Any]]:
-        """The records that there are. Raises Unavailable or Unknown."""
+        """The existing records of these jobs. Raises Unavailable or OutcomeUnknown."""
         wanted = list(uids)
         known = self._known
         found = {uid: known[uid] for uid in wanted if uid in known}
@@ -58,7 +63,7 @@
         async with self._turn:
             if not batch.over:
                 if self._next is batch:
-                    self._next = _Batch()  # for those who ask from now on
+                    self._next = _Batch()  # for lookups that begin from now on
                 try:
                     await self._look(batch)
                 except (Unavailable, Unknown) as error:
@@ -90,7 +95,7 @@
                 if record is not None:
                     self._known[uid] = record[0]
                 elif uid not in alone:
-                    # It was there just now, and outcomes are kept for good.
-                    raise Unavailable(f"the outcome of {uid} is not there any more")
+                    # It existed a moment ago, and outcomes are never deleted.
+                    raise Unavailable(f"the outcome of {uid} no longer exists")
             if uid in self._known:
                 batch.found[uid] = self._known[uid]
--- a/ryegauge/bookkeeping/ranges.py
+++ b/ryegauge/bookkeeping/ranges.py
@@ -1,10 +1,10 @@
-"""Sets of task numbers as sorted half-open ranges, small enough to be records."""
+"""Sets of task numbers as sorted half-open ranges, compact enough for records."""
 
 from collections.abc import Iterable, Iterator
 
 
 class Ranges:
-    """An immutable set of integers. Jobs have up to 100,000 tasks, mostly in runs."""
+    """An immutable set of integers. Jobs have up to 100,000 tasks, mostly consecutive ones."""
 
     __slots__ = ("spans",)
 
@@ -13,6 +13,7 @@
 
     @staticmethod
     def of(numbers: Iterable[int]) -> "Ranges":
+        """The set of the given numbers, in any order."""
         spans: list[tuple[int, int]] = []
         for n in sorted(set(numbers)):
             if spans and spans[-1][1] == n:
@@ -23,13 +24,16 @@
 
     @staticmethod
     def up_to(count: int) -> "Ranges":
+        """The numbers from 0 to `count` - 1."""
         return Ranges(((0, count),)) if count > 0 else Ranges()
 
     @staticmethod
     def from_flat(flat: list[int]) -> "Ranges":
+        """Parses [start, end, start, end, ...]. Raises ValueError if the length is odd."""
         return Ranges(tuple(zip(flat[::2], flat[1::2], strict=True)))
 
     def flat(self) -> list[int]:
+        """The form in records: [start, end, start, end, ...], ends exclusive."""
         return [bound for span in self.spans for bound in span]
 
     def __len__(self) -> int:
@@ -64,7 +68,8 @@
         return Ranges(tuple(spans))
 
     def __sub__(self, other: "Ranges") -> "Ranges":
-        """In one pass over both: arrays whose tasks end in any order have thousands of spans."""
+        """One pass over both sets, since a job whose tasks end in any order has thousands of
+        spans."""
         spans: list[tuple[int, int]] = []
         others, i = other.spans, 0
         for a, b in self.spans:
--- a/ryegauge/coordination/__init__.py
+++ b/ryegauge/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Authority, parting, the leader and the loops that reconcile."""
+"""The leader, part owners, leases and roles, and the loops of a controller."""
