--- a/ryegauge/coordination/frontdoor.py
+++ b/ryegauge/coordination/frontdoor.py
@@ -1,6 +1,6 @@
-"""What users are answered: submissions, polls and cancellations.
+"""The user API: submissions, polls and cancellations.
 
-Nothing is held back: what can't be taken now is refused at once with Retry-After.
+Requests that cannot be served now are refused at once with Retry-After, never queued for long.
 """
 
 import logging
@@ -46,14 +46,16 @@
 
 Answer = Literal["accepted", "known", "unsure"]
 
-# A job's record may grow by the mark of its cancellation.
+# By how much a job's record may grow when it is marked as cancelled.
 MARK_BYTES = 16
 
-# Outcomes of jobs that left the book which are remembered, for each MB of memory.
+# Cached outcomes of archived jobs for each MB of the memory quota.
 FINALS_PER_MB = 20
 
 
 class _Submission:
+    """A new job that waits to be recorded."""
+
     __slots__ = ("beside", "done", "outcome", "record", "size", "uid")
 
     def __init__(self, uid: str, record: dict[str, Any], beside: tuple[Put, ...]) -> None:
@@ -74,6 +76,9 @@
 
 
 class FrontDoor:
+    """Answers users' requests from the replica and the archived outcomes, and records new jobs
+    in groups."""
+
     def __init__(
         self,
         settings: Settings,
@@ -86,7 +91,9 @@
         wall: Callable[[], float],
         luck: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """`luck`, from 0 to 1, spreads those who are told to come again."""
+        """`types` returns the machine types, none as long as they are not known; `wrote` and
+        `submitted` are called with the revision of a cancellation or of new jobs; `wall` returns
+        the wall-clock time in seconds; `luck`, a random number from 0 to 1, spreads retries."""
         self._settings = settings
         self._state = state
         self._book = book
@@ -99,26 +106,27 @@
         self._teams = {team.name: team for team in settings.settings.teams}
         self._queue: list[_Submission] = []
         self._queued = trio.Event()
-        # More than this many seconds' worth of writes is refused at once.
+        # Submissions beyond two seconds' worth of writes are refused at once.
         self._queue_limit = max(12, int(2 * state.writes.rate))
         self._waiting = 0
         self._limits = settings.state_limits
         memory_mb = settings.settings.quota.memory_mb
         self._finals = Finals(state, self._limits.conditions, int(FINALS_PER_MB * memory_mb))
-        # Told of each job that a write of ours has cancelled, before its user is.
+        # Called with each job that a commit of ours has cancelled, before its user is answered.
         self.on_cancelled: Callable[[str], None] = lambda uid: None
-        # Until then nobody is told that a job was never accepted: it may have been lost.
+        # Until then no user is told that a job was never accepted: it may have been lost.
         self.unknown_before = float("-inf")
-        # Told of a record that must be there and is not.
+        # Called with the key of a record that must exist and does not.
         self.lost: Callable[[str], None] = lambda key: None
 
     async def handle(self, method: str, path: str, body: bytes) -> Reply:
+        """Answers one HTTP request. Raises Malformed for a body that is not a valid job."""
         parts = path.partition("?")[0].strip("/").split("/")
-        # A flood of questions is refused early: answers would come too late anyway.
+        # Overload is refused early: answers to all would come too late to be of use.
         if self._waiting >= self._settings.settings.quota.max_connections // 4:
             return Reply(429, {"error": "too many requests"}, self._later_s())
         if self._book.era_stage == PUTTING_BACK:
-            return _busy("what the state service lost is being put back")
+            return _busy("the state service's lost data is being restored")
         self._waiting += 1
         try:
             match method, parts:
@@ -135,7 +143,7 @@
         return Reply(404, {"error": "no such path"})
 
     def _later_s(self) -> float:
-        """Not all at the same moment."""
+        """Seconds after which to retry, spread so that clients do not return all at once."""
         return 1.0 + 3.0 * self._luck()
 
     # -- submissions -----------------------------------------------------------------
@@ -145,7 +153,7 @@
         try:
             spec = parse_job(raw)
         except Malformed:
-            # A retry of a known job is answered with its state, whatever else it says.
+            # A retry of a known job is answered with its state, even if the rest is invalid.
             uid = raw.get("uid") if isinstance(raw, dict) else None
             if valid_uid(uid) and (view := await self._known(str(uid))) is not None:
                 return Reply(200, view)
@@ -153,8 +161,9 @@
         return await self.submit(spec)
 
     async def submit(self, spec: JobSpec, beside: tuple[Put, ...] = ()) -> Reply:
-        """What a user would be answered; `beside` is written with a job that is new. Raises
-        what reading and writing the state service raise."""
+        """Records a job, or finds it known, and returns the reply for its user. `beside` is
+        written in the same transaction as a new job. Raises Unavailable, OutcomeUnknown or
+        Gone if the state service cannot be used."""
         if self._heard_of(spec.uid) and (view := await self._known(spec.uid)) is not None:
             return Reply(200, view)
         types = self._types()
@@ -168,9 +177,9 @@
             return Reply(422, {"error": why})
         if len(self._queue) >= self._queue_limit:
             return Reply(429, {"error": "too many submissions"}, self._later_s())
-        # A user waits 5 s; whoever writes gives up sooner and says so.
+        # Users wait for 5 s, so this gives up sooner and tells them so.
         with trio.move_on_after(4.0):
-            # Outcomes of the jobs that it needs, of those that have left the book.
+            # Outcomes of needed jobs that have left the replica.
             outcomes: dict[str, Outcome] = {}
             if (refused := await self._prepare(spec, outcomes)) is not None:
                 return refused
@@ -178,7 +187,7 @@
         return _busy("the job could not be recorded")
 
     async def _prepare(self, spec: JobSpec, outcomes: dict[str, Outcome]) -> Reply | None:
-        """What keeps a new job from being recorded, if anything does."""
+        """The refusal of a job that must not be recorded, or None."""
         bare = job_record(msgspec.structs.replace(spec, needs=None), self._wall(), False)
         why, status = "", 422
         if value_bytes(bare) + MARK_BYTES + 60 > self._limits.value_bytes:
@@ -194,8 +203,8 @@
         return Reply(status, {"error": why})
 
     async def _unknown(self, needs: tuple[str, ...], outcomes: dict[str, Outcome]) -> str:
-        """The first of the names that no job was accepted under, by a read that began
-        after the question; outcomes of jobs outside the book are looked up on the way."""
+        """The first of the names under which no job was ever accepted, or "", by a read that
+        began after the call. Adds the outcomes of archived jobs to `outcomes`."""
         if not any(name not in self._book.jobs for name in needs):
             return ""
         await self._fresh()
@@ -211,9 +220,9 @@
     def _new_record(
         self, spec: JobSpec, at: float, finals: dict[str, Outcome]
     ) -> tuple[dict[str, Any], list[list[str]]]:
-        """The record of a new job and, if it cannot hold them, the pieces with the names
-        of those that it needs. What is over by now is not named any more: done never
-        goes back, and what needs a cancelled job is cancelled from the start."""
+        """The record of a new job and, if that cannot hold the names of the jobs it needs, the
+        lists of names for separate records. Needed jobs that are over are left out: one that is
+        done stays done, and a job that needs a cancelled one is cancelled from the start."""
         outcomes = {n: self._book.outcome(n) or finals.get(n) for n in spec.needs or ()}
         left = tuple(n for n, outcome in outcomes.items() if outcome is None)
         spec = msgspec.structs.replace(spec, needs=left or None)
@@ -227,8 +236,9 @@
         return job_record(spec, at, False, (digest, len(pieces))), pieces
 
     async def _store_pieces(self, uid: str, digest: str, pieces: list[list[str]]) -> None:
-        """Before the job's own record, which makes them count. They are named by what
-        they hold, so one that is there already is the same."""
+        """Writes the names of needed jobs. They take effect with the job's own record, which is
+        written afterwards. Their keys contain a digest of their contents, so an existing one
+        has the same contents."""
         for first in range(0, len(pieces), self._limits.txn_ops):
             some = list(enumerate(pieces))[first : first + self._limits.txn_ops]
             keys = {piece_key(uid, digest, n): names for n, names in some}
@@ -257,8 +267,8 @@
             if submission in self._queue:
                 self._queue.remove(submission)
         if submission.outcome == "accepted":
-            # While our write was under way, another controller may have found it and told how
-            # the job ended: the answer is no older than what is known here by now.
+            # While our write was under way, another controller may have read the job and told
+            # a user how it ended. The reply must not be older than what is known here by now.
             ended = self._ended(spec.uid)
             status = ended["status"] if ended else "cancelled" if "x" in record else "queued"
             return Reply(201, {"uid": spec.uid, "status": status})
@@ -267,16 +277,18 @@
         return _busy("the job could not be recorded")
 
     async def write_submissions(self) -> None:
-        """Group commit: one transaction for all that wait."""
+        """Records waiting submissions by group commit, until cancelled."""
         limit = self._limits.txn_ops
         while True:
             await self._queued.wait()
             if not self._queue:
                 self._queued = trio.Event()
                 continue
-            # What there is now: a full group needs a full bucket, which others drain meanwhile.
-            # Not less than lets others have a turn, who leave more: taken one by one, as each
-            # came, changes were left for no outcome in a flood of tiny jobs.
+            # The group takes what the budget allows now: a full group would need a full bucket,
+            # which other writers drain meanwhile. But it waits until the bucket has risen above
+            # the default reserve, so that writers with that reserve get a turn. Submissions
+            # recorded one by one, as they arrived, kept the bucket below it: in a flood of tiny
+            # jobs no outcome could be written.
             writes = self._state.writes
             least = min(len(self._queue), 1 + int(USUAL * writes.burst))
             if (lacking := least - writes.available(SOON)) > 0:
@@ -291,7 +303,8 @@
                     submission.done.set()
 
     def _take(self, limit: int) -> tuple[list[_Submission], list[_Submission]]:
-        """As many as a transaction may hold, by number and (well below 64 KiB) by size."""
+        """Splits the queue into the next transaction's submissions and the rest. A transaction
+        is limited in changes and, well below the service's 64 KiB, in bytes."""
         size = changes = 0
         for n, submission in enumerate(self._queue):
             size += submission.size + 200
@@ -301,6 +314,7 @@
         return self._queue, []
 
     async def _write(self, batch: list[_Submission]) -> None:
+        """Commits the batch, without those whose job turns out to be known."""
         while batch:
             first = {s.uid: s for s in reversed(batch)}  # one per uid, the earliest
             guards: dict[str, int] = {}
@@ -316,7 +330,7 @@
                 failed = set(conflict.failed)
                 known = [s for s in batch if job_key(s.uid) in failed or final_key(s.uid) in failed]
                 if not known:
-                    raise Unavailable("a conflict without a cause") from None
+                    raise Unavailable("the transaction conflicts on none of its jobs") from None
                 for s in known:
                     s.outcome = "known"
                     s.done.set()
@@ -331,9 +345,9 @@
     # -- questions ------------------------------------------------------------------------
 
     async def _known(self, uid: str) -> dict[str, Any] | None:
-        """The job's state from a read that begins now, or None if it was never accepted. All
-        that users are told of a job that may be known comes from here: polls, cancellations
-        and repeated submissions, whatever those say and wherever they meet the job."""
+        """The job's state by a read that begins now, or None if it was never accepted. Every
+        answer about a job that may be known comes from here: polls, cancellations and repeated
+        submissions."""
         if (view := self._ended(uid)) is not None:
             return view
         await self._fresh()
@@ -341,7 +355,7 @@
             return view
         if (record := await self._finals.find(uid)) is not None:
             return _final_view(uid, record["st"], record["d"])
-        # Recorded while its outcome was looked up: by now the book may have it.
+        # It may have been recorded while its outcome was looked up, and be in the replica by now.
         self._check_whole()
         if (view := self._by_book(uid)) is not None:
             return view
@@ -349,16 +363,17 @@
         return None
 
     def _heard_of(self, uid: str) -> bool:
+        """Whether anything is known of the job without a read."""
         book = self._book
         return uid in book.jobs or uid in book.packed or self._finals.known(uid) is not None
 
     def _ended(self, uid: str) -> dict[str, Any] | None:
-        """How a job has ended, as far as is known without a read. What has an end has it for
-        good, and is answered at once, in an outage too."""
+        """The final state of a job, as far as it is known without a read. It never changes, so
+        users get it at once, even in an outage of the state service."""
         book = self._book
         if (job := book.jobs.get(uid)) is not None:
             if uid in book.cancelled_ahead:
-                # Confirmed to a user, by us or by a peer that named it; not read yet.
+                # Confirmed to a user here or by a peer, but not in the replica yet.
                 return _final_view(uid, "cancelled", job.done_count)
             return job.view() if job.over else None
         if (packed := book.packed.get(uid)) is not None:
@@ -367,35 +382,36 @@
         return None if record is None else _final_view(uid, record["st"], record["d"])
 
     def _by_book(self, uid: str) -> dict[str, Any] | None:
-        """What the book says of a job, which has been read since the question; None: nothing."""
+        """The job's state in the replica, which has been read since the request; None if it
+        is not there."""
         if (view := self._ended(uid)) is not None:
             return view
-        # Looked up now: after a full read it is another object, or has left the book.
+        # Looked up only now: after a full read it is another object, or gone.
         if (job := self._book.jobs.get(uid)) is None:
             return None
         if self._book.hangs_on_lost(job):
-            # One that it needs left the book before its outcome was written for this one:
-            # cancelled perhaps, and then others may have been told that this one is, too.
-            raise Unavailable("the outcome of a job that it needs is being looked up")
+            # A needed job left the replica before its outcome was recorded for this one. It may
+            # be cancelled, and other users may have been told that this one is cancelled too.
+            raise Unavailable("the outcome of a job that this one needs is being looked up")
         return job.view()
 
     def _check_never(self, uid: str) -> None:
-        """Raises Unavailable unless a job of which nothing was found was surely never accepted."""
+        """Raises Unavailable if a job that was not found may have been accepted all the same."""
         if uid in self._book.finals:
             self.lost(final_key(uid))
-            raise Unavailable("a record that was there is lost")
+            raise Unavailable("the state service has lost a record")
         if not self._book.era_complete or trio.current_time() < self.unknown_before:
-            raise Unavailable("not all that may have been lost is known yet")
+            raise Unavailable("the job may be among the data that the state service lost")
 
     async def _fresh(self) -> None:
-        """A read that begins now; useless if it shows that data was lost."""
+        """Waits for a read that begins now. Raises Unavailable if it shows a loss of data."""
         await self._syncer.fresh()
         self._check_whole()
 
     def _check_whole(self) -> None:
-        """Raises Unavailable while the book may show a job as it was before its end."""
+        """Raises Unavailable while the replica may lack ends of jobs that are being restored."""
         if self._book.era_stage == PUTTING_BACK:
-            raise Unavailable("what it lost is being put back")
+            raise Unavailable("its lost data is being restored")
 
     async def _poll(self, uid: str) -> Reply:
         if not valid_uid(uid):
@@ -404,6 +420,8 @@
         return Reply(404, {"error": "no such job"}) if view is None else Reply(200, view)
 
     async def cancel(self, uid: str) -> Reply:
+        """Cancels a job unless it is over, and returns the reply for the user. Raises as
+        `submit`."""
         if not valid_uid(uid):
             return Reply(404, {"error": "no such job"})
         for _ in range(5):
@@ -435,7 +453,7 @@
         return _busy("the job keeps changing")
 
     def _unfinished(self, job: Job) -> dict[str, int]:
-        """Guards that hold only while the job is as we know it, that is, not done."""
+        """Guards that hold only while the job and its shares are as in the replica, not done."""
         uid = job.spec.uid
         guards = {job_key(uid): job.version}
         for part in range(self._settings.settings.nodes):
