--- a/ryegauge/coordination/terms.py
+++ b/ryegauge/coordination/terms.py
@@ -1,4 +1,4 @@
-"""This controller's term: its lease with the state service, and the roles it holds."""
+"""This controller's lease with the state service, and the roles that it holds under it."""
 
 import logging
 from collections.abc import Callable
@@ -26,13 +26,16 @@
 
 
 def part_key(part: int) -> str:
+    """Key of a part's role record."""
     return f"r/p/{part}"
 
 
 class Term:
-    """Authority counts from when the renewal was *sent*, less drift, and never past
-    a term after the last read of the book: whoever hears of no cancellation must
-    stop commanding as well."""
+    """Keeps the lease, claims roles (parts and leadership) and tells how long they may be used.
+
+    Authority counts from when the renewal was *sent*, less clock drift, and ends at the latest
+    one lease duration after the last read of the replica was sent: a controller that does not
+    learn of cancellations must not issue commands either."""
 
     def __init__(
         self,
@@ -55,32 +58,35 @@
         self._lease: int | None = None
         self._granted_at = float("inf")
         self._renewed_from = float("-inf")
-        # Given back with an unknown outcome: never to be used again.
-        # (Parts claimed in one transaction share a token, hence the part.)
+        # (part, token) of roles given back, whatever the outcome of the request: never used
+        # again. Parts claimed in one transaction have the same token, hence the part.
         self._given_back: set[tuple[int, int]] = set()
+        # Whether our `r/n/` record is up to date, and the revision at which it was written.
         self._enrolled = False
-        self._enrolled_at = 0  # revision
-        # A claim was sent; until the book is read again its outcome is not known.
+        self._enrolled_at = 0
+        # When the last claim was sent; its outcome is known once the replica is read again.
         self._claimed_at = float("-inf")
+        # When the last round of promises that counts was asked for.
         self._promised_from = float("-inf")
-        self._voters: dict[str, str] = {}  # who promised, and as which incarnation
-        self._greeted: dict[str, tuple[str, float]] = {}  # as which incarnation, and when
-        self._met: dict[str, set[str]] = {}  # incarnations that have greeted us, by name
-        self._promised_until: dict[str, float] = {}  # what we promised ourselves
-        # Promises that a predecessor of this process gave have run out by then.
+        self._voters: dict[str, str] = {}  # peer that promised -> its incarnation
+        self._greeted: dict[str, tuple[str, float]] = {}  # peer -> latest incarnation, and when
+        self._met: dict[str, set[str]] = {}  # peer -> all incarnations that have greeted us
+        self._promised_until: dict[str, float] = {}  # peer -> when our promise to it ends
+        # By then the promises given by a predecessor of this process have ended.
         self._quiet_until = trio.current_time() + self._ttl_s
-        # Parts whose workers we do not hear while others do, and since when.
+        # Part -> since when its workers cannot reach us while they reach other controllers.
         self._deaf: dict[int, float] = {}
         self._unwelcomed = {n for n in self._names if n != self._name}
-        # The era in which we act, since when we know of it, and whether we have put back what
-        # we knew of the one before, and saw it end ourselves.
+        # The epoch in which we act, since when we know of it, and, once we have restored what
+        # we knew of the previous one: the epoch and whether we saw the loss ourselves.
         self.era = 0
         self.era_since = float("-inf")
         self.put_back: tuple[int, bool] | None = None
 
     def begin_era(self, era: int, now: float) -> None:
-        """The state service has lost data. Our lease may be somebody else's there by now, and
-        nothing that we held counts; a new lease is had under a new incarnation."""
+        """Drops the lease and all roles, since the state service has lost data and may have
+        given our lease's number to another controller. The next lease is obtained under a new
+        incarnation."""
         self.era, self.era_since = era, now
         self._lease = None
         self.incarnation = self._new_incarnation()
@@ -90,17 +96,19 @@
 
     @property
     def settled_at(self) -> float:
-        """By then all authority of before this era has ended."""
+        """When all authority from before this epoch has ended."""
         return self.era_since + self._ttl_s
 
     def mark_back(self, saw: bool) -> None:
-        """All that we knew of before this era stands in the book; saying so to all."""
+        """Publishes that all we knew from before this epoch is restored. `saw`: whether this
+        process saw the loss itself."""
         self.put_back = (self.era, saw)
         self._enrolled = False
 
     def valid(self, now: float) -> bool:
-        # What the book says of roles counts only if it was read during this lease:
-        # after a lapse others may have taken them.
+        """Whether the roles that the replica shows for us may be used now."""
+        # The replica's roles count only if it was read during this lease: after a lapse other
+        # controllers may have claimed them.
         if self._lease is None or self._syncer.began_at < self._granted_at:
             return False
         since = max(min(self._renewed_from, self._syncer.began_at), self._promised_from)
@@ -108,22 +116,24 @@
 
     # -- outages --------------------------------------------------------------------
     #
-    # While the state service answers nobody, nobody can take a role over, but no
-    # controller can know that alone. If all others say that they are refused as well,
-    # and promise to leave our roles alone for a term, our authority lasts for a term from
-    # when they were asked. They name what they cancelled, so that no cancellation is
-    # missed meanwhile.
+    # While the state service serves no controller, none can claim a role, but no controller
+    # can know that alone. If all others answer that they are not served either, and promise
+    # not to claim our roles for one lease duration, our authority is extended to one lease
+    # duration after they were asked. Their answers contain the cancellations that they have
+    # confirmed, so that none is missed meanwhile.
 
     def needs_promises(self, now: float) -> bool:
+        """Whether authority is valid, but was not extended for a third of a lease duration."""
         since = max(min(self._renewed_from, self._syncer.began_at), self._promised_from)
         return self.valid(now) and now > since + self._ttl_s / 3
 
     def promised(self, asked_at: float, voters: dict[str, str], now: float) -> None:
-        """All others promised. Counts only if authority has not lapsed since."""
-        # A voter that has started anew since it was asked has forgotten its promise. One that
-        # greeted us before has answered as the process that runs now, whatever incarnation its
-        # present term has. (Held against its greeting, the promises of a controller whose term had
-        # lapsed never counted again; nor did they after a greeting of its predecessor came late.)
+        """Extends authority if all peers are among the voters (name -> incarnation) and it has
+        not lapsed since they were asked."""
+        # A voter that restarted after it was asked has forgotten its promise. One that greeted
+        # us before that has answered as the process that runs now, under whatever incarnation:
+        # a controller that lost its lease has a new incarnation without a new greeting, and a
+        # late greeting of its predecessor must not invalidate its promises either.
         remembered = all(
             greeting is None or greeting[1] <= asked_at or greeting[0] == i
             for n, i in voters.items()
@@ -135,8 +145,9 @@
             self._voters = voters
 
     def give_promise(self, node: str, incarnation: str, now: float) -> bool:
-        """Only if the state service fails us too, and we have claimed nothing since
-        the book was last read: a claim under way could be the asker's role."""
+        """Promises `node` not to claim its roles for one lease duration, and returns whether.
+        Only if the state service does not serve us either, and if we have sent no claim since
+        the replica was last read: a claim under way could be for a role of `node`."""
         if (
             not self._syncer.ready.is_set()
             or self._state.failing_since is None
@@ -149,14 +160,15 @@
 
     @property
     def promises_end_at(self) -> float:
-        """By then nobody counts on a promise of ours any more. A claim of ours that was carried out
-        late, after a promise, makes a role ours while its holder still commands."""
+        """When the last of our promises ends. A claim of ours that is executed late, after a
+        promise, makes a role ours by the replica while its holder still issues commands."""
         return max(self._promised_until.values(), default=float("-inf"))
 
     def welcome(self, node: str, incarnation: str) -> None:
-        """A peer has started anew and remembers no promise of its predecessor. A greeting of an
-        incarnation that has greeted before is a late copy: taken for news, none of the promises of
-        the one that runs now would count in the next outage."""
+        """Takes in the greeting of a restarted peer, which remembers no promise that its
+        predecessor gave. A greeting of an incarnation that has greeted before is a late copy and
+        ignored: otherwise no promise of the peer's present process would count in the next
+        outage."""
         if incarnation in self._met.setdefault(node, set()):
             return
         self._met[node].add(incarnation)
@@ -165,28 +177,32 @@
             self._promised_from = float("-inf")
 
     def welcomed_by(self, node: str) -> None:
+        """A peer has answered our greeting."""
         self._unwelcomed.discard(node)
 
     @property
     def unwelcomed(self) -> set[str]:
+        """Peers that have not answered our greeting yet."""
         return self._unwelcomed
 
     def _may_claim(self, now: float) -> bool:
-        """Whether no promise stands against taking what has no owner: given by us, or,
-        unless all the others have let go of it, by our predecessor."""
+        """Whether no promise forbids claiming roles without a holder: neither one of ours nor,
+        until all peers have answered our greeting, one of our predecessor's."""
         if any(until > now for until in self._promised_until.values()):
             return False
         return not self._unwelcomed or now > self._quiet_until
 
-    # -- deafness -------------------------------------------------------------------
+    # -- unreachable parts ------------------------------------------------------------
 
     @property
     def deaf_parts(self) -> dict[int, float]:
+        """Part -> since when its workers cannot reach us while they reach other controllers."""
         return self._deaf
 
     def cannot_hear(self, part: int, now: float) -> bool:
-        """Others hear the part's workers and we do not; whether to give the part up. Not
-        again within a lease: if nobody else took it, we had it back."""
+        """The part's workers reach other controllers but not us. Returns whether to give the
+        part up, but only once per worker lease: if no other controller took it, we claimed it
+        again."""
         least_s = self._settings.settings.workers.lease_s
         if now - self._deaf.get(part, float("-inf")) < least_s:
             return False
@@ -195,7 +211,8 @@
         return self._wanted(part, set(self._book.nodes)) not in (self._name, None)
 
     def hears(self, part: int, now: float) -> None:
-        """Its workers reach us, or we them. Not at once, so that roles do not flap."""
+        """The part's workers reach us, or we them. Takes effect only after a worker lease, so
+        that roles do not flap."""
         least_s = self._settings.settings.workers.lease_s
         if now - self._deaf.get(part, now) >= least_s:
             del self._deaf[part]
@@ -207,7 +224,8 @@
         return wanted_owner(part, self._names, live, deaf)
 
     def token_of(self, part: int) -> int | None:
-        """The token under which this controller owns the part, by the book."""
+        """The token under which this controller owns the part, by the replica; None if it does
+        not."""
         owner = self._book.parts.get(part)
         if (
             owner is None
@@ -220,12 +238,14 @@
 
     @property
     def leader_token(self) -> int | None:
+        """The token under which this controller leads, by the replica; None if it does not."""
         leader = self._book.leader
         if leader is None or leader.node != self._name or leader.incarnation != self.incarnation:
             return None
         return leader.token
 
     async def run(self) -> None:
+        """Renews the lease and claims roles, until cancelled."""
         await self._syncer.ready.wait()
         pause = self._ttl_s / 12
         while True:
@@ -236,9 +256,9 @@
                 if not self._still_enrolled() or self._claims():
                     await self._claim()
             except Gone:
-                log.warning("the lease ran out: starting a new term")
+                log.warning("the lease has expired: requesting a new one")
                 self._lease = None
-                # Nothing held under the old term is ours by the book any more.
+                # Roles held under the old lease do not count any more.
                 self.incarnation = self._new_incarnation()
                 self._promised_from = float("-inf")
                 self._enrolled = False
@@ -250,9 +270,10 @@
             await trio.sleep(pause)
 
     def _still_enrolled(self) -> bool:
-        """By the book, once that shows it. A predecessor's enrolment that was still on its way
-        when this process had enrolled takes the place of ours, and goes with its lease: the
-        others then took us for gone, and we gave all our parts away, for good."""
+        """Whether the replica shows our `r/n/` record as we wrote it. A predecessor's write that
+        was still under way when this process enrolled replaces our record, and is deleted with
+        the predecessor's lease: unless it is written again, the other controllers consider us
+        gone and we hand over all our parts for good."""
         if self._enrolled and self._book.ledger >= self._enrolled_at:
             self._enrolled = self._book.nodes.get(
                 self._name
@@ -267,18 +288,19 @@
             lease = await self._state.grant(self._ttl_s, timeout_s=timeout_s)
             self._lease = lease
             self._granted_at = trio.current_time()
-            log.info("a new term has begun")
+            log.info("obtained a new lease")
             self._enrolled = False
         else:
             await self._state.extend(self._lease, timeout_s=timeout_s)
         self._renewed_from = now
 
     def _claims(self) -> dict[str, int]:
-        """Roles that this controller should take, with the versions they have now."""
+        """Keys of roles that this controller should claim, with the versions that guard them."""
         now = trio.current_time()
         live = {*self._book.nodes, self._name}
         if self.era and now < self.settled_at:
-            # The others are about to enrol; whoever has come to an end is not waited for long.
+            # The other controllers are about to enrol, so each counts as live for one lease
+            # duration.
             live = set(self._names)
         claims: dict[str, int] = {}
         may_claim = self._may_claim(now)
@@ -293,8 +315,7 @@
                 ):
                     claims[part_key(part)] = version
             elif owner.node == self._name and self.token_of(part) is None:
-                # Our predecessor's, as its own record proves: it has ended, since
-                # this process runs in its place.
+                # Held by our predecessor, which has ended since this process runs in its place.
                 claims[part_key(part)] = owner.token
         leader = self._book.leader
         stale, version = self._book.stale.get(LEADER_KEY, ("", 0))
@@ -316,7 +337,7 @@
         changes: list[Put | Delete] = [Put(key, record, self._lease) for key in claims]
         if not self._enrolled:
             changes.append(Put(f"r/n/{self._name}", self._record(), self._lease))
-        # Each role is guarded by itself, so they can be taken in several transactions.
+        # Each role has its own guard, so they can be claimed in several transactions.
         limit = self._settings.state_limits.txn_ops
         for first in range(0, len(changes), limit):
             some = changes[first : first + limit]
@@ -328,7 +349,7 @@
             )
         self._enrolled = True
         if claims:
-            log.info("took %s", ", ".join(claims))
+            log.info("claimed %s", ", ".join(claims))
         await self._syncer.fresh()
 
     def _record(self) -> dict[str, object]:
@@ -340,8 +361,8 @@
         return record
 
     async def renew_leader(self, token: int) -> None:
-        """Writes the leader's record anew: transactions guarded by the old version
-        that are still on their way fail from then on."""
+        """Writes the leader's record again, so that transactions guarded by its old version
+        that are still under way fail. Raises as `StateClient.commit`."""
         if self._lease is None:
             raise Gone
         record = {"o": self._name, "i": self.incarnation}
@@ -353,7 +374,7 @@
         )
 
     def surplus(self) -> list[tuple[int, int]]:
-        """(part, token) of parts that a live controller should have instead."""
+        """(part, token) of parts held here that another live controller should have."""
         result: list[tuple[int, int]] = []
         for part in range(self._parts):
             token = self.token_of(part)
@@ -363,12 +384,12 @@
         return result
 
     async def give_back(self, part: int, token: int) -> None:
-        """The caller has stopped commanding the part, and this token is not used again
-        whatever becomes of the request."""
+        """Gives a part up. The caller must have stopped issuing commands for it; the token is
+        not used again, whatever the outcome. Raises as `StateClient.commit`."""
         self._given_back.add((part, token))
         changes: list[Put | Delete] = [Delete(part_key(part))]
         if part in self._deaf and self._lease is not None:
-            # Together, so that the others know who is not to take it.
+            # In one transaction, so that the others know that this controller must not claim it.
             changes.append(Put(f"r/n/{self._name}", self._record(), self._lease))
         await self._state.commit(
             {part_key(part): token}, changes, timeout_s=self._ttl_s / 6, reserve=URGENT
