--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -1,8 +1,8 @@
-"""What leaves the job book: jobs that are over, and records that belong to none.
+"""Decides which jobs to archive and which records to delete.
 
-Every controller holds the book in memory; the oldest jobs that are over move to records
-of their own, which are read when asked for and kept for good. Decisions only: the
-leader's loop in `leading` writes what is wanted here.
+Every controller holds the replica in memory, so the oldest jobs that are over are replaced by
+outcome records outside it, which are read on demand and never deleted. Decisions only: the
+leader's loop (`leading`) commits them.
 """
 
 from ryegauge.bookkeeping.jobbook import (
@@ -17,9 +17,11 @@
 
 
 def move_out(job: Job, parts: int) -> Write:
-    """The job's record becomes its outcome. Its shares follow as orphans: with them a
-    transaction could hold more than the service takes, and nobody reads them without
-    the job. Guarded by all shares: while it is over, and none has a task."""
+    """The transaction that replaces a job's record by its outcome, guarded by the job and all
+    its shares: it takes effect only if the job is still over and no part holds a task of it.
+
+    The share records are left and deleted later as orphans: with them the transaction could
+    exceed the service's limit, and they are not read without the job."""
     uid = job.spec.uid
     view = job.view()
     guards = {job_key(uid): job.version}
@@ -33,8 +35,8 @@
 
 
 def to_move_out(book: JobBook, limit: int) -> list[Job]:
-    """The oldest jobs that are over, as many as the book has too many, but none that
-    another in the book needs: what is told of that one follows from them."""
+    """The oldest jobs that are over, as many as the replica exceeds `limit` by. A job that
+    another one in the replica needs stays, since the state of that one is derived from it."""
     excess = len(book.jobs) - limit
     if excess <= 0:
         return []
@@ -48,6 +50,7 @@
 
 
 def to_clear(book: JobBook, count: int) -> list[Put | Delete]:
-    """Records without a job, and outcomes that no job in the book needs any more."""
+    """Deletes of up to `count` records: those whose job has left the replica, and outcomes that
+    no job in the replica needs any more."""
     idle = [outcome_key(uid) for uid in book.outcomes if uid not in book.dependents]
     return [Delete(key) for key in sorted(book.orphans | set(idle))[:count]]
--- a/ryegauge/coordination/mesh.py
+++ b/ryegauge/coordination/mesh.py
@@ -1,6 +1,5 @@
-"""The controllers among themselves: what they tell and ask each other, promises during outages
-of the state service, and requests to it by way of a peer. Hints and views only, but for
-the promises (`terms`)."""
+"""Messages between controllers: hints, views, promises during outages of the state service, and
+requests relayed to it. Correctness rests on none of them but the promises (`terms`)."""
 
 import logging
 from collections.abc import Awaitable, Callable, Sequence
@@ -43,12 +42,14 @@
 
 log = logging.getLogger(__name__)
 
-# Names of cancelled jobs in one message: well below what a body may have. Whoever knows more
-# cannot promise, since the asker would miss some.
+# Most bytes of cancelled jobs' names in one message, well below the limit of a body. A
+# controller that knows more gives no promise, since the asker would miss some.
 NAMED_BYTES = 24 * 1024
 
 
 class Mesh:
+    """Sends messages to all peers and answers theirs."""
+
     def __init__(self, desk: Desk, front: FrontDoor) -> None:
         self._desk = desk
         self._ahead = Ahead(desk.book)
@@ -60,24 +61,25 @@
             )
             for peer in desk.settings.known
         }
-        # One that hangs is asked again now and then: a term is soon enough to use it.
+        # A peer that hangs is tried again once in half a lease duration.
         self.reach = Reach(desk.settings.term_s / 2)
-        # Asks workers on a peer's behalf.
+        # Probes workers at the given addresses on a peer's behalf; returns an outcome for each.
         self.on_probe: Callable[[Sequence[str]], Awaitable[list[str]]] | None = None
-        # Whether all that we know still stands in the state service; None: cannot tell.
+        # Checks whether all that we know is still in the state service; None: it cannot tell.
         self.on_audit: Callable[[], Awaitable[bool | None]] | None = None
         self.lived: Callable[[], bool] = lambda: False
-        # What the peers said to our greeting, by their names.
+        # Peer -> its answer to our greeting.
         self.welcomes: dict[str, HelloAnswer] = {}
         desk.state.use_relay(self._relay, patience_s=desk.settings.term_s / 5)
 
     async def tell_peers(self) -> None:
+        """Tells each peer of revisions that it should read, until cancelled."""
         async with trio.open_nursery() as nursery:
             for name in self.peers:
                 nursery.start_soon(self._tell_peer, name)
 
     async def _tell_peer(self, name: str) -> None:
-        """One that does not answer must not keep the others waiting."""
+        """The loop for one peer, separate so that a peer without answers delays no other."""
         told = 0
         while True:
             while told == self._desk.to_tell.get(name, 0):
@@ -86,6 +88,7 @@
             await self._send(name, to_wire(Poke(told)))
 
     async def _send(self, name: str, message: list[object], timeout_s: float = 0.0) -> object:
+        """As `_call`, but None if there is no answer. A timeout of 0 means half a report."""
         try:
             return await self._call(name, message, timeout_s or self._desk.report_s / 2)
         except Unreachable:
@@ -98,7 +101,7 @@
                 "POST", "/peer", message, timeout_s=timeout_s
             )
         except (Refused, Reset):
-            self.reach.answered(name)  # at once: nobody waits for it
+            self.reach.answered(name)  # it does not hang: it refused at once
             raise
         except Unreachable:
             self.reach.missed(name, trio.current_time())
@@ -107,10 +110,11 @@
         return answer if status == 200 else None
 
     async def tell(self, name: str, message: Message) -> None:
-        """A hint: whether it arrives does not matter."""
+        """Sends a hint, whose arrival does not matter."""
         await self._send(name, to_wire(message))
 
     async def ask(self, name: str, message: Message, timeout_s: float = 0.0) -> object:
+        """The peer's answer as a message, or None. A timeout of 0 means half a report."""
         return self._parsed(await self._send(name, to_wire(message), timeout_s))
 
     def _parsed(self, answer: object) -> object:
@@ -119,13 +123,14 @@
         try:
             return parse_message(answer)
         except Malformed as error:
-            log.warning("a peer's answer cannot be read: %s", error)
+            log.warning("malformed answer of a peer: %s", error)
             return None
 
     # -- outages ---------------------------------------------------------------------------
 
     async def greet(self) -> None:
-        """Lets the peers know that this process remembers no promise."""
+        """Greets all peers until each has answered: this process remembers no promise that its
+        predecessor gave."""
         hello = Hello(self._desk.settings.node_name, self._desk.term.incarnation)
         while self._desk.term.unwelcomed:
             for name in list(self._desk.term.unwelcomed):
@@ -137,6 +142,7 @@
         await trio.sleep_forever()
 
     async def ask_promises(self) -> None:
+        """Asks all peers for promises when authority needs them, until cancelled."""
         while True:
             await trio.sleep(self._desk.settings.term_s / 12)
             asked_at = trio.current_time()
@@ -154,8 +160,8 @@
             async with trio.open_nursery() as nursery:
                 for name in self.peers:
                     nursery.start_soon(ask, name)
-            # Authority is prolonged only once all that the answers named is taken in. An answer
-            # that comes after its round does not count, and is given again in the next one.
+            # Authority is extended only after all cancellations in the answers are taken in. An
+            # answer that comes after its round does not count; the next round asks again.
             self._desk.term.promised(asked_at, voters, trio.current_time())
 
     def _promise(self) -> Promise:
@@ -168,10 +174,10 @@
         )
 
     def _give_promise(self, message: Promise) -> PromiseAnswer:
-        """Names every cancellation that a user of ours may have been told and that the asker's
-        book may not show. A process that has just started has read what its predecessor had
-        confirmed, or gives no promise. A write of ours without an answer has told nobody anything;
-        whoever finds it carried out names it, since its book shows it then."""
+        """Answers with every cancellation that a user of ours may have been told of and that the
+        asker's replica may not show. A process that has just started either has read what its
+        predecessor confirmed, or gives no promise. A commit of ours without an answer has not
+        been confirmed to any user; a controller whose replica shows it reports it."""
         given = self._desk.term.give_promise(message.node, message.incarnation, trio.current_time())
         self._cancelled(message.cancelled)
         cancelled, whole = self._names(message.ledger)
@@ -183,7 +189,7 @@
         )
 
     def _names(self, ledger: int) -> tuple[list[str], bool]:
-        """Cancellations beyond a revision, and whether these are all."""
+        """Cancellations that a replica at the revision may lack, and whether these are all."""
         names = self._ahead.beyond(ledger)
         size, most = 0, len(names)
         for n, uid in enumerate(names):
@@ -194,13 +200,15 @@
         return names[:most], most == len(names)
 
     def _cancelled(self, uids: list[str]) -> None:
-        """Confirmed here or by a peer, before the book can be read: our parts stop them now."""
+        """Takes in cancellations confirmed here or by a peer that the replica may not show yet,
+        so that our parts stop the jobs at once."""
         for uid in self._ahead.learn(uids, trio.current_time()):
             for owner in self._desk.owned.values():
                 owner.on_job(uid)
 
     async def probe_state(self) -> None:
-        """While peers carry our requests, tries whether the service serves us again."""
+        """While the state service does not serve us, tries it regularly, until cancelled. The
+        requests that peers relay would not show that it serves us again."""
         while True:
             await trio.sleep(self._desk.settings.term_s / 5)
             if self._desk.state.failing_since is not None:
@@ -212,11 +220,13 @@
     async def _relay(
         self, method: str, target: str, body: object, timeout_s: float
     ) -> tuple[int, object] | None:
-        """Those that answer us carry it, in turn; one that hangs is asked last.
+        """Sends a request through the peers in turn, those that hang last, until one answers.
+        Returns None if none could send it.
 
-        Changes that may have reached the service are not sent by way of another: made already,
-        they would be refused there, and count as not made. (An allotment that was lost to its
-        leader that way could be made anew for another part: the same task in two places.)"""
+        Changes that may have reached the service are not sent through a second peer: if they
+        were executed already, they would be refused as a conflict and count as not made. A
+        leader that took an assignment for not made could then assign the tasks to another part,
+        and the same task would run in two places."""
         changes = isinstance(body, dict) and bool(body.get("apply"))
         message = to_wire(Relay(method, target, body))
         for name in self.reach.order(self.peers, trio.current_time()):
@@ -231,12 +241,12 @@
             if isinstance(answer, RelayAnswer):
                 if answer.status:
                     return answer.status, answer.body
-                # No answer reached the peer: it may have been executed.
-                raise Unknown("no answer by way of a peer")
+                # The peer got no answer, so the request may have been executed.
+                raise Unknown(f"{name} relayed it and got no answer")
         return None
 
     async def _carry(self, message: Relay) -> Reply:
-        """Sends a peer's request to the state service, if that serves us."""
+        """Relays a peer's request to the state service if that serves us; 503 if not."""
         if self._desk.state.failing_since is not None or not self._desk.state.requests.try_take():
             return Reply(503, ["cannot"])
         try:
@@ -250,6 +260,7 @@
         return Reply(200, to_wire(RelayAnswer(status, answer)))
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
+        """Answers one request of a peer. Raises Malformed if it is not a message."""
         if (method, target) != ("POST", "/peer"):
             return Reply(404, {"error": "no such path"})
         message = parse_message(decode(body))
@@ -261,7 +272,8 @@
             case PartView(ledger=ledger):
                 if ledger > self._desk.book.ledger:
                     self._desk.syncer.poke()
-                # One that has stood still may lead by its own book alone: nobody takes its orders.
+                # A controller that was suspended may lead only by its outdated replica: without
+                # valid authority it issues no orders.
                 leader = self._desk.leading()
                 if leader is None:
                     return Reply(503, ["not leading"])
