--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -1,9 +1,10 @@
-"""Every order of two users' questions, transactions, reads and the archive, to a stated depth,
-with the real front doors: no answer is older than one heard before its question was sent.
+"""Model check of the user API: every order of two users' requests, transactions, reads and
+archiving. No answer is older than one received before its request was sent.
 
-Two front doors; a state service whose answers to transactions are lost, carried out at once or
-later; one job, which ends, is cancelled and moved out; or one that hangs on another's outcome.
-Each front door's own code is stepped from one request to the next."""
+The model has two instances of the real user API; a state service that may execute a transaction
+at once without answering, or later; and one job that ends, is cancelled and archived, or one that
+depends on the unknown outcome of another. The code of each API runs from one await of the state
+service to the next."""
 
 import contextlib
 from collections.abc import Callable, Coroutine, Generator
@@ -24,16 +25,16 @@
 from ryegauge.protocol.jobs import JobSpec, parse_job
 from ryegauge.transport.http import Reply
 
-# The job that is asked about, and one that it may need.
+# The job of the requests, and one that it may need.
 SPEC, NEED = parse_job(job_body("wk-2", pieces=1)), parse_job(job_body("wk-1", pieces=1))
 HANGING = parse_job(job_body("wk-2", pieces=1, awaits=["wk-1"]))
 ASKED = ("submit", "poll", "cancel")
-Step = tuple[str, int, str]  # kind, which thread, door or job, and how
+Step = tuple[str, int, str]  # kind; number of the thread, API or job; how
 DONE = {"t": {}, "d": Ranges.up_to(1).flat()}
 
 
 class Request:
-    """What a front door waits for."""
+    """What an API waits for: a commit, a read, a lookup or an event."""
 
     def __init__(self, kind: str, *about: Any) -> None:
         self.kind, self.about = kind, about
@@ -55,7 +56,7 @@
 
 
 class Outside:
-    """State service, reads and outcomes, as a front door calls them."""
+    """The state client, syncer and outcome lookup, as the user API calls them."""
 
     writes = SimpleNamespace(rate=10.0, burst=10.0, available=lambda reserve: 10.0)
 
@@ -73,7 +74,8 @@
 
 
 class Door(FrontDoor):
-    """Its book is exchanged with each read, so that each finds other objects."""
+    """A user API with an optional seeded fault. Each read replaces its replica, and with it all
+    Job objects."""
 
     def __init__(self, settings: Settings, fault: str) -> None:
         out: Any = Outside()
@@ -115,11 +117,12 @@
 
 
 class Thread:
-    """A question at a door, or its writer."""
+    """A user's request at an API, or the API's loop that records submissions."""
 
     def __init__(self, door: int, run: Coroutine[Any, Any, Any], name: str, heard: str) -> None:
         self.door, self.run, self.name, self.heard = door, run, name, heard
-        self.seen: list[Any] = []  # what it has been given: what it does next follows from that
+        # All results that it was given; its next steps depend only on these.
+        self.seen: list[Any] = []
         self.wants: Request | None = None
         self.reply: Reply | None = None
         self.go_on(None)
@@ -140,13 +143,13 @@
 
 
 class Play:
-    """One order of steps, from the beginning."""
+    """The state after one order of steps."""
 
     def __init__(self, settings: Settings, begins: str, fault: str, questions: int) -> None:
         self.model, self.fault, self.lost = Model(), fault, 1
         self.left = self.most = questions
         self.chain: Chain = ()
-        self.heard = ""  # by the users: nothing, accepted, or the end
+        self.heard = ""  # the newest answer to users: "", "accepted" or the final status
         self.hangs = begins == "hangs"
         self.spec = HANGING if self.hangs else SPEC
         if self.hangs:
@@ -173,7 +176,7 @@
     # -- steps ---------------------------------------------------------------------------
 
     def steps(self) -> list[Step]:
-        """All that may happen next."""
+        """All steps that may come next."""
         found: list[Step] = []
         for i, thread in enumerate(self.threads):
             kind = thread.wants.kind if thread.wants else ""
@@ -185,7 +188,7 @@
         if self.late:
             found.append(("carry out", 0, ""))
         if self.left and len([t for t in self.threads if t.name != "writer"]) < 2:
-            # The doors are alike until one was asked.
+            # The APIs are equal until one of them gets a request.
             doors = 1 if self.left == self.most else 2
             found += [("ask", n, what) for n in range(doors) for what in ASKED]
         for n, door in enumerate(self.doors):
@@ -193,7 +196,7 @@
                 found.append(("read", n, ""))
         stands = data(self.chain)
         if self.hangs:
-            # Decided by a book that did not yet have the one that needs it.
+            # Archived by a leader whose replica lacks the job that needs it.
             if job_key("wk-1") in stands:
                 found.append(("move out", 1, ""))
             elif outcome_key("wk-1") not in stands:
@@ -264,7 +267,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        """All go on that wait for an event; who has an answer hears it."""
+        """Resumes threads whose event is set, and checks the replies of those that ended."""
         again = True
         while again:
             again = False
@@ -292,7 +295,7 @@
             self.heard = status if status in over else "accepted"
 
     def mark(self) -> object:
-        """All that follows depends on."""
+        """The part of the state on which all later steps depend."""
         return (
             self.chain,
             tuple(len(door.chain) for door in self.doors),
@@ -317,8 +320,8 @@
 
 
 def explore(begin: Callable[[], Play]) -> tuple[list[object], int]:
-    """The steps to the first answer that is older, and how many situations there are. Each
-    situation is reached by playing its steps again, since a door's code can't be copied."""
+    """The steps to the first outdated answer (empty: there is none), and the number of states
+    visited. Each state is reached by repeating its steps, since coroutines cannot be copied."""
     seen: set[object] = set()
     todo: list[tuple[Step, ...]] = [()]
 
@@ -333,7 +336,7 @@
         play = played(path)
         steps = play.steps()
         for step in steps:
-            # The last of them goes on from here.
+            # The last step continues from here, without a replay.
             new = play if step is steps[-1] else played(path)
             try:
                 new.do(step)
@@ -383,7 +386,8 @@
     ],
 )
 def test_seeded_faults_are_found(played: Callable[..., Any], fault: str, begins: str) -> None:
-    """from the book: a repeated submission is answered from the book, by the object found before
-    the read. no read: polls too, without a read. looks up first: outcomes before the read.
-    cancels what is done, recorded anew: written without the shares' or the outcome's guard."""
+    """Faults: "from the book" answers a repeated submission by the Job object found before the
+    read; "no read" answers without a read; "looks up first" looks up outcomes before the read;
+    "cancels what is done" and "recorded anew" commit without the guards of the shares or of the
+    outcome."""
     assert played(begins, fault, 2)[0] != []
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,5 +1,5 @@
-"""No node answers anything older: the ways from a question to an answer one by one, and days on
-which users look closely."""
+"""No controller gives a user an older answer than one given before: each path from a request to
+its answer by itself, and simulated days on which many users ask at the same moments."""
 
 import random
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class Asked:
-    """A front door whose reads and look-ups the test answers."""
+    """A user API whose reads and lookups of outcomes are answered by the test."""
 
     def __init__(self, settings: Settings) -> None:
         luck = random.Random(1)
@@ -45,8 +45,8 @@
         return {uid: self.outcomes[uid] for uid in uids if uid in self.outcomes}
 
     async def asked(self, uid: str, n: int) -> Any:
-        """By a poll (0) or a repeated submission, well-formed, impossible or malformed; the
-        job's status, or that of the answer."""
+        """The answer to a poll (n = 0) or to a repeated submission that is well-formed (1), never
+        placeable (2) or malformed (3): the job's status, or the HTTP status if it is not 200."""
         bodies = [job_body(uid), job_body(uid, cpus=1e6), {"uid": uid}]
         try:
             reply: Reply = await (
@@ -74,7 +74,8 @@
 
 
 def test_what_hangs_on_a_lost_outcome_is_told_by_nobody(settings: Settings) -> None:
-    """Found by reading: a repeated submission was answered queued where a poll is refused."""
+    """While the outcome of a needed job is unknown, polls and repeated submissions are refused
+    alike. A repeated submission was answered "queued" where a poll was refused."""
 
     async def scenario() -> None:
         asked = Asked(settings)
@@ -90,8 +91,9 @@
 
 
 def test_a_job_that_leaves_the_book_while_the_question_waits(settings: Settings) -> None:
-    """Found by reading: the answer was that of the job as it had been, queued. By changes and
-    by a full read, which makes other objects of all jobs."""
+    """A job that is archived or ends while a request waits for its read is answered "done", not
+    by the Job object found before the read. Both by changes and by a full read, which replaces
+    all Job objects."""
 
     async def scenario(changes: bool) -> None:
         asked = Asked(settings)
@@ -117,8 +119,8 @@
 
 
 def test_an_end_is_told_at_once_in_an_outage(settings: Settings) -> None:
-    """In the book, put back, looked up before or confirmed and not read yet; to a repeated
-    submission as to a poll."""
+    """A final state that is in the replica, restored, cached, or confirmed but not read yet is
+    answered without a read, to repeated submissions as to polls."""
 
     async def scenario() -> None:
         asked = Asked(settings)
@@ -148,8 +150,8 @@
 
 
 def test_a_submission_under_way_while_the_job_ends(settings: Settings) -> None:
-    """Our write is carried out and its answer is late: others find the job, and tell its
-    cancellation. By then the book may show it."""
+    """A submission whose commit is answered late, after the job was cancelled elsewhere and the
+    replica shows that, is answered "cancelled", not "queued"."""
 
     async def scenario() -> None:
         asked = Asked(settings)
@@ -172,7 +174,8 @@
 
 
 def test_a_need_that_may_have_been_lost_is_not_said_to_be_unknown(settings: Settings) -> None:
-    """Found by reading: 422, which is never repeated, where a poll for that need is refused."""
+    """A submission that needs a job whose record may have been lost is refused with 503, as a
+    poll for that job is. It was refused with 422, which clients do not retry."""
 
     async def scenario() -> None:
         asked = Asked(settings)
@@ -192,8 +195,9 @@
 
 
 def test_what_one_look_found_the_next_has_too() -> None:
-    """Found by reading: of more outcomes than are remembered, one that was asked for again while
-    it was being found counted as never accepted. One that is gone is no answer either."""
+    """With more outcomes than the cache holds, one that was requested again while a batch found
+    it counted as never accepted. An outcome that disappears between the transaction and the read
+    is an error, not an absence."""
 
     class Service:
         gone = ""
@@ -217,7 +221,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, *(f"wk-{n}" for n in range(9)))
             await trio.sleep(0.5)
-            # Meanwhile: the first of them again, by two who share a look.
+            # Meanwhile the first of them again, by two callers in one batch.
             for uid in ("wk-50", "wk-0", "wk-0"):
                 nursery.start_soon(ask, uid)
         assert sorted(map(len, found)) == [1, 1, 1, 9]
@@ -229,8 +233,8 @@
 
 
 def test_a_full_read_is_taken_in_as_a_whole() -> None:
-    """Found by reading: its pages are of different revisions. A job that was cancelled between
-    two of them, and whose last tasks ended after that, was done for a moment, and told so."""
+    """The pages of a full read are of different revisions. A job cancelled between two of them,
+    whose last tasks ended after that, must not appear as done until the changes are applied."""
 
     class Service:
         requests = type("Budget", (), {"rate": 100.0})
@@ -259,8 +263,8 @@
 
 
 def test_a_queue_is_told_of_an_outcome_that_was_put_back(settings: Settings) -> None:
-    """Found by reading: it was looked for under `f/` alone, where it is not after a loss, and the
-    answer was owed for good."""
+    """A queue's reply uses restored outcomes too. They were looked up only under `f/`, where they
+    are missing after a loss, so that the reply was never sent."""
     from ryegauge.queues.answers import Answers
 
     async def scenario() -> None:
@@ -276,7 +280,7 @@
 
 
 def one_task_jobs(count: int, **changes: Any) -> list[dict[str, Any]]:
-    """Many ends: jobs of one short task, one after the other."""
+    """Jobs with one short task each, started one after the other, for many ends of jobs."""
     return [
         {"pieces": 1, "delay": 20.0 + 1.5 * n, "cpus": 1.0, "really": 4.0 + n % 5, **changes}
         for n in range(count)
@@ -284,20 +288,21 @@
 
 
 async def ended(world: Day) -> None:
-    """Leaders, and then all controllers."""
+    """Crashes the leader and, 20 s later, all controllers."""
     for numbers in ([world.leading or 0], range(3)):
         await trio.sleep(20.0)
         world.crash(*numbers)
 
 
 def small_books(tmp_path: Path) -> list[Settings]:
-    """With room for two jobs: others have left the book by the second look."""
+    """Settings of three controllers whose replicas hold two jobs: others are archived before a
+    second request."""
     return [tiny(each) for each in some_controllers(tmp_path, 3)]
 
 
 def test_users_ask_everywhere_at_once(tmp_path: Path) -> None:
-    """At all nodes within milliseconds, and repeat the submission, right after a job was
-    accepted, ended or confirmed cancelled; some cancel at once."""
+    """Users poll all controllers within milliseconds and repeat the submission, right after a job
+    was accepted, ended or was confirmed as cancelled; some cancel at once."""
 
     async def script(world: Day) -> None:
         with world.close_looks(), world.odd_requests():
@@ -310,9 +315,9 @@
 
 
 def test_only_the_answer_is_lost(tmp_path: Path) -> None:
-    """Transactions are carried out at once and get no answer, of each kind that users are told
-    of, while other nodes read what they wrote; asked at the writer and elsewhere, repeated at
-    both, and the writer ends."""
+    """Transactions of each kind that users are told of are executed at once but get no answer,
+    while other controllers read their changes. Users ask and repeat at the writer and elsewhere,
+    and the writer crashes."""
     made: dict[str, int] = {}
 
     async def script(world: Day) -> None:
@@ -336,8 +341,8 @@
 
 
 def test_at_the_end_of_the_last_task(tmp_path: Path) -> None:
-    """A cancellation, a question or a repeated submission meets the end of a job's last task,
-    with no other trouble: either end wins, never both, and both do at times."""
+    """A cancellation, a poll or a repeated submission coincides with the end of a job's last task,
+    with no other failure: the job ends done or cancelled, never both, and each happens."""
 
     async def script(world: Day) -> None:
         with world.cancel_at_end(0.7), world.close_looks(), world.odd_requests():
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -1,6 +1,6 @@
-"""The gap between a confirmation and whoever commands by an older book: the state service refuses
-one controller alone, others confirm cancellations, then it answers nobody for longer than
-`cancel_s`, while workers go on reporting to the one that was refused."""
+"""Cancellations confirmed while another controller's replica is outdated: the state service does
+not serve one controller, others confirm cancellations, then it serves nobody for longer than
+`cancel_s`, while workers still report to the first controller."""
 
 import os
 import random
@@ -29,10 +29,10 @@
 from ryegauge.protocol.peers import Promise, PromiseAnswer, parse_message, to_wire
 
 Answer = PromiseAnswer | None
-# More for a longer look: RYEGAUGE_SEEDS=10 pytest tests/test_gap.py
+# For more seeds: RYEGAUGE_SEEDS=10 pytest tests/test_gap.py
 SEEDS = range(1, 1 + int(os.environ.get("RYEGAUGE_SEEDS", "1")))
 OUTAGE_S = 50.0
-# wk-000001: running everywhere; 2: not cancelled; 3 and 4: a pipeline, its first job running.
+# wk-000001 runs everywhere; 2 is not cancelled; 3 and 4 are a pipeline whose first job runs.
 JOBS: list[dict[str, Any]] = [
     {"pieces": 16, "cpus": 1.0, "really": 150.0},
     {"pieces": 8, "cpus": 1.0, "really": 110.0, "crew": "blue"},
@@ -43,7 +43,8 @@
 
 
 async def ask(world: World, n: int, uid: str, body: Any = None) -> str:
-    """Of one controller: a submission with a body, else a cancellation."""
+    """Submits `body` to controller `n`, or cancels the job if there is none. Returns the job's
+    status, "" if it was refused."""
     target = "/v1/jobs" if body else f"/v1/jobs/{uid}/cancel"
     if not body:
         world.checker.asked_to_cancel.add(uid)
@@ -55,15 +56,15 @@
 
 
 async def confirm(world: World, n: int, how: str) -> None:
-    """Users are told of cancellations, by others than controller `n`; the last is of a job that
-    was submitted a moment ago, so that its starts are under way."""
+    """Cancels jobs at controllers other than `n` until that is confirmed. The last of them was
+    submitted a moment ago, so that its tasks are being started."""
     writer, teller = (n + 1) % 5, (n + 2) % 5
     body = job_body("wk-000009", pieces=6, cpus=1.0, crew="blue", urgency="high", imageGb=1.0)
     world.checker.specs["wk-000009"] = {**body, "really": 150.0, "broken": False}
     assert await ask(world, writer, "wk-000009", body)
     await trio.sleep(0.3)
     if how == "found written":
-        # The writer hears nothing of its writes; another one's book shows them.
+        # The writer's commits get no answer; another controller's replica shows them.
         world.network.late_writes_s = (0.05, 0.1)
         async with trio.open_nursery() as nursery:
             with world.late_writes(1.0):
@@ -75,7 +76,7 @@
         writer = teller
     for uid in CANCELLED:
         while await ask(world, writer, uid) != "cancelled":
-            await trio.sleep(0.05)  # its shares have changed meanwhile
+            await trio.sleep(0.05)  # the job's shares keep changing
         assert uid in world.checker.cancelled_at
     if how == "writer ends":
         world.restart_s = 0.05
@@ -88,7 +89,7 @@
     assert leader is not None
     n = (leader + 1) % 5 if who == "owner" else leader
     with ExitStack() as until_outage:
-        # Its peers would carry its reads: cut off from them too, it is surely behind.
+        # Also cut off from its peers, which would relay its reads, so that it stays outdated.
         until_outage.enter_context(world.cut_from_state_and_peers(n, hold=False))
         with world.refused_by_state(n):
             await confirm(world, n, how)
@@ -106,6 +107,7 @@
 @pytest.mark.parametrize("how", HOWS)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_what_was_confirmed_is_gone_in_time(tmp_path: Path, who: str, how: str, seed: int) -> None:
+    """All tasks of jobs whose cancellation was confirmed stop within `cancel_s`."""
     behind: list[bool] = []
 
     async def script(world: Day) -> None:
@@ -118,7 +120,7 @@
     assert behind
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Whoever was not cancelled keeps its tasks, as long as nobody ends.
+    # An expired lease ends no task of the job that was not cancelled, unless a controller crashes.
     kills = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
     assert how == "writer ends" or not [e for e in kills if e.uid == "wk-000002"]
 
@@ -129,7 +131,8 @@
 
 
 def test_what_is_named_holds_for_what_is_read_later(settings: Settings) -> None:
-    """A share that is read, or a part that is taken, after a peer has named the job."""
+    """A cancellation reported by a peer also applies to a share that is read later, and in a part
+    that is taken over later."""
     book = JobBook()
     book.apply([job_event("wk-1", 3, False)], 3)
     ahead = Ahead(book)
@@ -141,7 +144,7 @@
     late = PartOwner(0, 9, book, settings, dict, 13.0)
     for part in (owner, late):
         assert [task.withdrawn for task in part.tasks.values()] == [True] * 4
-    # A read that began before proves nothing; one that began after has it in the book.
+    # A read that began before the report need not show the cancellation; a later one does.
     ahead.read(11.5)
     assert book.is_cancelled("wk-1")
     ahead.read(12.5)
@@ -149,8 +152,8 @@
 
 
 def test_names_are_those_that_a_book_may_lack() -> None:
-    """Compared with a plain model: each revision cancels one job; whatever the asker has read,
-    what it lacks is named."""
+    """Compared with a plain model, in which each revision cancels one job: the reported
+    cancellations are those after the asker's revision."""
     book = JobBook()
     book.apply([job_event(f"wk-{n}", n, n % 3 == 0) for n in range(1, 30)], 29)
     ahead = Ahead(book)
@@ -163,7 +166,8 @@
 def test_who_cannot_name_all_gives_no_promise(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Too many for a message; started anew and not read since; a peer of a version before."""
+    """No promise if there are too many cancellations for a message, or if nothing has been read
+    since the start. Answers of an older version are never complete."""
     answers: list[PromiseAnswer] = []
 
     luck = random.Random(1)
@@ -207,8 +211,8 @@
 
 
 def test_what_a_round_of_answers_is_worth(settings: Settings) -> None:
-    """All have to say that they named all, and what they named is taken in first; an answer that
-    is missing spoils the round, and what was named holds all the same."""
+    """Only complete promises count, and their cancellations are taken in before authority is
+    extended. A missing answer invalidates the round, but reported cancellations still apply."""
     luck = random.Random(1)
     counted: list[dict[str, str]] = []
 
@@ -248,7 +252,8 @@
 
 
 def test_what_a_controller_confirms_its_own_parts_stop_at_once(settings: Settings) -> None:
-    """Its book may not be read for the length of an outage."""
+    """A cancellation confirmed here stops the tasks of our own parts at once, since the replica
+    may not be updated for the length of an outage."""
     luck = random.Random(1)
 
     async def scenario() -> None:
@@ -271,9 +276,9 @@
 
 
 def test_promises_count_after_a_term_that_lapsed(tmp_path: Path) -> None:
-    """Found by reading: a controller that had greeted and whose term lapsed later went by another
-    incarnation than its greeting, and none of its promises counted any more: in the next outage
-    all that ran on the parts of the others ended with its lease."""
+    """A controller that lost its lease after its greeting has another incarnation than in the
+    greeting. If its promises did not count any more, all tasks on the other controllers' parts
+    would end in the next outage, when their workers' leases expire."""
     lapsed: list[bool] = []
 
     async def script(world: Day) -> None:
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -1,6 +1,6 @@
-"""Transactions that get no answer and are carried out late, after newer ones of the same
-controller: each kind by itself, while roles change hands. What guards each kind is listed in
-docs/safety.md."""
+"""Transactions that get no answer and are executed late, after newer ones of the same
+controller: each kind by itself, while roles change hands. docs/safety.md lists the guards of each
+kind."""
 
 import random
 import re
@@ -56,7 +56,7 @@
 
 
 def tiny(settings: Settings) -> Settings:
-    """With room for two jobs in the book."""
+    """The settings with a replica limit of two jobs."""
     quota = msgspec.structs.replace(settings.settings.quota, memory_mb=0.2)
     shared = msgspec.structs.replace(settings.settings, quota=quota)
     return msgspec.structs.replace(settings, settings=shared)
@@ -64,6 +64,8 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_each_kind_may_come_late(tmp_path: Path, kind: str) -> None:
+    """No safety rule is broken and all jobs end when half of one kind of transactions is executed
+    late, while controllers crash."""
     late: list[Body] = []
 
     def one(body: Body) -> bool:
@@ -90,8 +92,8 @@
 
 
 def test_what_is_written_without_a_guard(tmp_path: Path) -> None:
-    """Only enrolments and the cloud's machine types are: a late one of the first is noticed and
-    written over, of the second says what stands there anyway."""
+    """Only enrolments and machine types are written without a guard. A late enrolment is noticed
+    and overwritten; a late write of machine types repeats what is recorded anyway."""
     bare: set[str] = set()
     seen: set[str] = set()
 
@@ -125,9 +127,9 @@
 def test_a_job_that_hangs_on_a_lost_outcome_is_not_called_anything_older(
     settings: Settings,
 ) -> None:
-    """Found by reading: a job is moved out, late, after one that names it was recorded. A
-    controller that starts then reads the later one without the cancellation that others have told
-    its user of."""
+    """A job is archived, late, after one that needs it was recorded. A controller that starts
+    then reads the dependent job without the cancellation that others have confirmed to its user,
+    and must refuse to answer until the outcome is known."""
 
     async def scenario() -> None:
         luck = random.Random(1)
@@ -147,7 +149,7 @@
         for uid in ("wk-2", "wk-3"):
             with pytest.raises(Unavailable):
                 await front._known(uid)
-        # The leader has found how it ended.
+        # The leader has looked up the outcome.
         book.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
         for uid in ("wk-2", "wk-3"):
             assert (await front._known(uid) or {})["status"] == "cancelled"
@@ -156,8 +158,8 @@
 
 
 def test_a_claim_carried_out_after_a_promise(settings: Settings) -> None:
-    """The role is ours, and its holder may command until our promise ends: the barrier counts from
-    there."""
+    """A claim executed late, after a promise, makes the role ours while its holder may issue
+    commands until the promise ends: the barrier for new commands counts from there."""
 
     async def scenario() -> None:
         luck = random.Random(1)
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -1,4 +1,4 @@
-"""Floods of questions: one read answers all that were asked before it began."""
+"""Floods of polls: one read answers all requests that came before it began."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 
 
 def small_book(tmp_path: Path) -> list[Settings]:
-    """Jobs that are over leave the book almost at once."""
+    """Settings of three controllers that archive jobs almost as soon as they are over."""
     result = []
     for each in some_controllers(tmp_path, 3):
         quota = msgspec.structs.replace(each.settings.quota, memory_mb=0.1)
@@ -28,8 +28,8 @@
 
 
 def test_questions_thirty_times_as_often(tmp_path: Path) -> None:
-    """Of jobs that are known, over, out of the book and never heard of, at one controller:
-    everybody else is served as ever, and the state service is asked no more often."""
+    """Polls for live, ended, archived and unknown jobs at one controller: other users are served
+    as before, and the state service gets no more requests than its limit."""
     seen: dict[str, int] = {}
     took: list[float] = []
     requests: list[int] = []
@@ -74,6 +74,9 @@
 
 
 def test_outcomes_are_asked_for_together_and_kept() -> None:
+    """400 simultaneous lookups take few requests, found outcomes are cached, and a job that was
+    not found is looked up again."""
+
     async def main() -> None:
         import random
 
@@ -94,7 +97,7 @@
                 for n in range(400):
                     askers.start_soon(ask, f"wk-{n}")
             assert {u for u, record in got.items() if record} == {f"wk-{n}" for n in range(50)}
-            # The first alone, then all others in nine transactions, and each that is there.
+            # One request for the first, nine transactions for the others, one read per outcome.
             assert service.requests < 70
             service.outage = True
             assert await finals.find("wk-49") == {"st": "done", "d": 49}
@@ -106,7 +109,7 @@
                     failed += 1
             assert failed == 2
             service.end_outage()
-            # One that was not there when it was last asked for may be there now.
+            # A job that was not found before may have an outcome now.
             service.data[final_key("wk-77")] = ({"st": "cancelled", "d": 0}, 99, None)
             assert await finals.find("wk-77") == {"st": "cancelled", "d": 0}
             nursery.cancel_scope.cancel()
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -1,5 +1,6 @@
-"""One-task jobs come four a second for minutes, a quarter of them cancelled, at the limits of the
-smaller site: 25 changes a second for five controllers, one transaction of 12 at most."""
+"""Four one-task jobs arrive per second for minutes, a quarter of which are cancelled, at the
+limits of a small installation: five controllers share 25 changes per second, with at most 12 in a
+transaction."""
 
 import math
 from collections import Counter
@@ -25,10 +26,10 @@
 FLEET = (FleetType("small", 8.0, 32.0, ["a", "b"], 0.4, 0.1, 8.0, 20.0, 1.0, steady=4, spot=12),)
 Script = Callable[["SmallJobs"], Awaitable[None]]
 
-# Changes that each job takes: its record, its task allotted, its task ended or handed back; a
-# quarter are cancelled by one more. Once the book is full, also its outcome kept, its record
-# deleted and its one share deleted. What an end or a transaction without an answer repeats is
-# less than one for every fourth job.
+# Changes per job: its record, its assignment, and the end or return of its task; one more for the
+# quarter that is cancelled. Once the replica is full, three more archive it: its outcome is
+# written, its record and its share are deleted. Changes repeated after a crash or a transaction
+# without an answer are fewer than one for every fourth job.
 CHANGES, ARCHIVED, REPEATED = 3.25, 3.0, 0.25
 
 
@@ -41,6 +42,7 @@
 
 
 def kind_of(event: dict[str, Any]) -> str:
+    """The kind of a change, by its key and value."""
     key: str = event.get("write") or event["delete"]
     data, job, share = event.get("data"), key.startswith("r/j/"), key.count("/") == 3
     match job, share, data is None:
@@ -54,6 +56,8 @@
 
 
 class CountingState(StateService):
+    """Records the kind and time of each change, and of each request refused with 429."""
+
     def __init__(self) -> None:
         super().__init__(value_kb=4.0, rps=90.0, write_rps=25.0)
         self.changes: list[tuple[float, str]] = []
@@ -84,8 +88,8 @@
     async def put(
         self, what: str, uid: str, target: str, body: Any = None
     ) -> tuple[int, Any, float]:
-        """One question of a user; the balancer tries three nodes, and (status, answer, when
-        to come again)."""
+        """Sends a user's request, through a load balancer that tries three controllers. Returns
+        (status, answer, seconds after which to retry)."""
         began, status, answer, after_s = trio.current_time(), 0, None, None
         method = "GET" if what == "poll" else "POST"
         for address in self.rng.sample(list(self.controllers.values()), 3):
@@ -103,7 +107,8 @@
         return status, answer, max(1.0, after_s or 0.0)
 
     async def small_job(self, body: dict[str, Any], at: float, cancel_after: float | None) -> None:
-        """As the users' page has it: for 60 s, after a second or as long as was said."""
+        """Submits a job at `at` and retries for 60 s, each time after a second or as long as the
+        answer says; then cancels it, if wanted, and polls it until it is over."""
         uid, final = body["uid"], self.checker.final
         await trio.sleep(at)
         self.checker.specs[uid] = {**body, "really": 4.0, "broken": False}
@@ -126,11 +131,12 @@
             await self.put("poll", uid, f"/v1/jobs/{uid}")
 
     def calm(self, at: float) -> bool:
-        """No trouble, and none has been over for less than ten seconds."""
+        """Whether there is no trouble at the time, and there was none in the ten seconds before."""
         return not any(since <= at < until + CALM_S for since, until in self.troubles)
 
     def cancellations(self) -> list[tuple[float, float]]:
-        """When each was first asked for, and how long it took until it was answered."""
+        """For each cancellation, when it was first requested and how long it took until it was
+        confirmed (inf: never)."""
         first: dict[str, float] = {}
         answered: dict[str, float] = {}
         for a in self.asked:
@@ -141,7 +147,7 @@
         return [(at, answered.get(uid, math.inf) - at) for uid, at in first.items()]
 
     def share_in_time(self) -> float:
-        """Of the submissions that were first sent outside of troubles."""
+        """Share of the submissions first sent outside of troubles that were accepted in time."""
         calm = [uid for uid, spec in self.checker.specs.items() if self.calm(float(spec["first"]))]
         return sum(
             uid in self.submitted and self.submitted[uid][1] - self.submitted[uid][0] <= IN_TIME_S
@@ -270,7 +276,8 @@
 
 
 def test_the_archive_is_last_after_an_outage(tmp_path: Path) -> None:
-    """The book is full: with the archive there is more to write than may be written."""
+    """With a full replica there is more to write, including the archive, than the limit allows.
+    After an outage archiving comes after the other changes."""
     world = play_small(tmp_path, TROUBLES["an outage"], memory_mb=8.0)
     check(world, COUNT)
     assert changes_of(world).total() <= COUNT * (CHANGES + REPEATED + ARCHIVED)
@@ -281,7 +288,8 @@
 
 
 def test_who_waits_has_its_turn_beside_single_changes() -> None:
-    """Whoever takes single changes again and again does not take every refill."""
+    """A caller that takes single changes again and again does not get every refill of a budget
+    for which others wait."""
     took: list[tuple[str, float]] = []
 
     async def main() -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""A controller's roles, as the book and its own acts give them."""
+"""A controller's roles, as they follow from the replica, its claims and its peers' promises."""
 
 import trio
 
@@ -8,7 +8,7 @@
 
 
 class Accepting:
-    """A state service and its reader that agree to everything."""
+    """A state client and syncer that accept every call."""
 
     def __init__(self) -> None:
         self.commits: list[dict[str, int]] = []
@@ -22,8 +22,8 @@
 
 
 def test_parts_claimed_together_are_given_back_one_by_one(settings: Settings) -> None:
-    """Found by measurement: parts taken in one transaction share a token, and giving
-    one of them back disowned the others, whose workers were refused until a new claim."""
+    """Parts claimed in one transaction have the same token. Releasing one of them must not
+    release the others, whose workers would be refused until a new claim."""
 
     async def scenario() -> None:
         book, other = JobBook(), Accepting()
@@ -38,7 +38,8 @@
 
 
 def test_a_greeting_that_comes_late_is_no_news(settings: Settings) -> None:
-    """Held on its way, a predecessor's greeting made all promises of its successor worthless."""
+    """A greeting of a peer's predecessor that arrives late must not invalidate the promises of
+    the peer's present process."""
 
     async def scenario() -> None:
         book, other = JobBook(), Accepting()
@@ -49,10 +50,10 @@
             term.welcome(name, incarnation)
         term.promised(5.0, peers, 6.0)
         assert term._promised_from == 5.0
-        term.welcome("node-1", "d")  # one that remembers no promise
+        term.welcome("node-1", "d")  # restarted: remembers no promise
         assert term._promised_from < 0
-        # Asked before it started, it may have answered as the one before; asked since then, the
-        # one that runs now answers, as whichever incarnation its present term has.
+        # A promise asked for before the greeting may be one of the predecessor. One asked for
+        # later is the present process's, under whatever incarnation its lease has.
         greeted_at = trio.current_time()
         term.promised(greeted_at - 1.0, peers, greeted_at + 1.0)
         assert term._promised_from < 0
