--- a/ryegauge/bookkeeping/ahead.py
+++ b/ryegauge/bookkeeping/ahead.py
@@ -6,8 +6,8 @@
 asker's replica may lack, and they are kept here until the replica shows them.
 
 A peer reports more than its own recent writes: also what it confirmed to a user because its
-replica showed it, and what its predecessor confirmed. A reported cancellation holds for shares
-and parts that are taken in later too, not only for the tasks known at that moment.
+replica showed it, and what its predecessor confirmed. A reported cancellation holds for assignments
+and shards that are taken in later too, not only for the tasks known at that moment.
 """
 
 from collections.abc import Iterable
@@ -38,8 +38,8 @@
         self._book.cancelled_ahead = set(self._known)
 
     def beyond(self, ledger: int) -> list[str]:
-        """All jobs that a user may have been told are cancelled and of which a part may hold
-        tasks, as far as a replica at revision `ledger` may not show the cancellation. No part
+        """All jobs that a user may have been told are cancelled and of which a shard may hold
+        tasks, as far as a replica at revision `ledger` may not show the cancellation. No shard
         holds tasks of jobs that left the replica, or that are cancelled with one they need."""
         return sorted(
             self._known
--- a/ryegauge/bookkeeping/jobbook.py
+++ b/ryegauge/bookkeeping/jobbook.py
@@ -2,16 +2,16 @@
 
 The syncer keeps it current by reading changes. Keys:
 
-- `r/n/NODE`: a live controller; `r/p/PART`: the owner of a part; `r/l`: the leader.
+- `r/n/NODE`: a live controller; `r/p/SHARD`: the owner of a shard; `r/l`: the leader.
 - `r/c/TYPE`: a machine type.
-- `r/j/UID`: a job; `r/j/UID/PART`: a part's share of it, that is, its assigned and done tasks.
+- `r/j/UID`: a job; `r/j/UID/SHARD`: a shard's assignment of it, with assigned and done tasks.
 - `f/UID`, not in the replica: the outcome of an archived job.
 
 Versions before pipelines ignore these:
 
 - `r/w/UID/DIGEST/N`: names of the jobs that a job needs, if its own record cannot hold them.
 - `r/q/UID`: the reply that is owed to the queue that submitted the job.
-- `r/s/UID/PART/N`: done tasks moved out of a share that grew too large.
+- `r/s/UID/SHARD/N`: done tasks moved out of a assignment that grew too large.
 - `r/o/UID`: the outcome of a job that has left the replica and is needed by one in it.
 
 Written only after the state service has lost data (`docs/design/rebuilding.md`):
@@ -37,7 +37,7 @@
 
 
 class Share:
-    """One part's share of a job: assigned tasks by zone ("" for any zone), and done tasks."""
+    """What a shard was given of a job: assigned tasks by zone ("" for any zone), and done ones."""
 
     __slots__ = ("allotted", "done", "ended_at", "origin", "version")
 
@@ -52,7 +52,7 @@
         self.allotted = allotted
         self.done = done
         self.version = version
-        # When the part last ran out of tasks of the job, if recorded. Jobs that need this one age
+        # When the shard last ran out of tasks of the job, if recorded. Jobs that need this one age
         # from then, so that their age is the same in every controller and after restarts.
         # Versions before ageing ignore it, and drop it when they write the record.
         self.ended_at = ended_at
@@ -61,7 +61,7 @@
 
     @staticmethod
     def from_record(record: dict[str, Any], version: int) -> "Share":
-        """Parses the value of an `r/j/UID/PART` record."""
+        """Parses the value of an `r/j/UID/SHARD` record."""
         allotted = {zone: Ranges.from_flat(flat) for zone, flat in record["t"].items()}
         origin = record.get("o")
         return Share(
@@ -73,7 +73,7 @@
         )
 
     def to_record(self) -> dict[str, Any]:
-        """The value to write under `r/j/UID/PART`."""
+        """The value to write under `r/j/UID/SHARD`."""
         record: dict[str, Any] = {
             "t": {zone: r.flat() for zone, r in self.allotted.items() if r},
             "d": self.done.flat(),
@@ -104,7 +104,7 @@
 
 
 class Job:
-    """A job with the shares that parts have of it. Times are wall-clock seconds."""
+    """A job with its assignments to shards. Times are wall-clock seconds."""
 
     __slots__ = (
         "_open",
@@ -144,19 +144,19 @@
         self.needs: tuple[str, ...] | None = None if pieces else spec.needs or ()
         self.waits_for: set[str] = set()  # needed jobs that are not done, kept by the replica
         self.ready_at = submitted_at  # when the last needed job was done, as far as is known
-        self.sealed: dict[tuple[int, int], Ranges] = {}  # (part, number) -> done tasks
+        self.sealed: dict[tuple[int, int], Ranges] = {}  # (shard, number) -> done tasks
         self.sealed_tasks = Ranges()
-        self.shares: dict[int, Share] = {}  # by part
+        self.shares: dict[int, Share] = {}  # by shard
         self.done_count = 0
         self.allotted_count = 0
-        self.held: dict[int, int] = {}  # part -> number of tasks assigned to it, if not 0
+        self.held: dict[int, int] = {}  # shard -> number of tasks assigned to it, if not 0
         self._open: Ranges | None = None
 
     def changed(self) -> None:
-        """Recomputes the counts after a change of the shares or overflow pages."""
+        """Recomputes the counts after a change of the assignments or overflow pages."""
         self._open = None
         if self.sealed:
-            # A task in an overflow page may still be in its share too; it counts once.
+            # A task in an overflow page may still be in its assignment too; it counts once.
             done = self.sealed_tasks
             for share in self.shares.values():
                 done = done | share.done
@@ -168,7 +168,7 @@
         self.allotted_count = sum(self.held.values())
 
     def seal(self, part: int, number: int, tasks: Ranges | None) -> None:
-        """Sets an overflow page of a part; None removes it."""
+        """Sets an overflow page of a shard; None removes it."""
         if tasks is None:
             self.sealed.pop((part, number), None)
         else:
@@ -185,7 +185,7 @@
 
     @property
     def open_tasks(self) -> Ranges:
-        """Tasks that are neither done nor assigned to a part."""
+        """Tasks that are neither done nor assigned to a shard."""
         if self._open is None:
             rest = Ranges.up_to(self.spec.tasks) - self.sealed_tasks
             for share in self.shares.values():
@@ -194,7 +194,7 @@
         return self._open
 
     def is_open(self, index: int) -> bool:
-        """Whether the job still has to run the task and no share holds it."""
+        """Whether the job still has to run the task and no assignment holds it."""
         return not self.over and index in self.open_tasks
 
     @property
@@ -204,7 +204,8 @@
 
     @property
     def ended_at(self) -> float | None:
-        """When the last task was done; None if the job is not done or a share lacks the time."""
+        """When the last task was done; None if the job is not done or an assignment lacks
+        the time."""
         latest = -math.inf
         for share in self.shares.values():
             if share.done:
@@ -217,7 +218,7 @@
     def status(self) -> str:
         """`queued`, `running`, `done` or `cancelled`."""
         # The flag takes precedence over later results: a cancellation is only written while
-        # the job is not done, guarded by the versions of all its shares. One that follows from
+        # the job is not done, guarded by the versions of all its assignments. One that follows from
         # a needed job finds no task done, since none has started.
         if self.cancelled:
             return "cancelled"
@@ -227,7 +228,7 @@
 
     @property
     def over(self) -> bool:
-        """Whether the job is done or cancelled."""
+        """Whether the job is done or cancelled, which are its terminal states."""
         return self.done or self.cancelled
 
     def view(self) -> dict[str, Any]:
@@ -347,7 +348,7 @@
         self.ledger = 0
         self.jobs: dict[str, Job] = {}
         # Jobs that every scheduling round looks at: those that are not over and wait for no
-        # other job, and those of which a part still holds tasks.
+        # other job, and those of which a shard still holds tasks.
         self.live: dict[str, Job] = {}
         self.waiting: dict[str, Job] = {}  # jobs that wait for other jobs
         self.dependents: dict[str, set[str]] = {}  # job -> jobs in the replica that need it
@@ -362,7 +363,7 @@
         self._pieces: dict[str, dict[str, dict[int, list[str]]]] = {}
         self.epoch = 0  # number of full reads; each one replaces all Job objects
         self.nodes: dict[str, str] = {}  # live controller -> its incarnation
-        # Live controller -> parts whose workers cannot reach it.
+        # Live controller -> shards whose workers cannot reach it.
         self.deaf: dict[str, frozenset[int]] = {}
         self.parts: dict[int, Owner] = {}
         self.leader: Owner | None = None
@@ -448,7 +449,7 @@
         return False
 
     def version_of(self, key: str) -> int | None:
-        """Version of a record of a job, a share, a role or the epoch, 0 if it does not exist;
+        """Version of a record of a job, a assignment, a role or the epoch, 0 if it does not exist;
         None for other records, whose versions are not kept."""
         match key.split("/"):
             case ["r", "j", uid]:
@@ -466,7 +467,7 @@
         return None
 
     def versions(self) -> Iterable[tuple[str, int]]:
-        """(key, version) of all job and share records."""
+        """(key, version) of all job and assignment records."""
         for uid, job in self.jobs.items():
             yield job_key(uid), job.version
             for part, share in job.shares.items():
--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -18,9 +18,9 @@
 
 def move_out(job: Job, parts: int) -> Write:
     """The transaction that replaces a job's record by its outcome, guarded by the job and all
-    its shares: it takes effect only if the job is still over and no part holds a task of it.
+    its assignments: it takes effect only if the job is still over and no shard holds a task of it.
 
-    The share records are left and deleted later as orphans: with them the transaction could
+    The assignment records are left and deleted later as orphans: with them the transaction could
     exceed the service's limit, and they are not read without the job."""
     uid = job.spec.uid
     view = job.view()
--- a/ryegauge/coordination/desk.py
+++ b/ryegauge/coordination/desk.py
@@ -93,11 +93,11 @@
         self.wrote(ledger, None if leader is None else [leader.node])
 
     def tell_owners(self, ledger: int, parts: Iterable[int]) -> None:
-        """As `wrote`, for a commit that concerns the owners of these parts."""
+        """As `wrote`, for a commit that concerns the owners of these shards."""
         owners = [self.book.parts[part].node for part in parts if part in self.book.parts]
         self.wrote(ledger, set(owners))
 
     def wake(self) -> None:
-        """Wakes the loops of the leader and of the part owners."""
+        """Wakes the loops of the leader and of the shard owners."""
         self.changed.set()
         self.changed = trio.Event()
--- a/ryegauge/coordination/frontdoor.py
+++ b/ryegauge/coordination/frontdoor.py
@@ -453,7 +453,8 @@
         return _busy("the job keeps changing")
 
     def _unfinished(self, job: Job) -> dict[str, int]:
-        """Guards that hold only while the job and its shares are as in the replica, not done."""
+        """Guards that hold only while the job and its assignments are as in the replica, where it
+        is not done."""
         uid = job.spec.uid
         guards = {job_key(uid): job.version}
         for part in range(self._settings.settings.nodes):
--- a/ryegauge/coordination/mesh.py
+++ b/ryegauge/coordination/mesh.py
@@ -1,5 +1,5 @@
-"""Messages between controllers: hints, views, promises during outages of the state service, and
-requests relayed to it. Correctness rests on none of them but the promises (`terms`)."""
+"""Messages between controllers: hints, views, lease extensions during outages of the state
+service, and requests relayed to it. Safety rests on none of them but the lease extensions."""
 
 import logging
 from collections.abc import Awaitable, Callable, Sequence
@@ -43,7 +43,7 @@
 log = logging.getLogger(__name__)
 
 # Most bytes of cancelled jobs' names in one message, well below the limit of a body. A
-# controller that knows more gives no promise, since the asker would miss some.
+# controller that knows more grants no lease extension, since the asker would miss some.
 NAMED_BYTES = 24 * 1024
 
 
@@ -68,7 +68,7 @@
         # Checks whether all that we know is still in the state service; None: it cannot tell.
         self.on_audit: Callable[[], Awaitable[bool | None]] | None = None
         self.lived: Callable[[], bool] = lambda: False
-        # Peer -> its answer to our greeting.
+        # Peer -> its answer to our hello.
         self.welcomes: dict[str, HelloAnswer] = {}
         desk.state.use_relay(self._relay, patience_s=desk.settings.term_s / 5)
 
@@ -129,8 +129,8 @@
     # -- outages ---------------------------------------------------------------------------
 
     async def greet(self) -> None:
-        """Greets all peers until each has answered: this process remembers no promise that its
-        predecessor gave."""
+        """Sends a hello to all peers until each has answered, since this process remembers no
+        lease extension that its predecessor granted."""
         hello = Hello(self._desk.settings.node_name, self._desk.term.incarnation)
         while self._desk.term.unwelcomed:
             for name in list(self._desk.term.unwelcomed):
@@ -142,7 +142,7 @@
         await trio.sleep_forever()
 
     async def ask_promises(self) -> None:
-        """Asks all peers for promises when authority needs them, until cancelled."""
+        """Requests lease extensions from all peers when authority needs them, until cancelled."""
         while True:
             await trio.sleep(self._desk.settings.term_s / 12)
             asked_at = trio.current_time()
@@ -176,7 +176,7 @@
     def _give_promise(self, message: Promise) -> PromiseAnswer:
         """Answers with every cancellation that a user of ours may have been told of and that the
         asker's replica may not show. A process that has just started either has read what its
-        predecessor confirmed, or gives no promise. A commit of ours without an answer has not
+        predecessor confirmed, or grants no extension. A commit of ours without an answer has not
         been confirmed to any user; a controller whose replica shows it reports it."""
         given = self._desk.term.give_promise(message.node, message.incarnation, trio.current_time())
         self._cancelled(message.cancelled)
@@ -201,7 +201,7 @@
 
     def _cancelled(self, uids: list[str]) -> None:
         """Takes in cancellations confirmed here or by a peer that the replica may not show yet,
-        so that our parts stop the jobs at once."""
+        so that our shards stop the jobs at once."""
         for uid in self._ahead.learn(uids, trio.current_time()):
             for owner in self._desk.owned.values():
                 owner.on_job(uid)
@@ -225,7 +225,7 @@
 
         Changes that may have reached the service are not sent through a second peer: if they
         were executed already, they would be refused as a conflict and count as not made. A
-        leader that took an assignment for not made could then assign the tasks to another part,
+        leader that took an assignment for not made could then assign the tasks to another shard,
         and the same task would run in two places."""
         changes = isinstance(body, dict) and bool(body.get("apply"))
         message = to_wire(Relay(method, target, body))
--- a/ryegauge/coordination/terms.py
+++ b/ryegauge/coordination/terms.py
@@ -26,12 +26,12 @@
 
 
 def part_key(part: int) -> str:
-    """Key of a part's role record."""
+    """Key of a shard's role record."""
     return f"r/p/{part}"
 
 
 class Term:
-    """Keeps the lease, claims roles (parts and leadership) and tells how long they may be used.
+    """Keeps the lease, claims roles (shards and leadership) and tells how long they may be used.
 
     Authority counts from when the renewal was *sent*, less clock drift, and ends at the latest
     one lease duration after the last read of the replica was sent: a controller that does not
@@ -58,23 +58,25 @@
         self._lease: int | None = None
         self._granted_at = float("inf")
         self._renewed_from = float("-inf")
-        # (part, token) of roles given back, whatever the outcome of the request: never used
-        # again. Parts claimed in one transaction have the same token, hence the part.
+        # (shard, token) of roles given back, whatever the outcome of the request: never used
+        # again. Parts claimed in one transaction have the same token, hence the shard.
         self._given_back: set[tuple[int, int]] = set()
         # Whether our `r/n/` record is up to date, and the revision at which it was written.
         self._enrolled = False
         self._enrolled_at = 0
         # When the last claim was sent; its outcome is known once the replica is read again.
         self._claimed_at = float("-inf")
-        # When the last round of promises that counts was asked for.
+        # When the last successful round of lease extensions was requested.
         self._promised_from = float("-inf")
-        self._voters: dict[str, str] = {}  # peer that promised -> its incarnation
-        self._greeted: dict[str, tuple[str, float]] = {}  # peer -> latest incarnation, and when
-        self._met: dict[str, set[str]] = {}  # peer -> all incarnations that have greeted us
-        self._promised_until: dict[str, float] = {}  # peer -> when our promise to it ends
-        # By then the promises given by a predecessor of this process have ended.
+        self._voters: dict[str, str] = {}  # peer that granted an extension -> its incarnation
+        self._greeted: dict[
+            str, tuple[str, float]
+        ] = {}  # peer -> latest incarnation in a hello, and when
+        self._met: dict[str, set[str]] = {}  # peer -> all incarnations in its hellos
+        self._promised_until: dict[str, float] = {}  # peer -> when our extension for it ends
+        # By then the extensions granted by a predecessor of this process have ended.
         self._quiet_until = trio.current_time() + self._ttl_s
-        # Part -> since when its workers cannot reach us while they reach other controllers.
+        # Shard -> since when its workers cannot reach us while they reach other controllers.
         self._deaf: dict[int, float] = {}
         self._unwelcomed = {n for n in self._names if n != self._name}
         # The epoch in which we act, since when we know of it, and, once we have restored what
@@ -117,10 +119,10 @@
     # -- outages --------------------------------------------------------------------
     #
     # While the state service serves no controller, none can claim a role, but no controller
-    # can know that alone. If all others answer that they are not served either, and promise
-    # not to claim our roles for one lease duration, our authority is extended to one lease
-    # duration after they were asked. Their answers contain the cancellations that they have
-    # confirmed, so that none is missed meanwhile.
+    # can know that alone. If all others answer that they are not served either, and grant an
+    # extension, that is, promise not to claim our roles for one lease duration, our authority
+    # lasts until one lease duration after they were asked. Their answers contain the
+    # cancellations that they have confirmed, so that none is missed meanwhile.
 
     def needs_promises(self, now: float) -> bool:
         """Whether authority is valid, but was not extended for a third of a lease duration."""
@@ -128,12 +130,12 @@
         return self.valid(now) and now > since + self._ttl_s / 3
 
     def promised(self, asked_at: float, voters: dict[str, str], now: float) -> None:
-        """Extends authority if all peers are among the voters (name -> incarnation) and it has
-        not lapsed since they were asked."""
-        # A voter that restarted after it was asked has forgotten its promise. One that greeted
-        # us before that has answered as the process that runs now, under whatever incarnation:
-        # a controller that lost its lease has a new incarnation without a new greeting, and a
-        # late greeting of its predecessor must not invalidate its promises either.
+        """Extends authority if the voters (name -> incarnation) are all peers and it has not
+        lapsed since they were asked."""
+        # A voter that restarted after it was asked has forgotten its grant. One whose hello came
+        # before that has answered as the process that runs now, under whatever incarnation:
+        # a controller that lost its lease has a new incarnation without a new hello, and a
+        # late hello of its predecessor must not invalidate its grants either.
         remembered = all(
             greeting is None or greeting[1] <= asked_at or greeting[0] == i
             for n, i in voters.items()
@@ -145,9 +147,10 @@
             self._voters = voters
 
     def give_promise(self, node: str, incarnation: str, now: float) -> bool:
-        """Promises `node` not to claim its roles for one lease duration, and returns whether.
-        Only if the state service does not serve us either, and if we have sent no claim since
-        the replica was last read: a claim under way could be for a role of `node`."""
+        """Grants `node` an extension: its roles are not claimed here for one lease duration.
+        Returns whether it did. Only if the state service does not serve us either, and if we
+        have sent no claim since the replica was last read, which could be for a role of
+        `node`."""
         if (
             not self._syncer.ready.is_set()
             or self._state.failing_since is None
@@ -160,15 +163,14 @@
 
     @property
     def promises_end_at(self) -> float:
-        """When the last of our promises ends. A claim of ours that is executed late, after a
-        promise, makes a role ours by the replica while its holder still issues commands."""
+        """When the last extension granted here ends. A claim of ours that is executed late, after
+        a grant, makes a role ours by the replica while its holder still issues commands."""
         return max(self._promised_until.values(), default=float("-inf"))
 
     def welcome(self, node: str, incarnation: str) -> None:
-        """Takes in the greeting of a restarted peer, which remembers no promise that its
-        predecessor gave. A greeting of an incarnation that has greeted before is a late copy and
-        ignored: otherwise no promise of the peer's present process would count in the next
-        outage."""
+        """Takes in the hello of a restarted peer, which does not remember its predecessor's
+        grants. A repeated hello of an incarnation is a late copy and ignored: otherwise no grant
+        of the peer's present process would count in the next outage."""
         if incarnation in self._met.setdefault(node, set()):
             return
         self._met[node].add(incarnation)
@@ -177,31 +179,31 @@
             self._promised_from = float("-inf")
 
     def welcomed_by(self, node: str) -> None:
-        """A peer has answered our greeting."""
+        """A peer has answered our hello."""
         self._unwelcomed.discard(node)
 
     @property
     def unwelcomed(self) -> set[str]:
-        """Peers that have not answered our greeting yet."""
+        """Peers that have not answered our hello yet."""
         return self._unwelcomed
 
     def _may_claim(self, now: float) -> bool:
-        """Whether no promise forbids claiming roles without a holder: neither one of ours nor,
-        until all peers have answered our greeting, one of our predecessor's."""
+        """Whether no extension forbids claiming roles without a holder: neither one granted here
+        nor, until all peers have answered our hello, one granted by our predecessor."""
         if any(until > now for until in self._promised_until.values()):
             return False
         return not self._unwelcomed or now > self._quiet_until
 
-    # -- unreachable parts ------------------------------------------------------------
+    # -- unreachable shards ------------------------------------------------------------
 
     @property
     def deaf_parts(self) -> dict[int, float]:
-        """Part -> since when its workers cannot reach us while they reach other controllers."""
+        """Shard -> since when its workers cannot reach us while they reach other controllers."""
         return self._deaf
 
     def cannot_hear(self, part: int, now: float) -> bool:
-        """The part's workers reach other controllers but not us. Returns whether to give the
-        part up, but only once per worker lease: if no other controller took it, we claimed it
+        """The shard's workers reach other controllers but not us. Returns whether to give the
+        shard up, but only once per worker lease: if no other controller took it, we claimed it
         again."""
         least_s = self._settings.settings.workers.lease_s
         if now - self._deaf.get(part, float("-inf")) < least_s:
@@ -211,7 +213,7 @@
         return self._wanted(part, set(self._book.nodes)) not in (self._name, None)
 
     def hears(self, part: int, now: float) -> None:
-        """The part's workers reach us, or we them. Takes effect only after a worker lease, so
+        """The shard's workers reach us, or we them. Takes effect only after a worker lease, so
         that roles do not flap."""
         least_s = self._settings.settings.workers.lease_s
         if now - self._deaf.get(part, now) >= least_s:
@@ -224,7 +226,7 @@
         return wanted_owner(part, self._names, live, deaf)
 
     def token_of(self, part: int) -> int | None:
-        """The token under which this controller owns the part, by the replica; None if it does
+        """The token under which this controller owns the shard, by the replica; None if it does
         not."""
         owner = self._book.parts.get(part)
         if (
@@ -273,7 +275,7 @@
         """Whether the replica shows our `r/n/` record as we wrote it. A predecessor's write that
         was still under way when this process enrolled replaces our record, and is deleted with
         the predecessor's lease: unless it is written again, the other controllers consider us
-        gone and we hand over all our parts for good."""
+        gone and we hand over all our shards for good."""
         if self._enrolled and self._book.ledger >= self._enrolled_at:
             self._enrolled = self._book.nodes.get(
                 self._name
@@ -374,7 +376,7 @@
         )
 
     def surplus(self) -> list[tuple[int, int]]:
-        """(part, token) of parts held here that another live controller should have."""
+        """(shard, token) of shards held here that another live controller should have."""
         result: list[tuple[int, int]] = []
         for part in range(self._parts):
             token = self.token_of(part)
@@ -384,7 +386,7 @@
         return result
 
     async def give_back(self, part: int, token: int) -> None:
-        """Gives a part up. The caller must have stopped issuing commands for it; the token is
+        """Gives a shard up. The caller must have stopped issuing commands for it; the token is
         not used again, whatever the outcome. Raises as `StateClient.commit`."""
         self._given_back.add((part, token))
         changes: list[Put | Delete] = [Delete(part_key(part))]
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -388,6 +388,6 @@
 def test_seeded_faults_are_found(played: Callable[..., Any], fault: str, begins: str) -> None:
     """Faults: "from the book" answers a repeated submission by the Job object found before the
     read; "no read" answers without a read; "looks up first" looks up outcomes before the read;
-    "cancels what is done" and "recorded anew" commit without the guards of the shares or of the
-    outcome."""
+    "cancels what is done" and "recorded anew" commit without the guards of the assignments or of
+    the outcome."""
     assert played(begins, fault, 2)[0] != []
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -76,7 +76,7 @@
         writer = teller
     for uid in CANCELLED:
         while await ask(world, writer, uid) != "cancelled":
-            await trio.sleep(0.05)  # the job's shares keep changing
+            await trio.sleep(0.05)  # the job's assignments keep changing
         assert uid in world.checker.cancelled_at
     if how == "writer ends":
         world.restart_s = 0.05
@@ -131,8 +131,8 @@
 
 
 def test_what_is_named_holds_for_what_is_read_later(settings: Settings) -> None:
-    """A cancellation reported by a peer also applies to a share that is read later, and in a part
-    that is taken over later."""
+    """A cancellation reported by a peer also applies to an assignment that is read later, and in
+    a shard that is taken over later."""
     book = JobBook()
     book.apply([job_event("wk-1", 3, False)], 3)
     ahead = Ahead(book)
@@ -166,7 +166,7 @@
 def test_who_cannot_name_all_gives_no_promise(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No promise if there are too many cancellations for a message, or if nothing has been read
+    """No lease extension if there are too many cancellations for a message, or if nothing has been read
     since the start. Answers of an older version are never complete."""
     answers: list[PromiseAnswer] = []
 
@@ -211,7 +211,7 @@
 
 
 def test_what_a_round_of_answers_is_worth(settings: Settings) -> None:
-    """Only complete promises count, and their cancellations are taken in before authority is
+    """Only complete answers count, and their cancellations are taken in before authority is
     extended. A missing answer invalidates the round, but reported cancellations still apply."""
     luck = random.Random(1)
     counted: list[dict[str, str]] = []
@@ -252,7 +252,7 @@
 
 
 def test_what_a_controller_confirms_its_own_parts_stop_at_once(settings: Settings) -> None:
-    """A cancellation confirmed here stops the tasks of our own parts at once, since the replica
+    """A cancellation confirmed here stops the tasks of our own shards at once, since the replica
     may not be updated for the length of an outage."""
     luck = random.Random(1)
 
@@ -276,9 +276,9 @@
 
 
 def test_promises_count_after_a_term_that_lapsed(tmp_path: Path) -> None:
-    """A controller that lost its lease after its greeting has another incarnation than in the
-    greeting. If its promises did not count any more, all tasks on the other controllers' parts
-    would end in the next outage, when their workers' leases expire."""
+    """A controller that lost its lease after its hello has another incarnation than in the hello.
+    If the extensions that it grants did not count any more, all tasks on the other controllers'
+    shards would end in the next outage, when their workers' leases expire."""
     lapsed: list[bool] = []
 
     async def script(world: Day) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""A controller's roles, as they follow from the replica, its claims and its peers' promises."""
+"""A controller's roles, as they follow from the replica, its claims and lease extensions."""
 
 import trio
 
@@ -38,8 +38,8 @@
 
 
 def test_a_greeting_that_comes_late_is_no_news(settings: Settings) -> None:
-    """A greeting of a peer's predecessor that arrives late must not invalidate the promises of
-    the peer's present process."""
+    """A hello of a peer's predecessor that arrives late must not invalidate the lease extensions
+    granted by the peer's present process."""
 
     async def scenario() -> None:
         book, other = JobBook(), Accepting()
@@ -50,9 +50,9 @@
             term.welcome(name, incarnation)
         term.promised(5.0, peers, 6.0)
         assert term._promised_from == 5.0
-        term.welcome("node-1", "d")  # restarted: remembers no promise
+        term.welcome("node-1", "d")  # restarted: remembers no grant
         assert term._promised_from < 0
-        # A promise asked for before the greeting may be one of the predecessor. One asked for
+        # An extension requested before the hello may be the predecessor's. One requested
         # later is the present process's, under whatever incarnation its lease has.
         greeted_at = trio.current_time()
         term.promised(greeted_at - 1.0, peers, greeted_at + 1.0)
