--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -166,8 +166,8 @@
 def test_who_cannot_name_all_gives_no_promise(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No lease extension if there are too many cancellations for a message, or if nothing has been read
-    since the start. Answers of an older version are never complete."""
+    """No lease extension if there are too many cancellations for a message, or if nothing has
+    been read since the start. Answers of an older version are never complete."""
     answers: list[PromiseAnswer] = []
 
     luck = random.Random(1)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -159,7 +159,8 @@
 
 def test_a_claim_carried_out_after_a_promise(settings: Settings) -> None:
     """A claim executed late, after a lease extension was granted, makes the role ours while its
-    holder may issue commands until the extension ends: the barrier for new commands counts from there."""
+    holder may issue commands until the extension ends: the barrier for new commands counts
+    from there."""
 
     async def scenario() -> None:
         luck = random.Random(1)
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -28,8 +28,8 @@
 
 # Changes per job: its record, its assignment, and the end or return of its task; one more for the
 # quarter that is cancelled. Once the replica is full, three more archive it: its outcome is
-# written, its record and its assignment are deleted. Changes repeated after a crash or a transaction
-# without an answer are fewer than one for every fourth job.
+# written, its record and its assignment are deleted. Changes repeated after a crash or a
+# transaction without an answer are fewer than one for every fourth job.
 CHANGES, ARCHIVED, REPEATED = 3.25, 3.0, 0.25
 
 
