--- a/ryegauge/bookkeeping/ahead.py
+++ b/ryegauge/bookkeeping/ahead.py
@@ -3,7 +3,7 @@
 A controller that the state service does not serve keeps the authority that its peers grant it
 (`coordination/terms.py`). Its replica is not updated meanwhile, and may lack cancellations that
 other controllers have confirmed to users. Each peer therefore reports the cancellations that the
-asker's replica may lack, and they are kept here until the replica shows them.
+requester's replica may lack, and they are kept here until the replica shows them.
 
 A peer reports more than its own recent writes: also what it confirmed to a user because its
 replica showed it, and what its predecessor confirmed. A reported cancellation holds for assignments
--- a/ryegauge/coordination/mesh.py
+++ b/ryegauge/coordination/mesh.py
@@ -43,7 +43,7 @@
 log = logging.getLogger(__name__)
 
 # Most bytes of cancelled jobs' names in one message, well below the limit of a body. A
-# controller that knows more grants no lease extension, since the asker would miss some.
+# controller that knows more grants no lease extension, since the requester would miss some.
 NAMED_BYTES = 24 * 1024
 
 
@@ -175,7 +175,7 @@
 
     def _give_promise(self, message: Promise) -> PromiseAnswer:
         """Answers with every cancellation that a user of ours may have been told of and that the
-        asker's replica may not show. A process that has just started either has read what its
+        requester's replica may not show. A process that has just started either has read what its
         predecessor confirmed, or grants no extension. A commit of ours without an answer has not
         been confirmed to any user; a controller whose replica shows it reports it."""
         given = self._desk.term.give_promise(message.node, message.incarnation, trio.current_time())
@@ -215,7 +215,7 @@
                 try:
                     await self._desk.state.direct("POST", "/multi", {"if": [], "apply": []}, 1.0)
                 except Unknown as error:
-                    log.debug("the state service: %s", error)
+                    log.debug("the state service is still not reachable: %s", error)
 
     async def _relay(
         self, method: str, target: str, body: object, timeout_s: float
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -153,7 +153,7 @@
 
 def test_names_are_those_that_a_book_may_lack() -> None:
     """Compared with a plain model, in which each revision cancels one job: the reported
-    cancellations are those after the asker's revision."""
+    cancellations are those after the requester's revision."""
     book = JobBook()
     book.apply([job_event(f"wk-{n}", n, n % 3 == 0) for n in range(1, 30)], 29)
     ahead = Ahead(book)
