--- a/ryegauge/bookkeeping/budget.py
+++ b/ryegauge/bookkeeping/budget.py
@@ -3,10 +3,10 @@
 import trio
 
 # Reserves: the part of a full bucket that a taker must leave. The more urgent, the smaller.
-URGENT = 0.0  # lease renewals and claims of roles
-SOON = 0.1  # requests that users wait for
-USUAL = 0.25
-IDLE = 0.6  # requests that can be made later
+RESERVE_URGENT = 0.0  # lease renewals and claims of roles
+RESERVE_INTERACTIVE = 0.1  # requests that users wait for
+RESERVE_DEFAULT = 0.25
+RESERVE_BACKGROUND = 0.6  # requests that can be made later
 
 
 class _Turn:
@@ -40,7 +40,7 @@
         self._level = min(self.burst, self._level + (now - self._at) * self.rate)
         self._at = now
 
-    def available(self, reserve: float = USUAL) -> float:
+    def available(self, reserve: float = RESERVE_DEFAULT) -> float:
         """How much can be taken now without touching the reserve; may be negative."""
         self._refill()
         return self._level - reserve * self.burst
@@ -50,7 +50,7 @@
         full bucket only needs a full bucket."""
         return self.available(0.0) - cost >= min(reserve * self.burst, self.burst - cost)
 
-    def try_take(self, cost: float = 1.0, reserve: float = USUAL) -> bool:
+    def try_take(self, cost: float = 1.0, reserve: float = RESERVE_DEFAULT) -> bool:
         """Takes `cost` if it is there now, and returns whether it was."""
         if not self.has(cost, reserve):
             return False
@@ -62,7 +62,7 @@
         self._refill()
         self._level = min(self._level, 0.0)
 
-    async def take(self, cost: float = 1.0, reserve: float = USUAL) -> None:
+    async def take(self, cost: float = 1.0, reserve: float = RESERVE_DEFAULT) -> None:
         """Waits until `cost` can be taken, and takes it. The smallest reserve comes first, then
         the longest wait. Without an order, a caller that returns right after a take would see
         each refill first: a cancellation waited for seconds behind queued submissions."""
--- a/ryegauge/bookkeeping/finals.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -10,8 +10,8 @@
 
 import trio
 
-from ryegauge.bookkeeping.jobbook import final_key
-from ryegauge.bookkeeping.state import Conflict, StateClient, Unavailable, Unknown
+from ryegauge.bookkeeping.state import Conflict, OutcomeUnknown, StateClient, Unavailable
+from ryegauge.bookkeeping.state_replica import archive_key
 
 TIMEOUT_S = 1.0
 
@@ -26,16 +26,16 @@
         # count as never accepted.
         self.found: dict[str, dict[str, Any]] = {}
         self.over = False
-        self.error: Unavailable | Unknown | None = None
+        self.error: Unavailable | OutcomeUnknown | None = None
 
 
-class Finals:
+class FinalOutcomes:
     """Batched and cached lookups of `f/UID` records."""
 
-    def __init__(self, state: StateClient, conditions: int, keep: int) -> None:
+    def __init__(self, state: StateClient, max_conditions: int, keep: int) -> None:
         """`conditions`: most guards of a transaction; `keep`: most outcomes in the cache."""
         self._state = state
-        self._conditions = conditions
+        self._conditions = max_conditions
         self._keep = keep
         # Outcomes never change. In the order in which they were read; the oldest is evicted first.
         self._known: dict[str, dict[str, Any]] = {}
@@ -66,7 +66,7 @@
                     self._next = _Batch()  # for lookups that begin from now on
                 try:
                     await self._look(batch)
-                except (Unavailable, Unknown) as error:
+                except (Unavailable, OutcomeUnknown) as error:
                     batch.error = error
                 batch.over = True
         if batch.error is not None:
@@ -81,7 +81,7 @@
         there: list[str] = []
         alone: list[str] = []
         for first in range(0, len(names), self._conditions):
-            some = {final_key(uid): uid for uid in names[first : first + self._conditions]}
+            some = {archive_key(uid): uid for uid in names[first : first + self._conditions]}
             if len(some) == 1:
                 alone += some.values()
                 continue
@@ -91,7 +91,7 @@
                 there += [some[key] for key in conflict.failed if key in some]
         for uid in there + alone:
             if uid not in self._known:
-                record = await self._state.get(final_key(uid), timeout_s=TIMEOUT_S)
+                record = await self._state.get(archive_key(uid), timeout_s=TIMEOUT_S)
                 if record is not None:
                     self._known[uid] = record[0]
                 elif uid not in alone:
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -6,9 +6,9 @@
 
 import trio
 
-from ryegauge.bookkeeping.budget import SOON, URGENT, USUAL, Budget
-from ryegauge.bookkeeping.eras import ERA_KEY, version_in
-from ryegauge.transport.http import Caller, Unreachable
+from ryegauge.bookkeeping.budget import RESERVE_DEFAULT, RESERVE_INTERACTIVE, RESERVE_URGENT, Budget
+from ryegauge.bookkeeping.epochs import EPOCH_KEY, version_of_token
+from ryegauge.transport.http import HttpClient, Unreachable
 
 # Pause after a 429. The service allows bursts of one second's worth of requests, so a small
 # part of a second is enough.
@@ -26,11 +26,11 @@
     """The request was certainly not executed: 429, 503 or no part of the rate limit left."""
 
 
-class TooMany(Unavailable):
+class RateLimited(Unavailable):
     """The request was refused with 429 and not executed."""
 
 
-class Unknown(Exception):
+class OutcomeUnknown(Exception):
     """No conclusive answer: the request may have been executed, or may still be."""
 
 
@@ -60,7 +60,7 @@
         self.failed = failed
 
 
-class Write(NamedTuple):
+class Transaction(NamedTuple):
     """Changes that are committed together if every guarded key still has the given version
     (0: the key does not exist)."""
 
@@ -76,20 +76,20 @@
     version: int
 
 
-class Witness(Protocol):
+class StateObserver(Protocol):
     """Compares the service's answers to detect a loss of its data (`rebuilding`). Present only
     if rebuilding is enabled."""
 
     @property
-    def era_version(self) -> int:
+    def epoch_version(self) -> int:
         """Version of the epoch's record. It guards every transaction, so that none that was
         decided before a loss is executed after it."""
 
-    def confirmed(self, revision: int, puts: list[Put]) -> None:
+    def on_committed(self, revision: int, puts: list[Put]) -> None:
         """A transaction of ours was committed at the revision."""
         ...
 
-    def conflicted(self, guards: dict[str, int], failed: list[str]) -> None:
+    def on_conflict(self, guards: dict[str, int], failed: list[str]) -> None:
         """A transaction of ours failed on the guards of the `failed` keys."""
         ...
 
@@ -100,23 +100,23 @@
     All methods raise Unavailable if the request was certainly not executed and OutcomeUnknown
     if it may have been; timeouts are in seconds."""
 
-    def __init__(self, client: Caller, rps: float, write_rps: float, nodes: int) -> None:
+    def __init__(self, client: HttpClient, rps: float, write_rps: float, nodes: int) -> None:
         """`rps`, `write_rps`: the service's limits, in requests and changes per second, which
         `nodes` controllers have in common."""
         self._client = client
-        self.witness: Witness | None = None
+        self.observer: StateObserver | None = None
         # A tenth of the limits stays unused, since the service counts by its own clock.
         self._rps, self._write_rps = 0.9 * rps, 0.9 * write_rps
         self.requests = Budget(self._rps / nodes, self._rps / nodes)
         self.writes = Budget(self._write_rps / nodes, self._write_rps / nodes)
         # Transactions answered 429: the controllers together exceed the limit.
-        self.refused_writes = 0
+        self.rate_limited_writes = 0
         # Since when the service has not served this controller directly; None while it does.
         self.failing_since: float | None = None
         self._patience_s = 0.0
         self._relayer: Relayer | None = None
 
-    def share(self, live: int, leads: bool) -> None:
+    def resize_budgets(self, live: int, leads: bool) -> None:
         """Sets this controller's part of the limits that all live controllers have in common.
 
         The leader writes for all of them, so most of the write rate is its own. The parts of the
@@ -132,7 +132,7 @@
         """Sends requests through peers once the service has not served us for `patience_s`."""
         self._relayer, self._patience_s = relayer, patience_s
 
-    async def direct(
+    async def send_directly(
         self, method: str, target: str, body: Any, timeout_s: float
     ) -> tuple[int, Any]:
         """Sends one request without budget or relay, for this controller or for a peer. Returns
@@ -143,7 +143,7 @@
             )
         except Unreachable as error:
             self._failed()
-            raise Unknown(str(error)) from None
+            raise OutcomeUnknown(str(error)) from None
         if status == 503:
             self._failed()
         else:
@@ -157,7 +157,7 @@
     async def _call(
         self, method: str, target: str, body: Any = None, *, timeout_s: float, urgent: bool
     ) -> tuple[int, Any]:
-        await self.requests.take(reserve=URGENT if urgent else USUAL)
+        await self.requests.take(reserve=RESERVE_URGENT if urgent else RESERVE_DEFAULT)
         failing = self.failing_since
         if (
             self._relayer is not None
@@ -167,12 +167,12 @@
         ):
             status, answer = relayed
         else:
-            status, answer = await self.direct(method, target, body, timeout_s)
+            status, answer = await self.send_directly(method, target, body, timeout_s)
         if status == 429:
             if target == "/multi":
-                self.refused_writes += 1
+                self.rate_limited_writes += 1
             (self.requests if target != "/multi" else self.writes).drain()
-            raise TooMany("429: over the rate limit")
+            raise RateLimited("429: over the rate limit")
         if status == 503:
             raise Unavailable(str(status))
         return status, answer
@@ -185,7 +185,7 @@
         if status == 404:
             return None
         if status != 200:
-            raise Unknown(f"status {status}")
+            raise OutcomeUnknown(f"status {status}")
         return answer["data"], answer["stamp"]
 
     async def page(
@@ -198,7 +198,7 @@
             target += f"&since={quote(after)}"
         status, answer = await self._call("GET", target, timeout_s=timeout_s, urgent=True)
         if status != 200:
-            raise Unknown(f"status {status}")
+            raise OutcomeUnknown(f"status {status}")
         items = [Event(i["path"], i["data"], i["stamp"]) for i in answer["items"]]
         return items, bool(answer.get("hasNext")), answer["ledger"]
 
@@ -216,7 +216,7 @@
         if status == 410:
             raise Gone
         if status != 200:
-            raise Unknown(f"status {status}")
+            raise OutcomeUnknown(f"status {status}")
         events = [
             Event(e["write"], e["data"], e["stamp"])
             if e.get("write") is not None
@@ -231,8 +231,8 @@
         changes: list[Put | Delete],
         *,
         timeout_s: float,
-        reserve: float = USUAL,
-        across_eras: bool = False,
+        reserve: float = RESERVE_DEFAULT,
+        across_epochs: bool = False,
     ) -> int:
         """Commits one transaction and returns its revision. Raises Conflict, Gone (the lease has
         ended), Unavailable (not executed) or OutcomeUnknown (may be executed, even later).
@@ -240,10 +240,10 @@
         `guards`: versions or fencing tokens by key, 0 for a key that must not exist. `reserve`:
         the part of the write budget to leave to more urgent requests. `across_eras`: do not
         guard by the epoch's record, for the transaction that begins an epoch."""
-        guards = {key: version_in(token) for key, token in guards.items()}
-        era_version = 0 if self.witness is None else self.witness.era_version
-        if self.witness is not None and changes and not across_eras:
-            guards.setdefault(ERA_KEY, era_version)
+        guards = {key: version_of_token(token) for key, token in guards.items()}
+        epoch_version = 0 if self.observer is None else self.observer.epoch_version
+        if self.observer is not None and changes and not across_epochs:
+            guards.setdefault(EPOCH_KEY, epoch_version)
         if changes:
             await self.writes.take(float(len(changes)), reserve)
         apply: list[dict[str, Any]] = []
@@ -260,46 +260,50 @@
         while True:
             try:
                 status, answer = await self._call(
-                    "POST", "/multi", body, timeout_s=timeout_s, urgent=reserve <= SOON
+                    "POST",
+                    "/multi",
+                    body,
+                    timeout_s=timeout_s,
+                    urgent=reserve <= RESERVE_INTERACTIVE,
                 )
                 break
-            except TooMany:
+            except RateLimited:
                 # Not executed: a burst of another controller used up the limit.
                 if trio.current_time() > until:
                     raise
                 # Requests that users wait for are retried at once; others queue again.
                 await trio.sleep(RETRY_S)
-                if reserve > SOON:
-                    await self.writes.take(1.0, URGENT)
+                if reserve > RESERVE_INTERACTIVE:
+                    await self.writes.take(1.0, RESERVE_URGENT)
         if status == 200:
-            if self.witness is not None and not across_eras:
-                if self.witness.era_version != era_version:
+            if self.observer is not None and not across_epochs:
+                if self.observer.epoch_version != epoch_version:
                     # It may have been executed before a loss and be lost with the other data.
-                    raise Unknown("a new epoch began while the transaction was under way")
+                    raise OutcomeUnknown("a new epoch began while the transaction was under way")
                 puts = [change for change in changes if isinstance(change, Put)]
-                self.witness.confirmed(int(answer["ledger"]), puts)
+                self.observer.on_committed(int(answer["ledger"]), puts)
             return int(answer["ledger"])
         if status == 409:
             failed = list(answer.get("failed", []))
-            if self.witness is not None:
-                self.witness.conflicted(guards, failed)
+            if self.observer is not None:
+                self.observer.on_conflict(guards, failed)
             raise Conflict(failed)
         if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
             raise Gone
         if status == 400:
             raise Unavailable(f"status 400: {answer!r}")
-        raise Unknown(f"status {status}")
+        raise OutcomeUnknown(f"status {status}")
 
-    async def grant(self, ttl_s: float, *, timeout_s: float) -> int:
+    async def grant_lease(self, ttl_s: float, *, timeout_s: float) -> int:
         """Obtains a lease of `ttl_s` seconds and returns its number."""
         status, answer = await self._call(
             "POST", "/grants", {"ttlMs": int(ttl_s * 1000)}, timeout_s=timeout_s, urgent=True
         )
         if status != 200:
-            raise Unknown(f"status {status}")
+            raise OutcomeUnknown(f"status {status}")
         return int(answer["tenure"])
 
-    async def extend(self, lease: int, *, timeout_s: float) -> None:
+    async def extend_lease(self, lease: int, *, timeout_s: float) -> None:
         """Renews a lease for its full duration. Raises Gone if it has ended."""
         status, _ = await self._call(
             "POST", f"/grants/{lease}/extend", {}, timeout_s=timeout_s, urgent=True
@@ -307,4 +311,4 @@
         if status == 404:
             raise Gone
         if status != 200:
-            raise Unknown(f"status {status}")
+            raise OutcomeUnknown(f"status {status}")
--- a/ryegauge/bookkeeping/jobbook.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from ryegauge.bookkeeping.eras import REBUILT, era_token, version_in
+from ryegauge.bookkeeping.epochs import RECOVERED, fencing_token, version_of_token
 from ryegauge.bookkeeping.ranges import Ranges
 from ryegauge.bookkeeping.state import Event
 from ryegauge.protocol.jobs import JobSpec, parse_job
@@ -36,20 +36,20 @@
 PREFIX = "r/"
 
 
-class Share:
+class Assignment:
     """What a shard was given of a job: assigned tasks by zone ("" for any zone), and done ones."""
 
-    __slots__ = ("allotted", "done", "ended_at", "origin", "version")
+    __slots__ = ("assigned", "done", "ended_at", "origin", "version")
 
     def __init__(
         self,
-        allotted: dict[str, Ranges],
+        assigned: dict[str, Ranges],
         done: Ranges,
         version: int,
         ended_at: float | None = None,
         origin: tuple[int, int] | None = None,
     ) -> None:
-        self.allotted = allotted
+        self.assigned = assigned
         self.done = done
         self.version = version
         # When the shard last ran out of tasks of the job, if recorded. Jobs that need this one age
@@ -60,12 +60,12 @@
         self.origin = origin
 
     @staticmethod
-    def from_record(record: dict[str, Any], version: int) -> "Share":
+    def from_record(record: dict[str, Any], version: int) -> "Assignment":
         """Parses the value of an `r/j/UID/SHARD` record."""
-        allotted = {zone: Ranges.from_flat(flat) for zone, flat in record["t"].items()}
+        assigned = {zone: Ranges.from_flat(flat) for zone, flat in record["t"].items()}
         origin = record.get("o")
-        return Share(
-            allotted,
+        return Assignment(
+            assigned,
             Ranges.from_flat(record["d"]),
             version,
             record.get("e"),
@@ -75,7 +75,7 @@
     def to_record(self) -> dict[str, Any]:
         """The value to write under `r/j/UID/SHARD`."""
         record: dict[str, Any] = {
-            "t": {zone: r.flat() for zone, r in self.allotted.items() if r},
+            "t": {zone: r.flat() for zone, r in self.assigned.items() if r},
             "d": self.done.flat(),
         }
         if self.ended_at is not None:
@@ -87,15 +87,15 @@
     @property
     def count(self) -> int:
         """Number of assigned tasks, over all zones."""
-        return sum(len(ranges) for ranges in self.allotted.values())
+        return sum(len(ranges) for ranges in self.assigned.values())
 
     @property
     def tasks(self) -> Ranges:
         """The assigned tasks of all zones."""
-        if len(self.allotted) == 1:
-            return next(iter(self.allotted.values()))
+        if len(self.assigned) == 1:
+            return next(iter(self.assigned.values()))
         result = Ranges()
-        for ranges in self.allotted.values():
+        for ranges in self.assigned.values():
             result = result | ranges
         return result
 
@@ -108,20 +108,20 @@
 
     __slots__ = (
         "_open",
-        "allotted_count",
+        "assigned_count",
         "cancelled",
         "done_count",
         "held",
         "needs",
         "pieces",
         "ready_at",
-        "sealed",
-        "sealed_tasks",
-        "shares",
+        "overflow_pages",
+        "overflow_tasks",
+        "assignments",
         "spec",
         "submitted_at",
         "version",
-        "waits_for",
+        "unmet_needs",
     )
 
     def __init__(
@@ -142,60 +142,60 @@
         self.pieces = pieces
         # None until all of those records have been read.
         self.needs: tuple[str, ...] | None = None if pieces else spec.needs or ()
-        self.waits_for: set[str] = set()  # needed jobs that are not done, kept by the replica
+        self.unmet_needs: set[str] = set()  # needed jobs that are not done, kept by the replica
         self.ready_at = submitted_at  # when the last needed job was done, as far as is known
-        self.sealed: dict[tuple[int, int], Ranges] = {}  # (shard, number) -> done tasks
-        self.sealed_tasks = Ranges()
-        self.shares: dict[int, Share] = {}  # by shard
+        self.overflow_pages: dict[tuple[int, int], Ranges] = {}  # (shard, number) -> done tasks
+        self.overflow_tasks = Ranges()
+        self.assignments: dict[int, Assignment] = {}  # by shard
         self.done_count = 0
-        self.allotted_count = 0
+        self.assigned_count = 0
         self.held: dict[int, int] = {}  # shard -> number of tasks assigned to it, if not 0
         self._open: Ranges | None = None
 
-    def changed(self) -> None:
+    def update_counts(self) -> None:
         """Recomputes the counts after a change of the assignments or overflow pages."""
         self._open = None
-        if self.sealed:
+        if self.overflow_pages:
             # A task in an overflow page may still be in its assignment too; it counts once.
-            done = self.sealed_tasks
-            for share in self.shares.values():
-                done = done | share.done
+            done = self.overflow_tasks
+            for assignment in self.assignments.values():
+                done = done | assignment.done
             self.done_count = len(done)
         else:
-            self.done_count = sum(len(share.done) for share in self.shares.values())
-        counts = {part: share.count for part, share in self.shares.items()}
-        self.held = {part: count for part, count in counts.items() if count}
-        self.allotted_count = sum(self.held.values())
+            self.done_count = sum(len(assignment.done) for assignment in self.assignments.values())
+        counts = {shard: assignment.count for shard, assignment in self.assignments.items()}
+        self.held = {shard: count for shard, count in counts.items() if count}
+        self.assigned_count = sum(self.held.values())
 
-    def seal(self, part: int, number: int, tasks: Ranges | None) -> None:
+    def set_overflow_page(self, shard: int, number: int, tasks: Ranges | None) -> None:
         """Sets an overflow page of a shard; None removes it."""
         if tasks is None:
-            self.sealed.pop((part, number), None)
+            self.overflow_pages.pop((shard, number), None)
         else:
-            self.sealed[part, number] = tasks
-        self.sealed_tasks = Ranges()
-        for page in self.sealed.values():
-            self.sealed_tasks = self.sealed_tasks | page
-        self.changed()
+            self.overflow_pages[shard, number] = tasks
+        self.overflow_tasks = Ranges()
+        for page in self.overflow_pages.values():
+            self.overflow_tasks = self.overflow_tasks | page
+        self.update_counts()
 
     @property
     def ready(self) -> bool:
         """Whether all needed jobs are durably done. Once true it stays true."""
-        return self.needs is not None and not self.waits_for
+        return self.needs is not None and not self.unmet_needs
 
     @property
     def open_tasks(self) -> Ranges:
         """Tasks that are neither done nor assigned to a shard."""
         if self._open is None:
-            rest = Ranges.up_to(self.spec.tasks) - self.sealed_tasks
-            for share in self.shares.values():
-                rest = rest - share.done - share.tasks
+            rest = Ranges.up_to(self.spec.tasks) - self.overflow_tasks
+            for assignment in self.assignments.values():
+                rest = rest - assignment.done - assignment.tasks
             self._open = rest
         return self._open
 
     def is_open(self, index: int) -> bool:
         """Whether the job still has to run the task and no assignment holds it."""
-        return not self.over and index in self.open_tasks
+        return not self.is_terminal and index in self.open_tasks
 
     @property
     def done(self) -> bool:
@@ -207,11 +207,11 @@
         """When the last task was done; None if the job is not done or an assignment lacks
         the time."""
         latest = -math.inf
-        for share in self.shares.values():
-            if share.done:
-                if share.ended_at is None:
+        for assignment in self.assignments.values():
+            if assignment.done:
+                if assignment.ended_at is None:
                     return None
-                latest = max(latest, share.ended_at)
+                latest = max(latest, assignment.ended_at)
         return latest if self.done and latest > -math.inf else None
 
     @property
@@ -224,24 +224,24 @@
             return "cancelled"
         if self.done:
             return "done"
-        return "running" if self.allotted_count else "queued"
+        return "running" if self.assigned_count else "queued"
 
     @property
-    def over(self) -> bool:
+    def is_terminal(self) -> bool:
         """Whether the job is done or cancelled, which are its terminal states."""
         return self.done or self.cancelled
 
     def view(self) -> dict[str, Any]:
         """The job's state as users are shown it."""
-        running = 0 if self.over else self.allotted_count
+        running = 0 if self.is_terminal else self.assigned_count
         view = {
             "uid": self.spec.uid,
             "status": self.status,
             "done": self.done_count,
             "running": running,
         }
-        if self.waits_for and not self.over:
-            view["awaits"] = sorted(self.waits_for)
+        if self.unmet_needs and not self.is_terminal:
+            view["awaits"] = sorted(self.unmet_needs)
         return view
 
 
@@ -278,7 +278,7 @@
     return len(json.dumps(value))
 
 
-def need_pieces(needs: tuple[str, ...], limit: int) -> tuple[str, list[list[str]]]:
+def split_needs(needs: tuple[str, ...], limit: int) -> tuple[str, list[list[str]]]:
     """Splits the names of needed jobs into lists within `limit` bytes each. Returns a digest of
     the names and the lists: the same names always give the same records under the same keys, so
     that writing them again changes nothing."""
@@ -293,7 +293,7 @@
     return hashlib.sha256("/".join(needs).encode()).hexdigest()[:32], pieces
 
 
-def span_bytes(tasks: int) -> int:
+def max_range_bytes(tasks: int) -> int:
     """Most bytes that one range of a job's task numbers takes in a record. `tasks` is the
     job's number of tasks."""
     return 2 * (len(str(tasks)) + 2)
@@ -303,23 +303,23 @@
     return f"r/j/{uid}"
 
 
-def share_key(uid: str, part: int) -> str:
-    return f"r/j/{uid}/{part}"
+def assignment_key(uid: str, shard: int) -> str:
+    return f"r/j/{uid}/{shard}"
 
 
-def final_key(uid: str) -> str:
+def archive_key(uid: str) -> str:
     return f"f/{uid}"
 
 
-def piece_key(uid: str, digest: str, number: int) -> str:
+def needs_piece_key(uid: str, digest: str, number: int) -> str:
     return f"r/w/{uid}/{digest}/{number}"
 
 
-def page_key(uid: str, part: int, number: int) -> str:
-    return f"r/s/{uid}/{part}/{number}"
+def overflow_page_key(uid: str, shard: int, number: int) -> str:
+    return f"r/s/{uid}/{shard}/{number}"
 
 
-def debt_key(uid: str) -> str:
+def pending_reply_key(uid: str) -> str:
     return f"r/q/{uid}"
 
 
@@ -327,7 +327,7 @@
     return f"r/o/{uid}"
 
 
-class Owner:
+class RoleHolder:
     """A role's record: which controller holds it, as which incarnation. The fencing token is
     made of the replica's epoch and the record's version."""
 
@@ -339,13 +339,13 @@
         self.token = token
 
 
-class JobBook:
+class StateReplica:
     """Applies changes in order; complete up to the revision in `ledger`."""
 
     def __init__(self, wall: Callable[[], float] = lambda: -math.inf) -> None:
         """`wall` returns the wall-clock time in seconds."""
         self._wall = wall
-        self.ledger = 0
+        self.state_revision = 0
         self.jobs: dict[str, Job] = {}
         # Jobs that every scheduling round looks at: those that are not over and wait for no
         # other job, and those of which a shard still holds tasks.
@@ -355,68 +355,77 @@
         # Outcomes of jobs that left the replica before a job that needs them was recorded,
         # and the names of needed jobs whose outcome has yet to be looked up.
         self.outcomes: dict[str, Outcome] = {}
-        self.lost: set[str] = set()
+        self.unresolved_needs: set[str] = set()
         # Replies owed to the queues that submitted jobs: job -> (record, version).
-        self.debts: dict[str, tuple[Any, int]] = {}
+        self.pending_replies: dict[str, tuple[Any, int]] = {}
         # Keys of records whose job is no longer in the replica, to be deleted.
         self.orphans: set[str] = set()
         self._pieces: dict[str, dict[str, dict[int, list[str]]]] = {}
-        self.epoch = 0  # number of full reads; each one replaces all Job objects
+        self.full_read_count = 0  # number of full reads; each one replaces all Job objects
         self.nodes: dict[str, str] = {}  # live controller -> its incarnation
         # Live controller -> shards whose workers cannot reach it.
         self.deaf: dict[str, frozenset[int]] = {}
-        self.parts: dict[int, Owner] = {}
-        self.leader: Owner | None = None
+        self.shards: dict[int, RoleHolder] = {}
+        self.leader: RoleHolder | None = None
         self.types: dict[str, Any] = {}
         self.on_job: list[Callable[[str], None]] = []
         # Jobs known to be cancelled before this replica shows it.
-        self.cancelled_ahead: set[str] = set()
+        self.unsynced_cancellations: set[str] = set()
         # The epoch, the version at which it began, the present version of its record, the stage
         # of its recovery, and whether the recovery is known to have found everything.
-        self.era = self.era_start = self.era_version = 0
-        self.era_stage, self.era_complete = REBUILT, True
-        self.era_kind = ""
+        self.epoch = self.epoch_start = self.epoch_version = 0
+        self.recovery_stage, self.recovery_complete = RECOVERED, True
+        self.loss_kind = ""
         # Role records from before this epoch, key -> (holder, version). They grant no role;
         # their versions only guard new claims.
         self.stale: dict[str, tuple[str, int]] = {}
         # Controllers that have restored what they knew: name -> (epoch, saw the loss itself).
-        self.back: dict[str, tuple[int, bool]] = {}
-        self.packed: dict[str, tuple[Outcome, int]] = {}  # restored: job -> (outcome, done tasks)
-        self.packs: set[str] = set()  # NAME of each `r/k/NAME` record with restored outcomes
+        self.restored_nodes: dict[str, tuple[int, bool]] = {}
+        self.restored_outcomes: dict[
+            str, tuple[Outcome, int]
+        ] = {}  # restored: job -> (outcome, done tasks)
+        self.restored_outcome_keys: set[str] = (
+            set()
+        )  # NAME of each `r/k/NAME` record with restored outcomes
         # Outcomes and done counts of jobs that left the replica, the latest last; at most
         # `keep_finals` of them.
-        self.finals: dict[str, tuple[Outcome, int]] = {}
-        self.keep_finals = 0
+        self.final_outcomes: dict[str, tuple[Outcome, int]] = {}
+        self.max_final_outcomes = 0
 
-    def replace(self, items: Iterable[Event], ledger: int) -> None:
+    def replace(self, items: Iterable[Event], state_revision: int) -> None:
         """Replaces the contents by those of a full read at revision `ledger`."""
         before = list(self.jobs)
-        self.jobs, self.live, self.nodes, self.parts, self.types = {}, {}, {}, {}, {}
+        self.jobs, self.live, self.nodes, self.shards, self.types = {}, {}, {}, {}, {}
         self.deaf = {}
         self.waiting, self.dependents, self.outcomes, self._pieces = {}, {}, {}, {}
-        self.lost, self.orphans = set(), set()
-        self.debts = {}
+        self.unresolved_needs, self.orphans = set(), set()
+        self.pending_replies = {}
         self.leader = None
-        self.era = self.era_start = self.era_version = 0
-        self.era_stage, self.era_complete, self.era_kind = REBUILT, True, ""
-        self.stale, self.back, self.packed, self.packs = {}, {}, {}, set()
-        self.epoch += 1
+        self.epoch = self.epoch_start = self.epoch_version = 0
+        self.recovery_stage, self.recovery_complete, self.loss_kind = RECOVERED, True, ""
+        self.stale, self.restored_nodes, self.restored_outcomes, self.restored_outcome_keys = (
+            {},
+            {},
+            {},
+            set(),
+        )
+        self.full_read_count += 1
         for event in items:
             self._take_in(event)
-        self.ledger = ledger
+        self.state_revision = state_revision
         # A full read does not tell when needed jobs were done.
-        self._settle({*self.jobs, *self.outcomes, *self.packed}, -math.inf)
+        self._settle({*self.jobs, *self.outcomes, *self.restored_outcomes}, -math.inf)
         self._notify(sorted({*before, *self.jobs}))
 
-    def apply(self, events: Iterable[Event], ledger: int) -> None:
+    def apply(self, events: Iterable[Event], state_revision: int) -> None:
         """Takes in changes, in order, up to revision `ledger`."""
         touched: set[str] = set()
         for event in events:
             if (uid := self._take_in(event)) is not None:
                 touched.add(uid)
             if event.key.startswith("r/k/"):
-                touched.update(uid for uid in self.dependents if uid in self.packed)
-        self.ledger = max(self.ledger, ledger)
+                touched.update(uid for uid in self.dependents if uid in self.restored_outcomes)
+        self.state_revision = max(self.state_revision, state_revision)
         self._notify(self._settle(touched, self._wall()))
 
     def outcome(self, uid: str) -> Outcome | None:
@@ -425,25 +434,25 @@
             if job.cancelled:
                 return "cancelled"
             return "done" if job.done else None
-        if uid in self.packed:
-            return self.packed[uid][0]
+        if uid in self.restored_outcomes:
+            return self.restored_outcomes[uid][0]
         return self.outcomes.get(uid)
 
     def is_cancelled(self, uid: str) -> bool:
         """Whether the job is cancelled, by the replica or known before it shows it."""
         job = self.jobs.get(uid)
-        return uid in self.cancelled_ahead or (job is not None and job.cancelled)
+        return uid in self.unsynced_cancellations or (job is not None and job.cancelled)
 
-    def hangs_on_lost(self, job: Job) -> bool:
+    def depends_on_unresolved(self, job: Job) -> bool:
         """Whether the job needs, directly or through others, one whose outcome has yet to be
         looked up."""
-        todo, seen = list(job.waits_for), set(job.waits_for)
+        todo, seen = list(job.unmet_needs), set(job.unmet_needs)
         while todo:
             uid = todo.pop()
-            if uid in self.lost:
+            if uid in self.unresolved_needs:
                 return True
             if (need := self.jobs.get(uid)) is not None:
-                new = need.waits_for - seen
+                new = need.unmet_needs - seen
                 seen |= new
                 todo += new
         return False
@@ -454,53 +463,55 @@
         match key.split("/"):
             case ["r", "j", uid]:
                 return job.version if (job := self.jobs.get(uid)) is not None else 0
-            case ["r", "j", uid, part]:
-                share = job.shares.get(int(part)) if (job := self.jobs.get(uid)) else None
-                return share.version if share is not None else 0
-            case ["r", "p", part]:
-                owner = self.parts.get(int(part))
-                return version_in(owner.token) if owner is not None else 0
+            case ["r", "j", uid, shard]:
+                assignment = (
+                    job.assignments.get(int(shard)) if (job := self.jobs.get(uid)) else None
+                )
+                return assignment.version if assignment is not None else 0
+            case ["r", "p", shard]:
+                owner = self.shards.get(int(shard))
+                return version_of_token(owner.token) if owner is not None else 0
             case ["r", "l"]:
-                return version_in(self.leader.token) if self.leader is not None else 0
+                return version_of_token(self.leader.token) if self.leader is not None else 0
             case ["r", "e"]:
-                return self.era_version
+                return self.epoch_version
         return None
 
     def versions(self) -> Iterable[tuple[str, int]]:
         """(key, version) of all job and assignment records."""
         for uid, job in self.jobs.items():
             yield job_key(uid), job.version
-            for part, share in job.shares.items():
-                yield share_key(uid, part), share.version
+            for shard, assignment in job.assignments.items():
+                yield assignment_key(uid, shard), assignment.version
 
-    def _begin_era(self, value: Any, version: int) -> None:
+    def _begin_epoch(self, value: Any, version: int) -> None:
         if value is None:  # deleted: only seen by a replica that is about to be read anew
             return
-        self.era, self.era_stage, self.era_version = value["e"], value["s"], version
-        self.era_start = value.get("v", version)
-        self.era_kind, self.era_complete = value.get("k", ""), bool(value.get("c"))
-        for part, owner in list(self.parts.items()):
-            del self.parts[part]
-            owner.token = version_in(owner.token)
-            self._role(f"r/p/{part}", owner)
+        self.epoch, self.recovery_stage, self.epoch_version = value["e"], value["s"], version
+        self.epoch_start = value.get("v", version)
+        self.loss_kind, self.recovery_complete = value.get("k", ""), bool(value.get("c"))
+        for shard, owner in list(self.shards.items()):
+            del self.shards[shard]
+            owner.token = version_of_token(owner.token)
+            self._role(f"r/p/{shard}", owner)
         if (leader := self.leader) is not None:
             self.leader = None
-            leader.token = version_in(leader.token)
+            leader.token = version_of_token(leader.token)
             self._role("r/l", leader)
-        if version == self.era_start:
-            self.nodes, self.deaf, self.back = {}, {}, {}
+        if version == self.epoch_start:
+            self.nodes, self.deaf, self.restored_nodes = {}, {}, {}
 
-    def _role(self, key: str, owner: Owner) -> None:
+    def _role(self, key: str, owner: RoleHolder) -> None:
         """Takes in a role's record, whose token is still the bare version. A record from
         before the epoch grants nothing: its lease may be one of before the loss."""
-        if owner.token < self.era_start:
+        if owner.token < self.epoch_start:
             self.stale[key] = (owner.node, owner.token)
             return
-        owner.token = era_token(self.era, owner.token)
+        owner.token = fencing_token(self.epoch, owner.token)
         if key == "r/l":
             self.leader = owner
         else:
-            self.parts[int(key[4:])] = owner
+            self.shards[int(key[4:])] = owner
 
     def pieces(self) -> Iterable[tuple[str, str, int, list[str]]]:
         """The `r/w/` records with names of needed jobs: (job, digest, number, names)."""
@@ -510,11 +521,11 @@
                     yield uid, digest, number, names
 
     def _pack(self, name: str, records: dict[str, Any]) -> None:
-        self.packs.add(name)
+        self.restored_outcome_keys.add(name)
         for status, entries in records.items():
             for uid, done in entries.items():
-                self.packed[uid] = ("done" if status == "done" else "cancelled", done)
-                self.lost.discard(uid)
+                self.restored_outcomes[uid] = ("done" if status == "done" else "cancelled", done)
+                self.unresolved_needs.discard(uid)
 
     def _settle(self, touched: set[str], wall: float) -> list[str]:
         """Updates the jobs that need the touched ones, directly or through others, and returns
@@ -528,9 +539,9 @@
                 continue
             for name in self.dependents.get(uid, ()):
                 job = self.jobs[name]
-                if outcome == "done" and uid in job.waits_for:
-                    job.waits_for.discard(uid)
-                    if not job.waits_for:
+                if outcome == "done" and uid in job.unmet_needs:
+                    job.unmet_needs.discard(uid)
+                    if not job.unmet_needs:
                         job.ready_at = max(job.submitted_at, self._ended_at(job, wall))
                     reached.add(name)
                 elif outcome == "cancelled" and not job.cancelled:
@@ -555,8 +566,8 @@
     def _file(self, uid: str) -> None:
         """Enters the job under `live` or `waiting`, or under neither."""
         job = self.jobs.get(uid)
-        ended = job is None or (job.over and not job.allotted_count)
-        if job is not None and not ended and (job.ready or job.allotted_count):
+        ended = job is None or (job.is_terminal and not job.assigned_count)
+        if job is not None and not ended and (job.ready or job.assigned_count):
             self.live[uid] = job
         else:
             self.live.pop(uid, None)
@@ -577,12 +588,16 @@
             self.dependents.setdefault(name, set()).add(job.spec.uid)
             outcome = self.outcome(name)
             if outcome != "done":
-                job.waits_for.add(name)
+                job.unmet_needs.add(name)
             if outcome == "cancelled":
                 job.cancelled = True
-            if name not in self.jobs and name not in self.outcomes and name not in self.packed:
-                self.lost.add(name)
-        if job.needs and not job.waits_for:
+            if (
+                name not in self.jobs
+                and name not in self.outcomes
+                and name not in self.restored_outcomes
+            ):
+                self.unresolved_needs.add(name)
+        if job.needs and not job.unmet_needs:
             job.ready_at = max(job.submitted_at, self._ended_at(job, -math.inf))
 
     def _remove(self, uid: str) -> None:
@@ -594,17 +609,17 @@
             users.discard(uid)
             if not users:
                 self.dependents.pop(name, None)
-                self.lost.discard(name)
+                self.unresolved_needs.discard(name)
         if uid in self.dependents and uid not in self.outcomes:
-            self.lost.add(uid)
-        if self.keep_finals and job.over:
-            self.finals[uid] = ("cancelled" if job.cancelled else "done", job.done_count)
-            if len(self.finals) > self.keep_finals:
-                del self.finals[next(iter(self.finals))]
-        self.orphans.update(share_key(uid, part) for part in job.shares)
-        self.orphans.update(page_key(uid, part, n) for part, n in job.sealed)
+            self.unresolved_needs.add(uid)
+        if self.max_final_outcomes and job.is_terminal:
+            self.final_outcomes[uid] = ("cancelled" if job.cancelled else "done", job.done_count)
+            if len(self.final_outcomes) > self.max_final_outcomes:
+                del self.final_outcomes[next(iter(self.final_outcomes))]
+        self.orphans.update(assignment_key(uid, shard) for shard in job.assignments)
+        self.orphans.update(overflow_page_key(uid, shard, n) for shard, n in job.overflow_pages)
         for digest, pieces in self._pieces.get(uid, {}).items():
-            self.orphans.update(piece_key(uid, digest, n) for n in pieces)
+            self.orphans.update(needs_piece_key(uid, digest, n) for n in pieces)
 
     def _orphan(self, event: Event) -> None:
         if event.value is None:
@@ -636,25 +651,25 @@
                         event.version,
                         None if pieces is None else (pieces[0], pieces[1]),
                     )
-                    self.lost.discard(uid)
+                    self.unresolved_needs.discard(uid)
                     self._link(job)
                 return uid
-            case ["r", "j", uid, part]:
+            case ["r", "j", uid, shard]:
                 if (job := self.jobs.get(uid)) is None:
                     self._orphan(event)
                 elif value is None:
-                    job.shares.pop(int(part), None)
-                    job.changed()
+                    job.assignments.pop(int(shard), None)
+                    job.update_counts()
                 else:
-                    job.shares[int(part)] = Share.from_record(value, event.version)
-                    job.changed()
+                    job.assignments[int(shard)] = Assignment.from_record(value, event.version)
+                    job.update_counts()
                 return uid
-            case ["r", "s", uid, part, number]:
+            case ["r", "s", uid, shard, number]:
                 if (job := self.jobs.get(uid)) is None:
                     self._orphan(event)
                 else:
                     tasks = None if value is None else Ranges.from_flat(value["d"])
-                    job.seal(int(part), int(number), tasks)
+                    job.set_overflow_page(int(shard), int(number), tasks)
                 return uid
             case ["r", "w", uid, digest, number]:
                 found = self._pieces.setdefault(uid, {}).setdefault(digest, {})
@@ -671,35 +686,35 @@
                     self.outcomes.pop(uid, None)
                 else:
                     self.outcomes[uid] = value["st"]
-                    self.lost.discard(uid)
+                    self.unresolved_needs.discard(uid)
                 return uid
             case ["r", "q", uid]:
                 if value is None:
-                    self.debts.pop(uid, None)
+                    self.pending_replies.pop(uid, None)
                 else:
-                    self.debts[uid] = (value, event.version)
-            case ["r", "p", part]:
-                self.parts.pop(int(part), None)
+                    self.pending_replies[uid] = (value, event.version)
+            case ["r", "p", shard]:
+                self.shards.pop(int(shard), None)
                 self.stale.pop(event.key, None)
                 if value is not None:
-                    self._role(event.key, Owner(value["o"], value["i"], event.version))
+                    self._role(event.key, RoleHolder(value["o"], value["i"], event.version))
             case ["r", "l"]:
                 self.leader = None
                 self.stale.pop(event.key, None)
                 if value is not None:
-                    self._role(event.key, Owner(value["o"], value["i"], event.version))
+                    self._role(event.key, RoleHolder(value["o"], value["i"], event.version))
             case ["r", "n", node]:
                 if value is None:
                     self.nodes.pop(node, None)
                     self.deaf.pop(node, None)
-                    self.back.pop(node, None)
-                elif event.version > self.era_start or not self.era:
+                    self.restored_nodes.pop(node, None)
+                elif event.version > self.epoch_start or not self.epoch:
                     self.nodes[node] = value["i"]
                     self.deaf[node] = frozenset(value.get("d", ()))
                     if "b" in value:
-                        self.back[node] = (value["b"][0], bool(value["b"][1]))
+                        self.restored_nodes[node] = (value["b"][0], bool(value["b"][1]))
             case ["r", "e"]:
-                self._begin_era(value, event.version)
+                self._begin_epoch(value, event.version)
             case ["r", "k", name] if value is not None:
                 self._pack(name, value)
             case ["r", "c", name]:
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -6,28 +6,28 @@
 
 import trio
 
-from ryegauge.bookkeeping.jobbook import PREFIX, JobBook
-from ryegauge.bookkeeping.state import Event, Gone, StateClient, Unavailable, Unknown
+from ryegauge.bookkeeping.state import Event, Gone, OutcomeUnknown, StateClient, Unavailable
+from ryegauge.bookkeeping.state_replica import PREFIX, StateReplica
 
 log = logging.getLogger(__name__)
 
 
-class Witness(Protocol):
+class StateObserver(Protocol):
     """Checks every read for signs that the service has lost data."""
 
     @property
-    def unread(self) -> bool:
+    def has_unread_commits(self) -> bool:
         """Whether a commit or conflict was confirmed to us that no read has shown yet."""
 
     def begin(self) -> int:
         """Called before a read; returns the revision after which to read changes."""
 
-    def read(self, events: list[Event], ledger: int) -> list[Event]:
+    def read(self, events: list[Event], state_revision: int) -> list[Event]:
         """Called after a read of changes; returns those that the replica does not have yet.
         Raises Unavailable if the answer contradicts earlier ones, and Gone if a full read is
         needed."""
 
-    def reread(self, items: list[Event], ledger: int) -> None:
+    def reread(self, items: list[Event], state_revision: int) -> None:
         """Called after a full read. Raises Unavailable if it contradicts earlier answers."""
 
 
@@ -45,23 +45,27 @@
     """Reads changes in a loop. One read serves all callers that asked before it began."""
 
     def __init__(
-        self, state: StateClient, book: JobBook, idle_s: Callable[[], float], timeout_s: float
+        self,
+        state: StateClient,
+        replica: StateReplica,
+        idle_s: Callable[[], float],
+        timeout_s: float,
     ) -> None:
         """`idle_s` returns the longest pause between two reads if nobody asks for one."""
         self._state = state
-        self._book = book
+        self._replica = replica
         self._idle_s = idle_s
         self._timeout_s = timeout_s
         self._asked = trio.Event()
         self._waiting: list[_Question] = []
         # When the last successful read was sent: the replica holds all that was committed
         # before then.
-        self.began_at = float("-inf")
+        self.last_read_sent_at = float("-inf")
         self.failures = 0  # consecutive failed reads
         self.on_sync: list[Callable[[], None]] = []  # called after each successful read
         self.ready = trio.Event()  # set after the first successful read
         # None if rebuilding is not enabled.
-        self.witness: Witness | None = None
+        self.observer: StateObserver | None = None
         self._full = True
 
     @property
@@ -69,11 +73,11 @@
         """Least time between two reads, so that they take at most half of the request rate."""
         return 2.0 / self._state.requests.rate
 
-    def poke(self) -> None:
+    def request_read(self) -> None:
         """Asks for a read soon, without waiting for it."""
         self._asked.set()
 
-    async def fresh(self) -> None:
+    async def wait_for_read(self) -> None:
         """Returns once the replica holds a read that began after this call. Raises Unavailable
         if that read failed or took too long."""
         question = _Question()
@@ -113,20 +117,20 @@
                             raise
                     if more:
                         await self._read_changes()
-                self.began_at = began
+                self.last_read_sent_at = began
                 self.failures = 0
             except Gone:
                 log.info("changes since the last read are no longer available: full read needed")
                 self._full = True
-            except (Unavailable, Unknown, trio.TooSlowError) as error:
+            except (Unavailable, OutcomeUnknown, trio.TooSlowError) as error:
                 self.failures += 1
                 log.debug("reading changes failed: %s", error)
-            if self.began_at == began:
+            if self.last_read_sent_at == began:
                 self.ready.set()
                 for listener in self.on_sync:
                     listener()
             for question in served:
-                question.failed = self.began_at != began
+                question.failed = self.last_read_sent_at != began
                 question.done.set()
             pause = self._gap_s if not self.failures else min(0.5, 0.1 * 2**self.failures)
             await trio.sleep_until(began + pause)
@@ -134,15 +138,15 @@
                 await self._asked.wait()
 
     async def _read_changes(self) -> None:
-        since = self._book.ledger
-        if self.witness is not None:
-            since = self.witness.begin()
-        events, ledger = await self._state.changes(
+        since = self._replica.state_revision
+        if self.observer is not None:
+            since = self.observer.begin()
+        events, state_revision = await self._state.changes(
             PREFIX, since, timeout_s=self._timeout_s, urgent=False
         )
-        if self.witness is not None:
-            events = self.witness.read(events, ledger)
-        self._book.apply(events, ledger)
+        if self.observer is not None:
+            events = self.observer.read(events, state_revision)
+        self._replica.apply(events, state_revision)
 
     async def _read_all(self) -> bool:
         """Reads all records into the replica. Returns whether a read of changes has to follow:
@@ -156,25 +160,27 @@
         items: list[Event] = []
         after: str | None = None
         first: int | None = None
-        if self.witness is not None:
-            self.witness.begin()
+        if self.observer is not None:
+            self.observer.begin()
         while True:
-            page, more, ledger = await self._state.page(PREFIX, after, timeout_s=self._timeout_s)
-            first = ledger if first is None else first
+            page, more, state_revision = await self._state.page(
+                PREFIX, after, timeout_s=self._timeout_s
+            )
+            first = state_revision if first is None else first
             items.extend(page)
             if not more:
                 break
             after = page[-1].key
-        events, ledger = await self._state.changes(
+        events, state_revision = await self._state.changes(
             PREFIX, first, timeout_s=self._timeout_s, urgent=False
         )
-        more = self.witness is not None and self.witness.unread
-        if self.witness is not None:
-            self.witness.reread(items, first)
-        self._book.replace(items, first)
-        if self.witness is not None:
-            self.witness.begin()
-            events = self.witness.read(events, ledger)
-        self._book.apply(events, ledger)
-        log.info("full read: %d records, %d live jobs", len(items), len(self._book.live))
+        more = self.observer is not None and self.observer.has_unread_commits
+        if self.observer is not None:
+            self.observer.reread(items, first)
+        self._replica.replace(items, first)
+        if self.observer is not None:
+            self.observer.begin()
+            events = self.observer.read(events, state_revision)
+        self._replica.apply(events, state_revision)
+        log.info("full read: %d records, %d live jobs", len(items), len(self._replica.live))
         return more
--- a/ryegauge/bookkeeping/ahead.py
+++ b/ryegauge/bookkeeping/unsynced_cancellations.py
@@ -12,32 +12,32 @@
 
 from collections.abc import Iterable
 
-from ryegauge.bookkeeping.jobbook import JobBook
+from ryegauge.bookkeeping.state_replica import StateReplica
 
 
-class Ahead:
+class UnsyncedCancellations:
     """Cancelled jobs that the replica may not show yet."""
 
-    def __init__(self, book: JobBook) -> None:
-        self._book = book
+    def __init__(self, replica: StateReplica) -> None:
+        self._replica = replica
         self._known: dict[str, float] = {}  # job -> when it was last learnt, in seconds
 
     def learn(self, uids: Iterable[str], now: float) -> list[str]:
         """Adds jobs whose cancellation is confirmed; returns those not known before."""
         news: list[str] = []
         for uid in uids:
-            if uid not in self._known and not self._in_book(uid):
+            if uid not in self._known and not self._in_replica(uid):
                 news.append(uid)
             self._known[uid] = now
-        self._book.cancelled_ahead.update(news)
+        self._replica.unsynced_cancellations.update(news)
         return news
 
     def read(self, began_at: float) -> None:
         """Drops what the replica shows now: it holds all that was committed before `began_at`."""
         self._known = {uid: at for uid, at in self._known.items() if at >= began_at}
-        self._book.cancelled_ahead = set(self._known)
+        self._replica.unsynced_cancellations = set(self._known)
 
-    def beyond(self, ledger: int) -> list[str]:
+    def newer_than(self, state_revision: int) -> list[str]:
         """All jobs that a user may have been told are cancelled and of which a shard may hold
         tasks, as far as a replica at revision `ledger` may not show the cancellation. No shard
         holds tasks of jobs that left the replica, or that are cancelled with one they need."""
@@ -45,10 +45,10 @@
             self._known
             | {
                 uid: 0.0
-                for uid, job in self._book.jobs.items()
-                if job.cancelled and job.version > ledger
+                for uid, job in self._replica.jobs.items()
+                if job.cancelled and job.version > state_revision
             }
         )
 
-    def _in_book(self, uid: str) -> bool:
-        return (job := self._book.jobs.get(uid)) is not None and job.cancelled
+    def _in_replica(self, uid: str) -> bool:
+        return (job := self._replica.jobs.get(uid)) is not None and job.cancelled
--- a/ryegauge/coordination/desk.py
+++ b/ryegauge/coordination/node_context.py
@@ -6,23 +6,23 @@
 
 import trio
 
-from ryegauge.bookkeeping.eras import REBUILT
-from ryegauge.bookkeeping.jobbook import Job, JobBook
-from ryegauge.bookkeeping.state import Conflict, Gone, StateClient, Unavailable, Unknown
+from ryegauge.bookkeeping.epochs import RECOVERED
+from ryegauge.bookkeeping.state import Conflict, Gone, OutcomeUnknown, StateClient, Unavailable
+from ryegauge.bookkeeping.state_replica import Job, StateReplica
 from ryegauge.bookkeeping.syncer import Syncer
 from ryegauge.config import Settings
+from ryegauge.coordination.connection_limits import MAX_STATE_CONNECTIONS
 from ryegauge.coordination.leader import Leader
-from ryegauge.coordination.part import PartOwner
-from ryegauge.coordination.sockets import STATE
-from ryegauge.coordination.terms import Term
-from ryegauge.detection.hearing import Overheard
+from ryegauge.coordination.membership import ControllerLease
+from ryegauge.coordination.shard_owner import ShardOwner
+from ryegauge.detection.last_heard import ForeignReports
 from ryegauge.transport.http import Network
 
 # Errors after which a write is decided anew from the newest state of the replica.
-RETRY = (Conflict, Gone, Unavailable, Unknown)
+RETRYABLE_ERRORS = (Conflict, Gone, Unavailable, OutcomeUnknown)
 
 
-class Desk:
+class NodeContext:
     """Shared state of a controller's loops."""
 
     def __init__(
@@ -38,66 +38,74 @@
         # Unused connections are closed after this many seconds.
         self.idle_s = 4 * shared.workers.lease_s
         self.state = StateClient(
-            network.client(settings.outside.state, max_connections=STATE, idle_s=self.idle_s),
+            network.client(
+                settings.outside.state, max_connections=MAX_STATE_CONNECTIONS, idle_s=self.idle_s
+            ),
             settings.state_limits.rps,
             settings.state_limits.write_rps,
             shared.nodes,
         )
-        self.book = JobBook(wall)
-        self.syncer = Syncer(self.state, self.book, idle_s=self._read_pause_s, timeout_s=1.0)
-        self.term = Term(settings, self.state, self.book, self.syncer, lambda: self.unique(48))
-        self.owned: dict[int, PartOwner] = {}
+        self.replica = StateReplica(wall)
+        self.syncer = Syncer(self.state, self.replica, idle_s=self._read_pause_s, timeout_s=1.0)
+        self.controller_lease = ControllerLease(
+            settings, self.state, self.replica, self.syncer, lambda: self.random_id(48)
+        )
+        self.owned: dict[int, ShardOwner] = {}
         self.leader: Leader | None = None
         # The leader object from before the present epoch. What it learnt of the fleet and of
         # run times stays true; without it the new one would rent no machine until the cloud's
         # next listing.
-        self.former: Leader | None = None
-        self.overheard = Overheard(2 * shared.workers.lease_s)
-        self.changed = trio.Event()  # set and replaced when owners or the leader have work
-        self.to_tell: dict[str, int] = {}  # peer -> revision that it should read
+        self.previous_leader: Leader | None = None
+        self.foreign_reports = ForeignReports(2 * shared.workers.lease_s)
+        self.work_available = trio.Event()  # set and replaced when owners or the leader have work
+        self.announced_revisions: dict[str, int] = {}  # peer -> revision that it should read
         self.tell = trio.Event()  # set and replaced when `to_tell` changes
         # Whether no new decision may be made, since the state service may have lost data.
-        self.doubtful: Callable[[], bool] = lambda: self.book.era_stage != REBUILT
+        self.data_loss_suspected: Callable[[], bool] = lambda: (
+            self.replica.recovery_stage != RECOVERED
+        )
         # Whether a job's open tasks are certainly on no machine, by all that is known here.
-        self.surely_open: Callable[[Job], bool] = lambda job: True
+        self.surely_unassigned: Callable[[Job], bool] = lambda job: True
         self._peers = [peer.node_name for peer in settings.known]
 
     def _read_pause_s(self) -> float:
         """Longest pause between reads. Peers tell us when they write. Reading without being told
         covers peers that cannot, and keeps our authority, which ends one lease duration after
         the last read."""
-        if self.book.live or self.book.waiting:
+        if self.replica.live or self.replica.waiting:
             return min(0.5, self.report_s / 2)
-        return self.settings.term_s / 6
+        return self.settings.controller_lease_s / 6
 
-    def unique(self, bits: int) -> str:
+    def random_id(self, bits: int) -> str:
         """A random identifier of that many bits, in hexadecimal."""
         return f"{self._rng.getrandbits(bits):x}"
 
     def leading(self) -> Leader | None:
         """The leader object while this controller leads and its authority is valid, else None."""
-        return self.leader if self.term.valid(trio.current_time()) else None
+        return self.leader if self.controller_lease.valid(trio.current_time()) else None
 
-    def wrote(self, ledger: int, whom: Collection[str] | None = None) -> None:
+    def announce_write(self, state_revision: int, whom: Collection[str] | None = None) -> None:
         """After a commit at revision `ledger`: reads it soon and tells the peers in `whom` (None:
         all) to read it too. The others see it with their next read."""
-        self.syncer.poke()
+        self.syncer.request_read()
         for name in self._peers if whom is None else whom:
-            self.to_tell[name] = ledger
+            self.announced_revisions[name] = state_revision
         self.tell.set()
         self.tell = trio.Event()
 
-    def tell_leader(self, ledger: int) -> None:
+    def announce_to_leader(self, state_revision: int) -> None:
         """As `wrote`, for a commit that concerns the leader."""
-        leader = self.book.leader
-        self.wrote(ledger, None if leader is None else [leader.node])
+        leader = self.replica.leader
+        self.announce_write(state_revision, None if leader is None else [leader.node])
 
-    def tell_owners(self, ledger: int, parts: Iterable[int]) -> None:
+    def announce_to_owners(self, state_revision: int, shards: Iterable[int]) -> None:
         """As `wrote`, for a commit that concerns the owners of these shards."""
-        owners = [self.book.parts[part].node for part in parts if part in self.book.parts]
-        self.wrote(ledger, set(owners))
+        owners = [
+            self.replica.shards[shard].node for shard in shards if shard in self.replica.shards
+        ]
+        self.announce_write(state_revision, set(owners))
 
     def wake(self) -> None:
         """Wakes the loops of the leader and of the shard owners."""
-        self.changed.set()
-        self.changed = trio.Event()
+        self.work_available.set()
+        self.work_available = trio.Event()
