--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -109,19 +109,19 @@
     __slots__ = (
         "_open",
         "assigned_count",
+        "assignments",
         "cancelled",
         "done_count",
         "held",
         "needs",
-        "pieces",
-        "ready_at",
         "overflow_pages",
         "overflow_tasks",
-        "assignments",
+        "pieces",
+        "ready_at",
         "spec",
         "submitted_at",
-        "version",
         "unmet_needs",
+        "version",
     )
 
     def __init__(
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -27,7 +27,7 @@
         Raises Unavailable if the answer contradicts earlier ones, and Gone if a full read is
         needed."""
 
-    def reread(self, items: list[Event], state_revision: int) -> None:
+    def on_full_read(self, items: list[Event], state_revision: int) -> None:
         """Called after a full read. Raises Unavailable if it contradicts earlier answers."""
 
 
@@ -94,7 +94,7 @@
         if question.failed:
             raise Unavailable("the state service did not answer")
 
-    def reread(self) -> None:
+    def request_full_read(self) -> None:
         """Makes the next read a full one."""
         self._full = True
         self._asked.set()
@@ -176,7 +176,7 @@
         )
         more = self.observer is not None and self.observer.has_unread_commits
         if self.observer is not None:
-            self.observer.reread(items, first)
+            self.observer.on_full_read(items, first)
         self._replica.replace(items, first)
         if self.observer is not None:
             self.observer.begin()
--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -43,7 +43,7 @@
     over = [
         job
         for uid, job in replica.jobs.items()
-        if job.over and not job.assigned_count and uid not in replica.dependents
+        if job.is_terminal and not job.assigned_count and uid not in replica.dependents
     ]
     over.sort(key=lambda job: job.submitted_at)
     return over[:excess]
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -56,7 +56,7 @@
 class _Submission:
     """A new job that waits to be recorded."""
 
-    __slots__ = ("extra_puts", "done", "outcome", "record", "size", "uid")
+    __slots__ = ("done", "extra_puts", "outcome", "record", "size", "uid")
 
     def __init__(self, uid: str, record: dict[str, Any], extra_puts: tuple[Put, ...]) -> None:
         self.uid = uid
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -32,17 +32,17 @@
 from ryegauge.transport.http import Reply, encode
 
 
-class PendingRental:
+class JobApiHarness:
     """A user API whose reads and lookups of outcomes are answered by the test."""
 
     def __init__(self, settings: Settings) -> None:
         luck = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        self.front, self.replica = node._front, node._context.replica
+        self.front, self.replica = node._job_api, node._context.replica
         self.on_read: Callable[[], None] = lambda: None
         self.outcomes: dict[str, Any] = {}
         node._context.syncer.wait_for_read = self._fresh  # type: ignore[method-assign]
-        node._front._final_outcomes.find_all = self._find_all  # type: ignore[method-assign]
+        node._job_api._final_outcomes.find_all = self._find_all  # type: ignore[method-assign]
 
     async def _fresh(self) -> None:
         self.on_read()
@@ -84,7 +84,7 @@
     alike. A repeated submission was answered "queued" where a poll was refused."""
 
     async def scenario() -> None:
-        asked = PendingRental(settings)
+        asked = JobApiHarness(settings)
         asked.replica.replace([record(2, "wk-1", version=3), record(3, "wk-2", version=4)], 4)
         for uid in ("wk-2", "wk-3"):
             assert await asked.told(uid) == [503] * 4
@@ -102,7 +102,7 @@
     all Job objects."""
 
     async def scenario(changes: bool) -> None:
-        asked = PendingRental(settings)
+        asked = JobApiHarness(settings)
         asked.outcomes["wk-1"] = {"st": "done", "d": 4}
 
         def archived() -> None:
@@ -129,7 +129,7 @@
     answered without a read, to repeated submissions as to polls."""
 
     async def scenario() -> None:
-        asked = PendingRental(settings)
+        asked = JobApiHarness(settings)
         asked.on_read = refuse
         asked.replica.replace(
             [
@@ -160,7 +160,7 @@
     replica shows that, is answered "cancelled", not "queued"."""
 
     async def scenario() -> None:
-        asked = PendingRental(settings)
+        asked = JobApiHarness(settings)
         asked.front._types = lambda: {"small": None}  # type: ignore[dict-item, return-value]
 
         async def commit(*_: Any, **__: Any) -> int:
@@ -175,7 +175,7 @@
         assert (reply.status, reply.body["status"]) == (201, "cancelled")
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("ryegauge.coordination.job_api.never_runs", lambda *_: None)
+        patch.setattr("ryegauge.coordination.job_api.unrunnable_reason", lambda *_: None)
         trio.run(scenario)
 
 
@@ -184,7 +184,7 @@
     poll for that job is. It was refused with 422, which clients do not retry."""
 
     async def scenario() -> None:
-        asked = PendingRental(settings)
+        asked = JobApiHarness(settings)
         on_record_missing: list[str] = []
         asked.front.on_record_missing = on_record_missing.append
         asked.front.not_found_after = trio.current_time() + 9.0
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -165,7 +165,7 @@
     ahead.learn(["wk-50"], now=1.0)  # by a write of ours that no read has shown yet
     for state_revision in range(30):
         lacks = {f"wk-{n}" for n in range(state_revision + 1, 30) if n % 3 == 0} | {"wk-50"}
-        assert set(ahead.beyond(state_revision)) == lacks
+        assert set(ahead.newer_than(state_revision)) == lacks
 
 
 def test_who_cannot_name_all_gives_no_promise(
@@ -184,7 +184,7 @@
         context.replica.apply([job_event(f"wk-{n}", n, True) for n in range(1, 9)], 8)
         context.replica.nodes["node-1"] = "i"
         context.state.failing_since = 0.0
-        context.syncer.began_at = 0.0
+        context.syncer.last_read_sent_at = 0.0
 
         async def promise(state_revision: int) -> None:
             asked = to_wire(LeaseExtensionRequest("node-1", "i", [], state_revision))
@@ -271,9 +271,9 @@
         async def nothing(*_: object, **__: object) -> int:
             return 9
 
-        context.syncer.fresh = nothing  # type: ignore[assignment, method-assign]
+        context.syncer.wait_for_read = nothing  # type: ignore[assignment, method-assign]
         context.state.commit = nothing  # type: ignore[method-assign]
-        reply = await node._front.cancel("wk-1")
+        reply = await node._job_api.cancel("wk-1")
         assert reply.body == {"uid": "wk-1", "status": "cancelled"}
         assert [task.withdrawn for task in owner.tasks.values()] == [True] * 4
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -134,7 +134,7 @@
     async def scenario() -> None:
         luck = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, luck).at("x"), lambda: 0.0, luck)
-        replica, front = node._context.replica, node._front
+        replica, front = node._context.replica, node._job_api
 
         async def wait_for_read() -> None:
             return
@@ -169,7 +169,7 @@
         context.syncer.ready.set()
         context.state.failing_since = 0.0
         context.replica.nodes["node-1"] = "i"
-        context.syncer.began_at = now = trio.current_time()
+        context.syncer.last_read_sent_at = now = trio.current_time()
         assert context.controller_lease.grant_extension("node-1", "i", now)
         role = {"o": settings.node_name, "i": context.controller_lease.incarnation}
         context.replica.apply([Event("r/p/0", role, 9)], 9)
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -33,7 +33,7 @@
 CHANGES, ARCHIVED, REPEATED = 3.25, 3.0, 0.25
 
 
-class PendingRental(NamedTuple):
+class UserRequest(NamedTuple):
     at: float
     took_s: float
     what: str
@@ -81,7 +81,7 @@
     def __init__(self, settings: list[Settings], seed: int) -> None:
         self.counts = CountingState()
         super().__init__(settings, seed, fleet=FLEET, state=self.counts, resubmits=0.0)
-        self.asked: list[PendingRental] = []
+        self.asked: list[UserRequest] = []
         self.submitted: dict[str, tuple[float, float]] = {}  # first asked, accepted
         self.troubles: list[tuple[float, float]] = []
 
@@ -102,7 +102,7 @@
             except Unreachable:
                 status = 0
             break
-        self.asked.append(PendingRental(began, trio.current_time() - began, what, status, uid))
+        self.asked.append(UserRequest(began, trio.current_time() - began, what, status, uid))
         self.checker.answered(uid, status, answer, what, began)
         return status, answer, max(1.0, after_s or 0.0)
 
