--- a/ryegauge/bookkeeping/outcome_archive.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -33,7 +33,7 @@
     """Batched and cached lookups of `f/UID` records."""
 
     def __init__(self, state: StateClient, max_conditions: int, max_cached: int) -> None:
-        """`conditions`: most guards of a transaction; `keep`: most outcomes in the cache."""
+        """`max_conditions`: most guards of a transaction; `max_cached`: most outcomes in the cache."""
         self._state = state
         self._max_conditions = max_conditions
         self._max_cached = max_cached
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -129,7 +129,7 @@
         self.writes.resize(self._write_rps * write_share, self._write_rps * max(write_share, 0.5))
 
     def use_relay(self, relayer: Relayer, relay_after_s: float) -> None:
-        """Sends requests through peers once the service has not served us for `patience_s`."""
+        """Sends requests through peers once the service has not served us for `relay_after_s`."""
         self._relayer, self._relay_after_s = relayer, relay_after_s
 
     async def send_directly(
@@ -238,7 +238,7 @@
         ended), Unavailable (not executed) or OutcomeUnknown (may be executed, even later).
 
         `guards`: versions or fencing tokens by key, 0 for a key that must not exist. `reserve`:
-        the part of the write budget to leave to more urgent requests. `across_eras`: do not
+        the part of the write budget to leave to more urgent requests. `across_epochs`: do not
         guard by the epoch's record, for the transaction that begins an epoch."""
         guards = {key: version_of_token(token) for key, token in guards.items()}
         epoch_version = 0 if self.observer is None else self.observer.epoch_version
--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -11,7 +11,7 @@
 
 - `r/w/UID/DIGEST/N`: names of the jobs that a job needs, if its own record cannot hold them.
 - `r/q/UID`: the reply that is owed to the queue that submitted the job.
-- `r/s/UID/SHARD/N`: done tasks moved out of a assignment that grew too large.
+- `r/s/UID/SHARD/N`: done tasks moved out of an assignment that grew too large.
 - `r/o/UID`: the outcome of a job that has left the replica and is needed by one in it.
 
 Written only after the state service has lost data (`docs/design/rebuilding.md`):
@@ -100,6 +100,7 @@
         return result
 
 
+# How a job has ended.
 Outcome = Literal["done", "cancelled"]
 
 
@@ -218,8 +219,8 @@
     def status(self) -> str:
         """`queued`, `running`, `done` or `cancelled`."""
         # The flag takes precedence over later results: a cancellation is only written while
-        # the job is not done, guarded by the versions of all its assignments. One that follows from
-        # a needed job finds no task done, since none has started.
+        # the job is not done, guarded by the versions of all its assignments. One that follows
+        # from a needed job finds no task done, since none has started.
         if self.cancelled:
             return "cancelled"
         if self.done:
@@ -300,30 +301,37 @@
 
 
 def job_key(uid: str) -> str:
+    """Key of a job's record."""
     return f"r/j/{uid}"
 
 
 def assignment_key(uid: str, shard: int) -> str:
+    """Key of the record of a job's assignment to a shard."""
     return f"r/j/{uid}/{shard}"
 
 
 def archive_key(uid: str) -> str:
+    """Key of an archived job's outcome."""
     return f"f/{uid}"
 
 
 def needs_piece_key(uid: str, digest: str, number: int) -> str:
+    """Key of one record with names of jobs that a job needs. `digest` is one of all names."""
     return f"r/w/{uid}/{digest}/{number}"
 
 
 def overflow_page_key(uid: str, shard: int, number: int) -> str:
+    """Key of a record with done tasks moved out of an assignment."""
     return f"r/s/{uid}/{shard}/{number}"
 
 
 def pending_reply_key(uid: str) -> str:
+    """Key of the reply that is owed to the queue which submitted the job."""
     return f"r/q/{uid}"
 
 
 def outcome_key(uid: str) -> str:
+    """Key of the outcome of a job that has left the replica and that another one needs."""
     return f"r/o/{uid}"
 
 
@@ -340,7 +348,7 @@
 
 
 class StateReplica:
-    """Applies changes in order; complete up to the revision in `ledger`."""
+    """Applies changes in order; complete up to the revision in `state_revision`."""
 
     def __init__(self, wall: Callable[[], float] = lambda: -math.inf) -> None:
         """`wall` returns the wall-clock time in seconds."""
@@ -360,15 +368,16 @@
         self.pending_replies: dict[str, tuple[Any, int]] = {}
         # Keys of records whose job is no longer in the replica, to be deleted.
         self.orphans: set[str] = set()
+        # Names of needed jobs from `r/w/` records: job -> digest -> number -> names.
         self._needs_records: dict[str, dict[str, dict[int, list[str]]]] = {}
         self.full_read_count = 0  # number of full reads; each one replaces all Job objects
         self.nodes: dict[str, str] = {}  # live controller -> its incarnation
         # Live controller -> shards whose workers cannot reach it.
         self.unreachable_shards: dict[str, frozenset[int]] = {}
-        self.shards: dict[int, RoleHolder] = {}
+        self.shards: dict[int, RoleHolder] = {}  # shard -> its owner
         self.leader: RoleHolder | None = None
-        self.types: dict[str, Any] = {}
-        self.on_job: list[Callable[[str], None]] = []
+        self.types: dict[str, Any] = {}  # machine type -> its record
+        self.on_job: list[Callable[[str], None]] = []  # called with each job that changed
         # Jobs known to be cancelled before this replica shows it.
         self.unsynced_cancellations: set[str] = set()
         # The epoch, the version at which it began, the present version of its record, the stage
@@ -381,20 +390,18 @@
         self.stale: dict[str, tuple[str, int]] = {}
         # Controllers that have restored what they knew: name -> (epoch, saw the loss itself).
         self.restored_nodes: dict[str, tuple[int, bool]] = {}
-        self.restored_outcomes: dict[
-            str, tuple[Outcome, int]
-        ] = {}  # restored: job -> (outcome, done tasks)
-        self.restored_outcome_keys: set[str] = (
-            set()
-        )  # NAME of each `r/k/NAME` record with restored outcomes
-        # Outcomes and done counts of jobs that left the replica, the latest last; at most
-        # `keep_finals` of them.
+        # Restored outcomes, job -> (outcome, number of done tasks), and the NAME of each of their
+        # `r/k/NAME` records.
+        self.restored_outcomes: dict[str, tuple[Outcome, int]] = {}
+        self.restored_outcome_keys: set[str] = set()
+        # Outcomes and numbers of done tasks of jobs that left the replica, the latest last; at most
+        # `max_final_outcomes` of them.
         self.final_outcomes: dict[str, tuple[Outcome, int]] = {}
         self.max_final_outcomes = 0
 
     def replace(self, items: Iterable[Event], state_revision: int) -> None:
-        """Replaces the contents by those of a full read at revision `ledger`."""
-        before = list(self.jobs)
+        """Replaces the contents by those of a full read at revision `state_revision`."""
+        previous_uids = list(self.jobs)
         self.jobs, self.live, self.nodes, self.shards, self.types = {}, {}, {}, {}, {}
         self.unreachable_shards = {}
         self.waiting, self.dependents, self.outcomes, self._needs_records = {}, {}, {}, {}
@@ -415,10 +422,10 @@
         self.state_revision = state_revision
         # A full read does not tell when needed jobs were done.
         self._update_dependents({*self.jobs, *self.outcomes, *self.restored_outcomes}, -math.inf)
-        self._notify_listeners(sorted({*before, *self.jobs}))
+        self._notify_listeners(sorted({*previous_uids, *self.jobs}))
 
     def apply(self, events: Iterable[Event], state_revision: int) -> None:
-        """Takes in changes, in order, up to revision `ledger`."""
+        """Takes in changes, in order, up to revision `state_revision`."""
         touched: set[str] = set()
         for event in events:
             if (uid := self._apply_event(event)) is not None:
@@ -451,15 +458,15 @@
             uid = pending.pop()
             if uid in self.unresolved_needs:
                 return True
-            if (need := self.jobs.get(uid)) is not None:
-                new = need.unmet_needs - seen
-                seen |= new
-                pending += new
+            if (needed_job := self.jobs.get(uid)) is not None:
+                newly_found = needed_job.unmet_needs - seen
+                seen |= newly_found
+                pending += newly_found
         return False
 
     def version_of(self, key: str) -> int | None:
-        """Version of a record of a job, a assignment, a role or the epoch, 0 if it does not exist;
-        None for other records, whose versions are not kept."""
+        """Version of the record of a job, an assignment, a role or the epoch, 0 if it does not
+        exist; None for other records, whose versions are not kept."""
         match key.split("/"):
             case ["r", "j", uid]:
                 return job.version if (job := self.jobs.get(uid)) is not None else 0
@@ -469,8 +476,8 @@
                 )
                 return assignment.version if assignment is not None else 0
             case ["r", "p", shard]:
-                owner = self.shards.get(int(shard))
-                return version_of_token(owner.token) if owner is not None else 0
+                holder = self.shards.get(int(shard))
+                return version_of_token(holder.token) if holder is not None else 0
             case ["r", "l"]:
                 return version_of_token(self.leader.token) if self.leader is not None else 0
             case ["r", "e"]:
@@ -485,15 +492,16 @@
                 yield assignment_key(uid, shard), assignment.version
 
     def _begin_epoch(self, value: Any, version: int) -> None:
+        """Takes in the epoch's record. Role records from before the epoch count no more."""
         if value is None:  # deleted: only seen by a replica that is about to be read anew
             return
         self.epoch, self.recovery_stage, self.epoch_version = value["e"], value["s"], version
         self.epoch_start = value.get("v", version)
         self.loss_kind, self.recovery_complete = value.get("k", ""), bool(value.get("c"))
-        for shard, owner in list(self.shards.items()):
+        for shard, holder in list(self.shards.items()):
             del self.shards[shard]
-            owner.token = version_of_token(owner.token)
-            self._apply_role(f"r/p/{shard}", owner)
+            holder.token = version_of_token(holder.token)
+            self._apply_role(f"r/p/{shard}", holder)
         if (leader := self.leader) is not None:
             self.leader = None
             leader.token = version_of_token(leader.token)
@@ -501,26 +509,27 @@
         if version == self.epoch_start:
             self.nodes, self.unreachable_shards, self.restored_nodes = {}, {}, {}
 
-    def _apply_role(self, key: str, owner: RoleHolder) -> None:
+    def _apply_role(self, key: str, holder: RoleHolder) -> None:
         """Takes in a role's record, whose token is still the bare version. A record from
         before the epoch grants nothing: its lease may be one of before the loss."""
-        if owner.token < self.epoch_start:
-            self.stale[key] = (owner.node, owner.token)
+        if holder.token < self.epoch_start:
+            self.stale[key] = (holder.node, holder.token)
             return
-        owner.token = fencing_token(self.epoch, owner.token)
+        holder.token = fencing_token(self.epoch, holder.token)
         if key == "r/l":
-            self.leader = owner
+            self.leader = holder
         else:
-            self.shards[int(key[4:])] = owner
+            self.shards[int(key[4:])] = holder
 
     def pieces(self) -> Iterable[tuple[str, str, int, list[str]]]:
         """The `r/w/` records with names of needed jobs: (job, digest, number, names)."""
         for uid, by_digest in self._needs_records.items():
-            for digest, found in by_digest.items():
-                for number, names in found.items():
+            for digest, names_by_number in by_digest.items():
+                for number, names in names_by_number.items():
                     yield uid, digest, number, names
 
     def _add_restored_outcomes(self, name: str, records: dict[str, Any]) -> None:
+        """Takes in an `r/k/NAME` record: status -> job -> number of done tasks."""
         self.restored_outcome_keys.add(name)
         for status, entries in records.items():
             for uid, done in entries.items():
@@ -557,8 +566,8 @@
         """When the last needed job was done, as recorded; `wall` if a record lacks the time."""
         ends: list[float] = []
         for name in job.needs or ():
-            need = self.jobs.get(name)
-            if need is None or (end := need.ended_at) is None:
+            needed_job = self.jobs.get(name)
+            if needed_job is None or (end := needed_job.ended_at) is None:
                 return wall
             ends.append(end)
         return max(ends, default=wall)
@@ -580,10 +589,10 @@
         """Registers the job as a dependent of those that it needs, once all names are known."""
         if job.pieces is not None and job.needs is None:
             digest, count = job.pieces
-            found = self._needs_records.get(job.spec.uid, {}).get(digest, {})
-            if len(found) < count:
+            names_by_number = self._needs_records.get(job.spec.uid, {}).get(digest, {})
+            if len(names_by_number) < count:
                 return
-            job.needs = tuple(name for n in range(count) for name in found[n])
+            job.needs = tuple(name for n in range(count) for name in names_by_number[n])
         for name in job.needs or ():
             self.dependents.setdefault(name, set()).add(job.spec.uid)
             outcome = self.outcome(name)
@@ -601,6 +610,7 @@
             job.ready_at = max(job.submitted_at, self._last_need_ended_at(job, -math.inf))
 
     def _remove_job(self, uid: str) -> None:
+        """Drops a job whose record was deleted; its other records become orphans."""
         job = self.jobs.pop(uid, None)
         if job is None:
             return
@@ -622,6 +632,7 @@
             self.orphans.update(needs_piece_key(uid, digest, n) for n in pieces)
 
     def _update_orphans(self, event: Event) -> None:
+        """Takes in a record whose job is not in the replica."""
         if event.value is None:
             self.orphans.discard(event.key)
         else:
@@ -633,6 +644,7 @@
                 listener(uid)
 
     def _apply_event(self, event: Event) -> str | None:
+        """Takes in one record; returns the job whose state it may change, if any."""
         path = event.key.split("/")
         value = event.value
         match path:
@@ -672,12 +684,12 @@
                     job.set_overflow_page(int(shard), int(number), tasks)
                 return uid
             case ["r", "w", uid, digest, number]:
-                found = self._needs_records.setdefault(uid, {}).setdefault(digest, {})
+                names_by_number = self._needs_records.setdefault(uid, {}).setdefault(digest, {})
                 if value is None:
                     self.orphans.discard(event.key)
                     del self._needs_records[uid]
                     return None
-                found[int(number)] = value["n"]
+                names_by_number[int(number)] = value["n"]
                 if (job := self.jobs.get(uid)) is not None and job.needs is None:
                     self._register_needs(job)
                 return uid
--- a/ryegauge/bookkeeping/unsynced_cancellations.py
+++ b/ryegauge/bookkeeping/unsynced_cancellations.py
@@ -1,7 +1,7 @@
 """Cancellations known before the replica shows them: committed here, or reported by a peer.
 
 A controller that the state service does not serve keeps the authority that its peers grant it
-(`coordination/terms.py`). Its replica is not updated meanwhile, and may lack cancellations that
+(`coordination/membership.py`). Its replica is not updated meanwhile, and may lack cancellations that
 other controllers have confirmed to users. Each peer therefore reports the cancellations that the
 requester's replica may lack, and they are kept here until the replica shows them.
 
@@ -33,13 +33,13 @@
         return added
 
     def discard_synced(self, began_at: float) -> None:
-        """Drops what the replica shows now: it holds all that was committed before `began_at`."""
+        """Drops what the replica shows now: it holds all that was committed before `last_read_sent_at`."""
         self._learnt_at = {uid: at for uid, at in self._learnt_at.items() if at >= began_at}
         self._replica.unsynced_cancellations = set(self._learnt_at)
 
     def newer_than(self, state_revision: int) -> list[str]:
         """All jobs that a user may have been told are cancelled and of which a shard may hold
-        tasks, as far as a replica at revision `ledger` may not show the cancellation. No shard
+        tasks, as far as a replica at revision `state_revision` may not show the cancellation. No shard
         holds tasks of jobs that left the replica, or that are cancelled with one they need."""
         return sorted(
             self._learnt_at
--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -2,7 +2,7 @@
 
 Every controller holds the replica in memory, so the oldest jobs that are over are replaced by
 outcome records outside it, which are read on demand and never deleted. Decisions only: the
-leader's loop (`leading`) commits them.
+leader's loop (`leader_loops`) commits them.
 """
 
 from ryegauge.bookkeeping.state import Delete, Put, Transaction
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -91,9 +91,9 @@
         wall: Callable[[], float],
         jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """`types` returns the machine types, none as long as they are not known; `wrote` and
-        `submitted` are called with the revision of a cancellation or of new jobs; `wall` returns
-        the wall-clock time in seconds; `luck`, a random number from 0 to 1, spreads retries."""
+        """`types` returns the machine types, none as long as they are not known; `announce_write` and
+        `on_submitted` are called with the revision of a cancellation or of new jobs; `wall` returns
+        the wall-clock time in seconds; `jitter`, a random number from 0 to 1, spreads retries."""
         self._settings = settings
         self._state = state
         self._replica = replica
@@ -163,7 +163,7 @@
         return await self.submit(spec)
 
     async def submit(self, spec: JobSpec, extra_puts: tuple[Put, ...] = ()) -> Reply:
-        """Records a job, or finds it known, and returns the reply for its user. `beside` is
+        """Records a job, or finds it known, and returns the reply for its user. `extra_puts` is
         written in the same transaction as a new job. Raises Unavailable, OutcomeUnknown or
         Gone if the state service cannot be used."""
         if (
--- a/ryegauge/coordination/membership.py
+++ b/ryegauge/coordination/membership.py
@@ -104,7 +104,7 @@
         return self.epoch_since + self._ttl_s
 
     def mark_restored(self, saw_loss: bool) -> None:
-        """Publishes that all we knew from before this epoch is restored. `saw`: whether this
+        """Publishes that all we knew from before this epoch is restored. `saw_loss`: whether this
         process saw the loss itself."""
         self.restored_mark = (self.epoch, saw_loss)
         self._enrolled = False
--- a/ryegauge/coordination/node_context.py
+++ b/ryegauge/coordination/node_context.py
@@ -59,7 +59,7 @@
         self.foreign_reports = ForeignReports(2 * shared.workers.lease_s)
         self.work_available = trio.Event()  # set and replaced when owners or the leader have work
         self.announced_revisions: dict[str, int] = {}  # peer -> revision that it should read
-        self.tell = trio.Event()  # set and replaced when `to_tell` changes
+        self.tell = trio.Event()  # set and replaced when `announced_revisions` changes
         # Whether no new decision may be made, since the state service may have lost data.
         self.data_loss_suspected: Callable[[], bool] = lambda: (
             self.replica.recovery_stage != RECOVERED
@@ -85,7 +85,7 @@
         return self.leader if self.controller_lease.valid(trio.current_time()) else None
 
     def announce_write(self, state_revision: int, peers: Collection[str] | None = None) -> None:
-        """After a commit at revision `ledger`: reads it soon and tells the peers in `whom` (None:
+        """After a commit at revision `state_revision`: reads it soon and tells the peers in `peers` (None:
         all) to read it too. The others see it with their next read."""
         self.syncer.request_read()
         for name in self._peers if peers is None else peers:
@@ -94,12 +94,12 @@
         self.tell = trio.Event()
 
     def announce_to_leader(self, state_revision: int) -> None:
-        """As `wrote`, for a commit that concerns the leader."""
+        """As `announce_write`, for a commit that concerns the leader."""
         leader = self.replica.leader
         self.announce_write(state_revision, None if leader is None else [leader.node])
 
     def announce_to_owners(self, state_revision: int, shards: Iterable[int]) -> None:
-        """As `wrote`, for a commit that concerns the owners of these shards."""
+        """As `announce_write`, for a commit that concerns the owners of these shards."""
         owners = [
             self.replica.shards[shard].node for shard in shards if shard in self.replica.shards
         ]
