--- a/ryegauge/bookkeeping/budget.py
+++ b/ryegauge/bookkeeping/budget.py
@@ -19,7 +19,7 @@
 
 
 class Budget:
-    """A token bucket with this controller's part of a limit."""
+    """A token bucket with this controller's share of a limit."""
 
     def __init__(self, rate: float, burst: float) -> None:
         """`rate` is in units per second; `burst`, the size of the bucket, is at least 1."""
@@ -30,7 +30,7 @@
         self._waiters: list[_Waiter] = []
 
     def resize(self, rate: float, burst: float) -> None:
-        """Sets another part of the limit, after a controller has come or gone."""
+        """Sets another share of the limit, after a controller has come or gone."""
         self._refill()
         self.rate, self.burst = rate, max(1.0, burst)
         self._level = min(self._level, self.burst)
--- a/ryegauge/bookkeeping/outcome_archive.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -13,7 +13,7 @@
 from ryegauge.bookkeeping.state import Conflict, OutcomeUnknown, StateClient, Unavailable
 from ryegauge.bookkeeping.state_replica import archive_key
 
-TIMEOUT_S = 1.0
+LOOKUP_TIMEOUT_S = 1.0
 
 
 class _Batch:
@@ -25,7 +25,7 @@
         # earlier: a job that one batch found while the next one asked for it again would then
         # count as never accepted.
         self.found: dict[str, dict[str, Any]] = {}
-        self.over = False
+        self.finished = False
         self.error: Unavailable | OutcomeUnknown | None = None
 
 
@@ -33,7 +33,7 @@
     """Batched and cached lookups of `f/UID` records."""
 
     def __init__(self, state: StateClient, max_conditions: int, max_cached: int) -> None:
-        """`max_conditions`: most guards of a transaction; `max_cached`: most outcomes in the cache."""
+        """`max_conditions`: most guards of a transaction; `max_cached`: most cached outcomes."""
         self._state = state
         self._max_conditions = max_conditions
         self._max_cached = max_cached
@@ -61,14 +61,14 @@
         batch = self._next_batch
         batch.uids.update(missing)
         async with self._lock:
-            if not batch.over:
+            if not batch.finished:
                 if self._next_batch is batch:
                     self._next_batch = _Batch()  # for lookups that begin from now on
                 try:
                     await self._look_up(batch)
                 except (Unavailable, OutcomeUnknown) as error:
                     batch.error = error
-                batch.over = True
+                batch.finished = True
         if batch.error is not None:
             raise batch.error
         found.update((uid, batch.found[uid]) for uid in missing if uid in batch.found)
@@ -77,23 +77,26 @@
         return found
 
     async def _look_up(self, batch: _Batch) -> None:
-        names = sorted(batch.uids)
+        """Finds the outcomes of a batch: first which of them exist, then each of those."""
+        sorted_uids = sorted(batch.uids)
         existing: list[str] = []
         unbatched: list[str] = []
-        for first in range(0, len(names), self._max_conditions):
+        for offset in range(0, len(sorted_uids), self._max_conditions):
             uid_by_key = {
-                archive_key(uid): uid for uid in names[first : first + self._max_conditions]
+                archive_key(uid): uid for uid in sorted_uids[offset : offset + self._max_conditions]
             }
             if len(uid_by_key) == 1:
                 unbatched += uid_by_key.values()
                 continue
             try:
-                await self._state.commit(dict.fromkeys(uid_by_key, 0), [], timeout_s=TIMEOUT_S)
+                await self._state.commit(
+                    dict.fromkeys(uid_by_key, 0), [], timeout_s=LOOKUP_TIMEOUT_S
+                )
             except Conflict as conflict:
                 existing += [uid_by_key[key] for key in conflict.failed if key in uid_by_key]
         for uid in existing + unbatched:
             if uid not in self._cached:
-                record = await self._state.get(archive_key(uid), timeout_s=TIMEOUT_S)
+                record = await self._state.get(archive_key(uid), timeout_s=LOOKUP_TIMEOUT_S)
                 if record is not None:
                     self._cached[uid] = record[0]
                 elif uid not in unbatched:
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -1,4 +1,4 @@
-"""Client of the state service that keeps to this controller's part of the rate limits."""
+"""Client of the state service that keeps to this controller's share of the rate limits."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple, Protocol
@@ -12,10 +12,10 @@
 
 # Pause after a 429. The service allows bursts of one second's worth of requests, so a small
 # part of a second is enough.
-RETRY_S = 0.05
+RATE_LIMIT_RETRY_S = 0.05
 
-# Sum of all controllers' parts of the write rate, relative to the limit.
-OVERCOMMIT = 1.6
+# Sum of all controllers' shares of the write rate, relative to the limit.
+WRITE_OVERCOMMIT = 1.6
 
 # Sends a request through a peer: (method, target, body, timeout in s) -> (status, answer), or
 # None if no peer could send it.
@@ -23,7 +23,7 @@
 
 
 class Unavailable(Exception):
-    """The request was certainly not executed: 429, 503 or no part of the rate limit left."""
+    """The request was certainly not executed: 429, 503 or no share of the rate limit left."""
 
 
 class RateLimited(Unavailable):
@@ -117,14 +117,14 @@
         self._relayer: Relayer | None = None
 
     def resize_budgets(self, live: int, leads: bool) -> None:
-        """Sets this controller's part of the limits that all live controllers have in common.
+        """Sets this controller's share of the limits that all live controllers have in common.
 
-        The leader writes for all of them, so most of the write rate is its own. The parts of the
-        write rate add up to OVERCOMMIT times the limit: controllers seldom need theirs at once,
-        exact parts would leave unused what another one lacks, and a 429 guarantees that nothing
+        The leader writes for all of them, so most of the write rate is its own. The shares of the
+        write rate add up to WRITE_OVERCOMMIT times the limit: controllers seldom need theirs at once,
+        exact shares would leave unused what another one lacks, and a 429 guarantees that nothing
         was executed."""
         total_shares = (3 * live - 1) / 2
-        write_share = min(1.0, OVERCOMMIT * ((live + 1) / 2 if leads else 1.0) / total_shares)
+        write_share = min(1.0, WRITE_OVERCOMMIT * ((live + 1) / 2 if leads else 1.0) / total_shares)
         self.requests.resize(self._rps / live, self._rps / live)
         self.writes.resize(self._write_rps * write_share, self._write_rps * max(write_share, 0.5))
 
@@ -151,12 +151,14 @@
         return status, answer
 
     def _mark_failing(self) -> None:
+        """Notes that the service has just not served us."""
         if self.failing_since is None:
             self.failing_since = trio.current_time()
 
     async def _request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float, urgent: bool
     ) -> tuple[int, Any]:
+        """Sends one request within the budget, through a peer after a longer outage."""
         await self.requests.take(reserve=RESERVE_URGENT if urgent else RESERVE_DEFAULT)
         not_served_since = self.failing_since
         if (
@@ -272,7 +274,7 @@
                 if trio.current_time() > deadline:
                     raise
                 # Requests that users wait for are retried at once; others queue again.
-                await trio.sleep(RETRY_S)
+                await trio.sleep(RATE_LIMIT_RETRY_S)
                 if reserve > RESERVE_INTERACTIVE:
                     await self.writes.take(1.0, RESERVE_URGENT)
         if status == 200:
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -48,13 +48,13 @@
         self,
         state: StateClient,
         replica: StateReplica,
-        idle_s: Callable[[], float],
+        max_interval_s: Callable[[], float],
         timeout_s: float,
     ) -> None:
-        """`idle_s` returns the longest pause between two reads if nobody asks for one."""
+        """`max_interval_s` returns the longest time between two reads if none is requested."""
         self._state = state
         self._replica = replica
-        self._idle_s = idle_s
+        self._max_interval_s = max_interval_s
         self._timeout_s = timeout_s
         self._read_requested = trio.Event()
         self._waiters: list[_ReadRequest] = []
@@ -102,20 +102,20 @@
     async def run(self) -> None:
         """Reads changes, and everything when that is needed, until cancelled."""
         while True:
-            served, self._waiters = self._waiters, []
+            answered_requests, self._waiters = self._waiters, []
             self._read_requested = trio.Event()
             sent_at = trio.current_time()
             try:
                 with trio.fail_after(self._timeout_s * (8 if self._full_read_needed else 1)):
-                    more = True
+                    changes_needed = True
                     if self._full_read_needed:
                         self._full_read_needed = False
                         try:
-                            more = await self._read_all()
+                            changes_needed = await self._read_all()
                         except BaseException:
                             self._full_read_needed = True
                             raise
-                    if more:
+                    if changes_needed:
                         await self._read_changes()
                 self.last_read_sent_at = sent_at
                 self.failures = 0
@@ -129,14 +129,14 @@
                 self.ready.set()
                 for listener in self.on_sync:
                     listener()
-            for read_request in served:
+            for read_request in answered_requests:
                 read_request.failed = self.last_read_sent_at != sent_at
                 read_request.done.set()
             pause_s = (
                 self._min_interval_s if not self.failures else min(0.5, 0.1 * 2**self.failures)
             )
             await trio.sleep_until(sent_at + pause_s)
-            with trio.move_on_at(sent_at + max(pause_s, self._idle_s())):
+            with trio.move_on_at(sent_at + max(pause_s, self._max_interval_s())):
                 await self._read_requested.wait()
 
     async def _read_changes(self) -> None:
@@ -161,28 +161,30 @@
         replica takes in anything, and no caller is answered in between."""
         items: list[Event] = []
         after: str | None = None
-        first: int | None = None
+        first_page_revision: int | None = None
         if self.observer is not None:
             self.observer.begin()
         while True:
-            page, more, state_revision = await self._state.page(
+            page, more_pages, state_revision = await self._state.page(
                 PREFIX, after, timeout_s=self._timeout_s
             )
-            first = state_revision if first is None else first
+            first_page_revision = (
+                state_revision if first_page_revision is None else first_page_revision
+            )
             items.extend(page)
-            if not more:
+            if not more_pages:
                 break
             after = page[-1].key
         events, state_revision = await self._state.changes(
-            PREFIX, first, timeout_s=self._timeout_s, urgent=False
+            PREFIX, first_page_revision, timeout_s=self._timeout_s, urgent=False
         )
-        more = self.observer is not None and self.observer.has_unread_commits
+        changes_needed = self.observer is not None and self.observer.has_unread_commits
         if self.observer is not None:
-            self.observer.on_full_read(items, first)
-        self._replica.replace(items, first)
+            self.observer.on_full_read(items, first_page_revision)
+        self._replica.replace(items, first_page_revision)
         if self.observer is not None:
             self.observer.begin()
             events = self.observer.read(events, state_revision)
         self._replica.apply(events, state_revision)
         log.info("full read: %d records, %d live jobs", len(items), len(self._replica.live))
-        return more
+        return changes_needed
--- a/ryegauge/bookkeeping/unsynced_cancellations.py
+++ b/ryegauge/bookkeeping/unsynced_cancellations.py
@@ -1,13 +1,14 @@
 """Cancellations known before the replica shows them: committed here, or reported by a peer.
 
 A controller that the state service does not serve keeps the authority that its peers grant it
-(`coordination/membership.py`). Its replica is not updated meanwhile, and may lack cancellations that
-other controllers have confirmed to users. Each peer therefore reports the cancellations that the
-requester's replica may lack, and they are kept here until the replica shows them.
+(`coordination/membership.py`). Its replica is not updated meanwhile, and may lack cancellations
+that other controllers have confirmed to users. Each peer therefore reports the cancellations that
+the requester's replica may lack, and they are kept here until the replica shows them.
 
 A peer reports more than its own recent writes: also what it confirmed to a user because its
-replica showed it, and what its predecessor confirmed. A reported cancellation holds for assignments
-and shards that are taken in later too, not only for the tasks known at that moment.
+replica showed it, and what its predecessor confirmed. A reported cancellation also applies to
+assignments that are read later and to shards that are taken over later, not only to the tasks
+known at that moment.
 """
 
 from collections.abc import Iterable
@@ -32,15 +33,17 @@
         self._replica.unsynced_cancellations.update(added)
         return added
 
-    def discard_synced(self, began_at: float) -> None:
-        """Drops what the replica shows now: it holds all that was committed before `last_read_sent_at`."""
-        self._learnt_at = {uid: at for uid, at in self._learnt_at.items() if at >= began_at}
+    def discard_synced(self, read_sent_at: float) -> None:
+        """Drops what the replica shows now, which holds all that was committed before
+        `read_sent_at`."""
+        self._learnt_at = {uid: at for uid, at in self._learnt_at.items() if at >= read_sent_at}
         self._replica.unsynced_cancellations = set(self._learnt_at)
 
     def newer_than(self, state_revision: int) -> list[str]:
         """All jobs that a user may have been told are cancelled and of which a shard may hold
-        tasks, as far as a replica at revision `state_revision` may not show the cancellation. No shard
-        holds tasks of jobs that left the replica, or that are cancelled with one they need."""
+        tasks, as far as a replica at revision `state_revision` may not show the cancellation. No
+        shard holds tasks of jobs that left the replica, or that are cancelled with one they
+        need."""
         return sorted(
             self._learnt_at
             | {
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -91,15 +91,16 @@
         wall: Callable[[], float],
         jitter: Callable[[], float] = lambda: 0.5,
     ) -> None:
-        """`types` returns the machine types, none as long as they are not known; `announce_write` and
-        `on_submitted` are called with the revision of a cancellation or of new jobs; `wall` returns
-        the wall-clock time in seconds; `jitter`, a random number from 0 to 1, spreads retries."""
+        """`types` returns the machine types, none as long as they are not known; `announce_write`
+        and `on_submitted` are called with the revision of a cancellation or of new jobs; `wall`
+        returns the wall-clock time in seconds; `jitter`, a random number from 0 to 1, spreads
+        retries."""
         self._settings = settings
         self._state = state
         self._replica = replica
         self._syncer = syncer
         self._types = types
-        self._wrote = announce_write
+        self._announce_write = announce_write
         self._on_submitted = on_submitted
         self._wall = wall
         self._jitter = jitter
@@ -474,7 +475,7 @@
             except Conflict:
                 continue
             self.on_cancelled(uid)
-            self._wrote(state_revision)
+            self._announce_write(state_revision)
             return Reply(200, {"uid": uid, "status": "cancelled"})
         return _unavailable("the job keeps changing")
 
--- a/ryegauge/coordination/node_context.py
+++ b/ryegauge/coordination/node_context.py
@@ -46,7 +46,9 @@
             shared.nodes,
         )
         self.replica = StateReplica(wall)
-        self.syncer = Syncer(self.state, self.replica, idle_s=self._read_pause_s, timeout_s=1.0)
+        self.syncer = Syncer(
+            self.state, self.replica, max_interval_s=self._max_read_interval_s, timeout_s=1.0
+        )
         self.controller_lease = ControllerLease(
             settings, self.state, self.replica, self.syncer, lambda: self.random_id(48)
         )
@@ -59,7 +61,9 @@
         self.foreign_reports = ForeignReports(2 * shared.workers.lease_s)
         self.work_available = trio.Event()  # set and replaced when owners or the leader have work
         self.announced_revisions: dict[str, int] = {}  # peer -> revision that it should read
-        self.tell = trio.Event()  # set and replaced when `announced_revisions` changes
+        self.revision_announced = (
+            trio.Event()
+        )  # set and replaced when `announced_revisions` changes
         # Whether no new decision may be made, since the state service may have lost data.
         self.data_loss_suspected: Callable[[], bool] = lambda: (
             self.replica.recovery_stage != RECOVERED
@@ -68,8 +72,8 @@
         self.surely_unassigned: Callable[[Job], bool] = lambda job: True
         self._peers = [peer.node_name for peer in settings.known]
 
-    def _read_pause_s(self) -> float:
-        """Longest pause between reads. Peers tell us when they write. Reading without being told
+    def _max_read_interval_s(self) -> float:
+        """Longest time between reads. Peers tell us when they write. Reading without being told
         covers peers that cannot, and keeps our authority, which ends one lease duration after
         the last read."""
         if self.replica.live or self.replica.waiting:
@@ -85,13 +89,13 @@
         return self.leader if self.controller_lease.valid(trio.current_time()) else None
 
     def announce_write(self, state_revision: int, peers: Collection[str] | None = None) -> None:
-        """After a commit at revision `state_revision`: reads it soon and tells the peers in `peers` (None:
-        all) to read it too. The others see it with their next read."""
+        """After a commit at revision `state_revision`: reads it soon and tells the peers in `peers`
+        (None: all) to read it too. The others see it with their next read."""
         self.syncer.request_read()
         for name in self._peers if peers is None else peers:
             self.announced_revisions[name] = state_revision
-        self.tell.set()
-        self.tell = trio.Event()
+        self.revision_announced.set()
+        self.revision_announced = trio.Event()
 
     def announce_to_leader(self, state_revision: int) -> None:
         """As `announce_write`, for a commit that concerns the leader."""
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -85,7 +85,7 @@
         announced = 0
         while True:
             while announced == self._context.announced_revisions.get(name, 0):
-                await self._context.tell.wait()
+                await self._context.revision_announced.wait()
             announced = self._context.announced_revisions[name]
             await self._send(name, to_wire(ChangeNotice(announced)))
 
