--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -120,9 +120,9 @@
         """Sets this controller's share of the limits that all live controllers have in common.
 
         The leader writes for all of them, so most of the write rate is its own. The shares of the
-        write rate add up to WRITE_OVERCOMMIT times the limit: controllers seldom need theirs at once,
-        exact shares would leave unused what another one lacks, and a 429 guarantees that nothing
-        was executed."""
+        write rate add up to WRITE_OVERCOMMIT times the limit: controllers seldom need theirs at
+        once, exact shares would leave unused what another one lacks, and a 429 guarantees that
+        nothing was executed."""
         total_shares = (3 * live - 1) / 2
         write_share = min(1.0, WRITE_OVERCOMMIT * ((live + 1) / 2 if leads else 1.0) / total_shares)
         self.requests.resize(self._rps / live, self._rps / live)
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -44,7 +44,8 @@
 
 log = logging.getLogger(__name__)
 
-Answer = Literal["accepted", "known", "unsure"]
+# What became of a submission: recorded, found to be known already, or unknown.
+SubmissionOutcome = Literal["accepted", "known", "unsure"]
 
 # By how much a job's record may grow when it is marked as cancelled.
 CANCELLATION_MARK_BYTES = 16
@@ -64,14 +65,16 @@
         self.extra_puts = extra_puts  # written in the same transaction
         self.size = value_bytes(record) + sum(200 + value_bytes(put.value) for put in extra_puts)
         self.done = trio.Event()
-        self.outcome: Answer = "unsure"
+        self.outcome: SubmissionOutcome = "unsure"
 
 
 def _final_view(uid: str, status: Outcome, done: int) -> dict[str, Any]:
+    """The state of a job that is over, as users are shown it."""
     return {"uid": uid, "status": status, "done": done, "running": 0}
 
 
 def _unavailable(reason: str, retry_after_s: float = 1.0) -> Reply:
+    """The reply to a request that cannot be served now."""
     return Reply(503, {"error": reason}, retry_after_s)
 
 
@@ -267,6 +270,7 @@
     async def _record_job(
         self, spec: JobSpec, extra_puts: tuple[Put, ...], outcomes: dict[str, Outcome]
     ) -> Reply:
+        """Queues a new job for the next transaction and waits for the result."""
         record, pieces = self._new_job_record(spec, self._wall(), outcomes)
         if pieces:
             await self._write_needs(spec.uid, record["w"][0], pieces)
@@ -306,8 +310,8 @@
             # jobs no outcome could be written.
             writes = self._state.writes
             min_group = min(len(self._queue), 1 + int(RESERVE_DEFAULT * writes.burst))
-            if (missing := min_group - writes.available(RESERVE_INTERACTIVE)) > 0:
-                await trio.sleep(missing / writes.rate)
+            if (shortfall := min_group - writes.available(RESERVE_INTERACTIVE)) > 0:
+                await trio.sleep(shortfall / writes.rate)
             group_limit = max(1, int(writes.available(RESERVE_INTERACTIVE)))
             batch, self._queue = self._split_queue(min(limit, group_limit))
             try:
@@ -331,9 +335,8 @@
     async def _commit_batch(self, batch: list[_Submission]) -> None:
         """Commits the batch, without those whose job turns out to be known."""
         while batch:
-            first_by_uid = {
-                submission.uid: submission for submission in reversed(batch)
-            }  # one per uid, the earliest
+            # One submission for each job, the earliest.
+            first_by_uid = {submission.uid: submission for submission in reversed(batch)}
             guards: dict[str, int] = {}
             changes: list[Put | Delete] = []
             for uid, submission in first_by_uid.items():
@@ -365,7 +368,7 @@
             self._on_submitted(state_revision)
             return
 
-    # -- questions ------------------------------------------------------------------------
+    # -- requests about jobs ---------------------------------------------------------------
 
     async def _current_view(self, uid: str) -> dict[str, Any] | None:
         """The job's state by a read that begins now, or None if it was never accepted. Every
@@ -403,8 +406,8 @@
                 # Confirmed to a user here or by a peer, but not in the replica yet.
                 return _final_view(uid, "cancelled", job.done_count)
             return job.view() if job.is_terminal else None
-        if (restored_outcomes := replica.restored_outcomes.get(uid)) is not None:
-            return _final_view(uid, *restored_outcomes)
+        if (restored := replica.restored_outcomes.get(uid)) is not None:
+            return _final_view(uid, *restored)
         record = self._final_outcomes.known(uid)
         return None if record is None else _final_view(uid, record["st"], record["d"])
 
--- a/ryegauge/coordination/membership.py
+++ b/ryegauge/coordination/membership.py
@@ -48,7 +48,7 @@
         self._settings = settings
         self._name = settings.node_name
         self._node_names = settings.node_names
-        self._shards = settings.settings.nodes
+        self._shard_count = settings.settings.nodes
         self._ttl_s = settings.controller_lease_s
         self._state = state
         self._replica = replica
@@ -59,7 +59,7 @@
         self._lease_granted_at = float("inf")
         self._renewal_sent_at = float("-inf")
         # (shard, token) of roles given back, whatever the outcome of the request: never used
-        # again. Parts claimed in one transaction have the same token, hence the shard.
+        # again. Shards claimed in one transaction have the same token, hence the shard.
         self._released: set[tuple[int, int]] = set()
         # Whether our `r/n/` record is up to date, and the revision at which it was written.
         self._enrolled = False
@@ -68,12 +68,10 @@
         self._claimed_at = float("-inf")
         # When the last successful round of lease extensions was requested.
         self._extended_from = float("-inf")
-        self._extension_voters: dict[
-            str, str
-        ] = {}  # peer that granted an extension -> its incarnation
-        self._hellos: dict[
-            str, tuple[str, float]
-        ] = {}  # peer -> latest incarnation in a hello, and when
+        # Peer that granted an extension -> its incarnation.
+        self._extension_voters: dict[str, str] = {}
+        # Peer -> latest incarnation in a hello, and when it arrived.
+        self._hellos: dict[str, tuple[str, float]] = {}
         self._known_incarnations: dict[str, set[str]] = {}  # peer -> all incarnations in its hellos
         self._granted_until: dict[str, float] = {}  # peer -> when our extension for it ends
         # By then the extensions granted by a predecessor of this process have ended.
@@ -115,8 +113,10 @@
         # controllers may have claimed them.
         if self._lease is None or self._syncer.last_read_sent_at < self._lease_granted_at:
             return False
-        since = max(min(self._renewal_sent_at, self._syncer.last_read_sent_at), self._extended_from)
-        return now < since + self._ttl_s * (1 - 4 * CLOCK_DRIFT) - 0.01
+        authority_from = max(
+            min(self._renewal_sent_at, self._syncer.last_read_sent_at), self._extended_from
+        )
+        return now < authority_from + self._ttl_s * (1 - 4 * CLOCK_DRIFT) - 0.01
 
     # -- outages --------------------------------------------------------------------
     #
@@ -128,8 +128,10 @@
 
     def needs_lease_extensions(self, now: float) -> bool:
         """Whether authority is valid, but was not extended for a third of a lease duration."""
-        since = max(min(self._renewal_sent_at, self._syncer.last_read_sent_at), self._extended_from)
-        return self.valid(now) and now > since + self._ttl_s / 3
+        authority_from = max(
+            min(self._renewal_sent_at, self._syncer.last_read_sent_at), self._extended_from
+        )
+        return self.valid(now) and now > authority_from + self._ttl_s / 3
 
     def on_extensions_granted(
         self, requested_at: float, voters: dict[str, str], now: float
@@ -140,13 +142,13 @@
         # before that has answered as the process that runs now, under whatever incarnation:
         # a controller that lost its lease has a new incarnation without a new hello, and a
         # late hello of its predecessor must not invalidate its grants either.
-        remembered = all(
+        all_remembered = all(
             hello is None or hello[1] <= requested_at or hello[0] == i
             for n, i in voters.items()
             for hello in [self._hellos.get(n)]
         )
-        all_peers = set(voters) == {n for n in self._node_names if n != self._name}
-        if self.valid(now) and all_peers and remembered:
+        from_all_peers = set(voters) == {n for n in self._node_names if n != self._name}
+        if self.valid(now) and from_all_peers and all_remembered:
             self._extended_from = requested_at
             self._extension_voters = voters
 
@@ -225,6 +227,7 @@
             self._enrolled = False
 
     def _preferred_owner(self, shard: int, live: set[str]) -> str | None:
+        """The live controller that should own the shard, by what is known of its workers."""
         unreachable = {
             name for name, shards in self._replica.unreachable_shards.items() if shard in shards
         }
@@ -257,12 +260,12 @@
     async def run(self) -> None:
         """Renews the lease and claims roles, until cancelled."""
         await self._syncer.ready.wait()
-        pause = self._ttl_s / 12
+        interval_s = self._ttl_s / 12
         while True:
-            began = trio.current_time()
+            round_began_at = trio.current_time()
             try:
-                if self._lease is None or began > self._renewal_sent_at + self._ttl_s / 6:
-                    await self._renew(began)
+                if self._lease is None or round_began_at > self._renewal_sent_at + self._ttl_s / 6:
+                    await self._renew(round_began_at)
                 if not self._still_enrolled() or self._roles_to_claim():
                     await self._claim()
             except Gone:
@@ -277,7 +280,7 @@
                 self._syncer.request_read()
             except (Unavailable, OutcomeUnknown) as error:
                 log.debug("renewing or claiming failed: %s", error)
-            await trio.sleep(pause)
+            await trio.sleep(interval_s)
 
     def _still_enrolled(self) -> bool:
         """Whether the replica shows our `r/n/` record as we wrote it. A predecessor's write that
@@ -293,6 +296,7 @@
         return self._enrolled
 
     async def _renew(self, now: float) -> None:
+        """Renews the lease, or obtains one."""
         timeout_s = self._ttl_s / 6
         if self._lease is None:
             lease = await self._state.grant_lease(self._ttl_s, timeout_s=timeout_s)
@@ -309,31 +313,30 @@
         now = trio.current_time()
         live = {*self._replica.nodes, self._name}
         if self.epoch and now < self.old_authority_ends_at:
-            # The other controllers are about to enrol, so each counts as live for one lease
-            # duration.
+            # The other controllers are about to enrol, so all count as live for one lease duration.
             live = set(self._node_names)
         claims: dict[str, int] = {}
         may_claim = self._may_claim(now)
-        for shard in range(self._shards):
+        for shard in range(self._shard_count):
             owner = self._replica.shards.get(shard)
-            stale, version = self._replica.stale.get(shard_key(shard), ("", 0))
+            old_holder, version = self._replica.stale.get(shard_key(shard), ("", 0))
             if owner is None:
-                if stale == self._name or (
+                if old_holder == self._name or (
                     may_claim
                     and self._preferred_owner(shard, live) == self._name
-                    and (not stale or now >= self.old_authority_ends_at)
+                    and (not old_holder or now >= self.old_authority_ends_at)
                 ):
                     claims[shard_key(shard)] = version
             elif owner.node == self._name and self.shard_token(shard) is None:
                 # Held by our predecessor, which has ended since this process runs in its place.
                 claims[shard_key(shard)] = owner.token
         leader = self._replica.leader
-        stale, version = self._replica.stale.get(LEADER_KEY, ("", 0))
+        old_holder, version = self._replica.stale.get(LEADER_KEY, ("", 0))
         if leader is None:
-            if stale == self._name or (
+            if old_holder == self._name or (
                 may_claim
                 and preferred_leader(self._node_names, live) == self._name
-                and (not stale or now >= self.old_authority_ends_at)
+                and (not old_holder or now >= self.old_authority_ends_at)
             ):
                 claims[LEADER_KEY] = version
         elif leader.node == self._name and self.leader_token is None:
@@ -341,6 +344,7 @@
         return claims
 
     async def _claim(self) -> None:
+        """Writes our `r/n/` record, if it is not up to date, and claims roles."""
         assert self._lease is not None
         claims = self._roles_to_claim()
         record = {"o": self._name, "i": self.incarnation}
@@ -349,8 +353,8 @@
             changes.append(Put(f"r/n/{self._name}", self._node_record(), self._lease))
         # Each role has its own guard, so they can be claimed in several transactions.
         limit = self._settings.state_limits.txn_ops
-        for first in range(0, len(changes), limit):
-            chunk = changes[first : first + limit]
+        for offset in range(0, len(changes), limit):
+            chunk = changes[offset : offset + limit]
             guards = {c.key: claims[c.key] for c in chunk if c.key in claims}
             if guards:
                 self._claimed_at = trio.current_time()
@@ -363,6 +367,7 @@
         await self._syncer.wait_for_read()
 
     def _node_record(self) -> dict[str, object]:
+        """The value of our `r/n/` record."""
         record: dict[str, object] = {"i": self.incarnation}
         if self._unreachable_shards:
             record["d"] = sorted(self._unreachable_shards)
@@ -385,13 +390,13 @@
 
     def surplus_shards(self) -> list[tuple[int, int]]:
         """(shard, token) of shards held here that another live controller should have."""
-        result: list[tuple[int, int]] = []
-        for shard in range(self._shards):
+        surplus: list[tuple[int, int]] = []
+        for shard in range(self._shard_count):
             token = self.shard_token(shard)
             preferred = self._preferred_owner(shard, set(self._replica.nodes))
             if token is not None and preferred is not None and preferred != self._name:
-                result.append((shard, token))
-        return result
+                surplus.append((shard, token))
+        return surplus
 
     async def release_shard(self, shard: int, token: int) -> None:
         """Gives a shard up. The caller must have stopped issuing commands for it; the token is
