--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -16,7 +16,7 @@
 )
 
 
-def archive_job(job: Job, shards: int) -> Transaction:
+def archive_job(job: Job, shard_count: int) -> Transaction:
     """The transaction that replaces a job's record by its outcome, guarded by the job and all
     its assignments: it takes effect only if the job is still over and no shard holds a task of it.
 
@@ -25,7 +25,7 @@
     uid = job.spec.uid
     view = job.view()
     guards = {job_key(uid): job.version}
-    for shard in range(shards):
+    for shard in range(shard_count):
         assignment = job.assignments.get(shard)
         guards[assignment_key(uid, shard)] = 0 if assignment is None else assignment.version
     return Transaction(
@@ -40,17 +40,19 @@
     excess = len(replica.jobs) - limit
     if excess <= 0:
         return []
-    over = [
+    terminal_jobs = [
         job
         for uid, job in replica.jobs.items()
         if job.is_terminal and not job.assigned_count and uid not in replica.dependents
     ]
-    over.sort(key=lambda job: job.submitted_at)
-    return over[:excess]
+    terminal_jobs.sort(key=lambda job: job.submitted_at)
+    return terminal_jobs[:excess]
 
 
 def records_to_delete(replica: StateReplica, count: int) -> list[Put | Delete]:
     """Deletes of up to `count` records: those whose job has left the replica, and outcomes that
     no job in the replica needs any more."""
-    unneeded = [outcome_key(uid) for uid in replica.outcomes if uid not in replica.dependents]
-    return [Delete(key) for key in sorted(replica.orphans | set(unneeded))[:count]]
+    unneeded_outcomes = [
+        outcome_key(uid) for uid in replica.outcomes if uid not in replica.dependents
+    ]
+    return [Delete(key) for key in sorted(replica.orphans | set(unneeded_outcomes))[:count]]
--- a/ryegauge/coordination/node_context.py
+++ b/ryegauge/coordination/node_context.py
@@ -30,20 +30,20 @@
     ) -> None:
         """`wall` returns the wall-clock time in seconds."""
         self.settings = settings
-        self.network = network
+        self.network = network  # from which clients are made
         self.wall = wall
         self._rng = rng
-        shared = settings.settings
-        self.report_s = shared.workers.report_s
+        shared_settings = settings.settings
+        self.report_s = shared_settings.workers.report_s
         # Unused connections are closed after this many seconds.
-        self.idle_s = 4 * shared.workers.lease_s
+        self.idle_s = 4 * shared_settings.workers.lease_s
         self.state = StateClient(
             network.client(
                 settings.outside.state, max_connections=MAX_STATE_CONNECTIONS, idle_s=self.idle_s
             ),
             settings.state_limits.rps,
             settings.state_limits.write_rps,
-            shared.nodes,
+            shared_settings.nodes,
         )
         self.replica = StateReplica(wall)
         self.syncer = Syncer(
@@ -52,18 +52,17 @@
         self.controller_lease = ControllerLease(
             settings, self.state, self.replica, self.syncer, lambda: self.random_id(48)
         )
-        self.owned: dict[int, ShardOwner] = {}
-        self.leader: Leader | None = None
+        self.owned: dict[int, ShardOwner] = {}  # shards owned here
+        self.leader: Leader | None = None  # while this controller leads
         # The leader object from before the present epoch. What it learnt of the fleet and of
         # run times stays true; without it the new one would rent no machine until the cloud's
         # next listing.
         self.previous_leader: Leader | None = None
-        self.foreign_reports = ForeignReports(2 * shared.workers.lease_s)
+        self.foreign_reports = ForeignReports(2 * shared_settings.workers.lease_s)
         self.work_available = trio.Event()  # set and replaced when owners or the leader have work
         self.announced_revisions: dict[str, int] = {}  # peer -> revision that it should read
-        self.revision_announced = (
-            trio.Event()
-        )  # set and replaced when `announced_revisions` changes
+        # Set and replaced when `announced_revisions` changes.
+        self.revision_announced = trio.Event()
         # Whether no new decision may be made, since the state service may have lost data.
         self.data_loss_suspected: Callable[[], bool] = lambda: (
             self.replica.recovery_stage != RECOVERED
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -69,6 +69,7 @@
         self.on_probe: Callable[[Sequence[str]], Awaitable[list[str]]] | None = None
         # Checks whether all that we know is still in the state service; None: it cannot tell.
         self.on_audit: Callable[[], Awaitable[bool | None]] | None = None
+        # Whether this process can tell that records are missing, having known them for a while.
         self.can_vouch: Callable[[], bool] = lambda: False
         # Peer -> its answer to our hello.
         self.hello_answers: dict[str, HelloAnswer] = {}
@@ -117,9 +118,10 @@
 
     async def ask(self, name: str, message: Message, timeout_s: float = 0.0) -> object:
         """The peer's answer as a message, or None. A timeout of 0 means half a report."""
-        return self._parsed(await self._send(name, to_wire(message), timeout_s))
+        return self._parse_answer(await self._send(name, to_wire(message), timeout_s))
 
-    def _parsed(self, answer: object) -> object:
+    def _parse_answer(self, answer: object) -> object:
+        """The answer as a message, None if it is none."""
         if answer is None:
             return None
         try:
@@ -171,6 +173,7 @@
             )
 
     def _extension_request(self) -> LeaseExtensionRequest:
+        """A request with our revision and the cancellations that the replica does not show yet."""
         cancelled, _ = self._cancellations_after(self._context.replica.state_revision)
         return LeaseExtensionRequest(
             self._context.settings.node_name,
@@ -241,7 +244,7 @@
         message = to_wire(RelayRequest(method, target, body))
         for name in self.reachability.answering_first(self.peers, trio.current_time()):
             try:
-                answer = self._parsed(await self._call(name, message, timeout_s))
+                answer = self._parse_answer(await self._call(name, message, timeout_s))
             except (ResponseTimeout, ConnectionReset) as error:
                 if changes:
                     raise OutcomeUnknown(f"{name} may have carried it: {error}") from None
