--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -96,24 +96,24 @@
 
     async def submit(self, spec: JobSpec, extra_puts: tuple[Put, ...] = ()) -> Reply:
         if self._fault == "from the replica" and (job := self._replica.jobs.get(spec.uid)):
-            await self._fresh()
+            await self._wait_for_read()
             return Reply(200, self._replica.jobs.get(spec.uid, job).view())
         return await super().submit(spec, extra_puts)
 
-    async def _fresh(self) -> None:
+    async def _wait_for_read(self) -> None:
         if self._fault != "no read":
-            await super()._fresh()
+            await super()._wait_for_read()
 
-    async def _known(self, uid: str) -> dict[str, Any] | None:
+    async def _current_view(self, uid: str) -> dict[str, Any] | None:
         if self._fault != "looks up first":
-            return await super()._known(uid)
+            return await super()._current_view(uid)
         record = await self._final_outcomes.find(uid)
-        await self._fresh()
+        await self._wait_for_read()
         return self._by_replica(uid) or (record and {"uid": uid, "status": record["st"]})
 
-    def _unfinished(self, job: Any) -> dict[str, int]:
+    def _unfinished_guards(self, job: Any) -> dict[str, int]:
         own = {job_key(job.spec.uid): job.version}
-        return own if self._fault == "cancels what is done" else super()._unfinished(job)
+        return own if self._fault == "cancels what is done" else super()._unfinished_guards(job)
 
 
 class Thread:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -38,13 +38,13 @@
     def __init__(self, settings: Settings) -> None:
         rng = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, rng).at("x"), lambda: 0.0, rng)
-        self.front, self.replica = node._job_api, node._context.replica
+        self.job_api, self.replica = node._job_api, node._context.replica
         self.on_read: Callable[[], None] = lambda: None
         self.outcomes: dict[str, Any] = {}
-        node._context.syncer.wait_for_read = self._fresh  # type: ignore[method-assign]
+        node._context.syncer.wait_for_read = self._on_wait_for_read  # type: ignore[method-assign]
         node._job_api._final_outcomes.find_all = self._find_all  # type: ignore[method-assign]
 
-    async def _fresh(self) -> None:
+    async def _on_wait_for_read(self) -> None:
         self.on_read()
 
     async def _find_all(self, uids: Any) -> dict[str, Any]:
@@ -56,7 +56,7 @@
         bodies = [job_body(uid), job_body(uid, cpus=1e6), {"uid": uid}]
         try:
             reply: Reply = await (
-                self.front._submit(encode(bodies[n - 1])) if n else self.front._poll(uid)
+                self.job_api._submit(encode(bodies[n - 1])) if n else self.job_api._poll(uid)
             )
         except Unavailable:
             return 503
@@ -144,7 +144,7 @@
             6,
         )
         harness.replica.unsynced_cancellations.add("wk-2")
-        harness.front._final_outcomes._known["wk-5"] = {"st": "done", "d": 4}
+        harness.job_api._final_outcomes._cached["wk-5"] = {"st": "done", "d": 4}
         for uid, all_answers in {
             "wk-1": "done",
             "wk-2": "cancelled",
@@ -163,16 +163,18 @@
 
     async def scenario() -> None:
         harness = JobApiHarness(settings)
-        harness.front._types = lambda: {"small": None}  # type: ignore[dict-item, return-value]
+        harness.job_api._types = lambda: {"small": None}  # type: ignore[dict-item, return-value]
 
         async def commit(*_: Any, **__: Any) -> int:
             harness.replica.apply([job_event(1, version=3), job_event(1, version=4, over=True)], 4)
             return 3
 
-        harness.front._state.commit = commit  # type: ignore[method-assign]
+        harness.job_api._state.commit = commit  # type: ignore[method-assign]
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(harness.front.write_submissions)
-            reply = await harness.front.submit(parse_job(job_body("wk-1", cpus=0.0, memoryGb=0.0)))
+            nursery.start_soon(harness.job_api.write_submissions)
+            reply = await harness.job_api.submit(
+                parse_job(job_body("wk-1", cpus=0.0, memoryGb=0.0))
+            )
             nursery.cancel_scope.cancel()
         assert (reply.status, reply.body["status"]) == (201, "cancelled")
 
@@ -188,15 +190,15 @@
     async def scenario() -> None:
         harness = JobApiHarness(settings)
         on_record_missing: list[str] = []
-        harness.front.on_record_missing = on_record_missing.append
-        harness.front.not_found_after = trio.current_time() + 9.0
+        harness.job_api.on_record_missing = on_record_missing.append
+        harness.job_api.not_found_after = trio.current_time() + 9.0
         with pytest.raises(Unavailable):
-            await harness.front._unknown(("wk-7",), {})
-        harness.front.not_found_after = 0.0
-        assert await harness.front._unknown(("wk-7",), {}) == "wk-7"
+            await harness.job_api._first_unknown_need(("wk-7",), {})
+        harness.job_api.not_found_after = 0.0
+        assert await harness.job_api._first_unknown_need(("wk-7",), {}) == "wk-7"
         harness.replica.final_outcomes["wk-7"] = ("done", 4)
         with pytest.raises(Unavailable):
-            await harness.front._unknown(("wk-7",), {})
+            await harness.job_api._first_unknown_need(("wk-7",), {})
         assert on_record_missing == [archive_key("wk-7")]
 
     trio.run(scenario)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -152,9 +152,9 @@
     for shard in (owner, later):
         assert [task.withdrawn for task in shard.tasks.values()] == [True] * 4
     # A read that began before the report need not show the cancellation; a later one does.
-    unsynced.read(11.5)
+    unsynced.discard_synced(11.5)
     assert replica.is_cancelled("wk-1")
-    unsynced.read(12.5)
+    unsynced.discard_synced(12.5)
     assert not replica.is_cancelled("wk-1")
 
 
@@ -181,8 +181,8 @@
 
     async def scenario() -> None:
         context = NodeContext(settings, SimulatedNetwork(None, rng).at("x"), lambda: 0.0, rng)
-        front = type("Front", (), {})()
-        messenger = peer_messaging.PeerMessenger(context, front)
+        api = type("JobApi", (), {})()
+        messenger = peer_messaging.PeerMessenger(context, api)
         context.replica.apply([job_event(f"wk-{n}", n, True) for n in range(1, 9)], 8)
         context.replica.nodes["node-1"] = "i"
         context.state.failing_since = 0.0
@@ -225,7 +225,7 @@
 
     async def scenario(answers: dict[str, Answer]) -> None:
         context = NodeContext(settings, SimulatedNetwork(None, rng).at("x"), lambda: 0.0, rng)
-        messenger = peer_messaging.PeerMessenger(context, type("Front", (), {})())
+        messenger = peer_messaging.PeerMessenger(context, type("JobApi", (), {})())
         context.replica.apply([job_event("wk-1", 3, False), job_event("wk-2", 4, False)], 4)
         context.replica.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 5)], 5)
         owner = context.owned[0] = ShardOwner(0, 2, context.replica, settings, dict, 0.0)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -134,7 +134,7 @@
     async def scenario() -> None:
         rng = random.Random(1)
         node = Node(settings, SimulatedNetwork(None, rng).at("x"), lambda: 0.0, rng)
-        replica, front = node._context.replica, node._job_api
+        replica, job_api = node._context.replica, node._job_api
 
         async def wait_for_read() -> None:
             return
@@ -148,11 +148,11 @@
         replica.replace([job(2, "wk-1", version=3), job(3, "wk-2", version=4)], 4)
         for uid in ("wk-2", "wk-3"):
             with pytest.raises(Unavailable):
-                await front._known(uid)
+                await job_api._current_view(uid)
         # The leader has looked up the outcome.
         replica.apply([Event("r/o/wk-1", {"st": "cancelled"}, 5)], 5)
         for uid in ("wk-2", "wk-3"):
-            assert (await front._known(uid) or {})["status"] == "cancelled"
+            assert (await job_api._current_view(uid) or {})["status"] == "cancelled"
 
     trio.run(scenario)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -49,17 +49,17 @@
         for name, incarnation in (("node-1", "a"), ("node-1", "b"), ("node-1", "a")):
             controller_lease.on_hello(name, incarnation)
         controller_lease.on_extensions_granted(5.0, peers, 6.0)
-        assert controller_lease._promised_from == 5.0
+        assert controller_lease._extended_from == 5.0
         controller_lease.on_hello("node-1", "d")  # restarted: remembers no grant
-        assert controller_lease._promised_from < 0
+        assert controller_lease._extended_from < 0
         # An extension requested before the hello may be the predecessor's. One requested
         # later is the present process's, under whatever incarnation its lease has.
-        greeted_at = trio.current_time()
-        controller_lease.on_extensions_granted(greeted_at - 1.0, peers, greeted_at + 1.0)
-        assert controller_lease._promised_from < 0
+        hello_at = trio.current_time()
+        controller_lease.on_extensions_granted(hello_at - 1.0, peers, hello_at + 1.0)
+        assert controller_lease._extended_from < 0
         controller_lease.on_extensions_granted(
-            greeted_at + 1.0, {"node-1": "e", "node-2": "c"}, greeted_at + 2.0
+            hello_at + 1.0, {"node-1": "e", "node-2": "c"}, hello_at + 2.0
         )
-        assert controller_lease._promised_from == greeted_at + 1.0
+        assert controller_lease._extended_from == hello_at + 1.0
 
     trio.run(scenario)
