--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 import trio.testing
 from conftest import job_body
 from days import Day, play
-from test_late_writes import KINDS, tiny
+from test_late_writes import KINDS, with_small_replica
 from test_world import MIX, PIPES, some_controllers
 
 from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
@@ -107,16 +107,16 @@
         harness = JobApiHarness(settings)
         harness.outcomes["wk-1"] = {"st": "done", "d": 4}
 
-        def archived() -> None:
+        def archive() -> None:
             if changes:
                 harness.replica.apply([Event(job_key("wk-1"), None, 7)], 7)
             else:
                 harness.replica.replace([], 7)
 
-        def ended() -> None:
+        def end() -> None:
             harness.replica.replace([job_event(1, version=3), done_event(1, 5)], 5)
 
-        for read in (archived, ended):
+        for read in (archive, end):
             for n in range(4):
                 harness.replica.replace([job_event(1, version=3)], 3)
                 harness.on_read = read
@@ -309,7 +309,7 @@
 def small_replicas(tmp_path: Path) -> list[Settings]:
     """Settings of three controllers whose replicas hold two jobs: others are archived before a
     second request."""
-    return [tiny(each) for each in some_controllers(tmp_path, 3)]
+    return [with_small_replica(each) for each in some_controllers(tmp_path, 3)]
 
 
 def test_simultaneous_requests_at_all_controllers(tmp_path: Path) -> None:
@@ -335,14 +335,14 @@
     async def script(world: Day) -> None:
         handle = world.state._multi
 
-        def multi(raw: Any) -> Reply:
+        def count_and_handle(raw: Any) -> Reply:
             for kind in ("submission", "cancellation", "outcome", "archive", "allotment"):
                 counts_by_kind[kind] = counts_by_kind.get(kind, 0) + bool(
                     raw["apply"] and KINDS[kind](raw)
                 )
             return handle(raw)
 
-        world.state._multi = multi  # type: ignore[method-assign]
+        world.state._multi = count_and_handle  # type: ignore[method-assign]
         with world.close_looks(), world.odd_requests(), world.late_writes(0.5, at_once=True):
             await crash_leader_then_all(world)
             await trio.sleep(10.0)
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -27,25 +27,29 @@
 
 
 def writes_key(body: Body, pattern: str) -> bool:
+    """Whether a transaction writes a key that matches."""
     return any(re.fullmatch(pattern, change.get("write", "")) for change in body["apply"])
 
 
 def deletes_key(body: Body, pattern: str) -> bool:
+    """Whether a transaction deletes a key that matches."""
     return any(re.fullmatch(pattern, change.get("delete", "")) for change in body["apply"])
 
 
-def guards(body: Body) -> set[str]:
+def guarded_keys(body: Body) -> set[str]:
+    """Keys of a transaction's guards."""
     return {condition["path"] for condition in body["if"]}
 
 
-SHARE = r"r/j/[^/]+/\d+"
+ASSIGNMENT_KEY = r"r/j/[^/]+/\d+"
+# Kinds of transactions. A kind's name is part of the seed of its test.
 KINDS: dict[str, Callable[[Body], bool]] = {
     "claim": lambda body: writes_key(body, r"r/p/\d+"),
     "enrolment": lambda body: writes_key(body, r"r/n/.+") and not writes_key(body, r"r/[pl].*"),
     "give-back": lambda body: deletes_key(body, r"r/p/\d+"),
     "leader": lambda body: writes_key(body, "r/l"),
-    "allotment": lambda body: writes_key(body, SHARE) and "r/l" in guards(body),
-    "outcome": lambda body: writes_key(body, SHARE) and "r/l" not in guards(body),
+    "allotment": lambda body: writes_key(body, ASSIGNMENT_KEY) and "r/l" in guarded_keys(body),
+    "outcome": lambda body: writes_key(body, ASSIGNMENT_KEY) and "r/l" not in guarded_keys(body),
     "cancellation": lambda body: any(
         re.fullmatch(r"r/j/[^/]+", c.get("write", "")) and c["data"].get("x") for c in body["apply"]
     ),
@@ -55,7 +59,7 @@
 }
 
 
-def tiny(settings: Settings) -> Settings:
+def with_small_replica(settings: Settings) -> Settings:
     """The settings with a replica limit of two jobs."""
     quota = msgspec.structs.replace(settings.settings.quota, memory_mb=0.2)
     shared = msgspec.structs.replace(settings.settings, quota=quota)
@@ -84,7 +88,7 @@
 
     settings = rebuilding(tmp_path, 3)
     if kind in ("archive", "clearing"):
-        settings = [tiny(each) for each in settings]
+        settings = [with_small_replica(each) for each in settings]
     world = play(settings, 40 + len(kind), MIX + PIPES, script, 300.0)
     assert len(late_bodies) >= 2
     assert world.checker.broken == []
@@ -104,7 +108,7 @@
             for kind, matches in KINDS.items():
                 if raw["apply"] and matches(raw):
                     seen_kinds.add(kind)
-            if raw["apply"] and not guards(raw) - {"r/e"}:
+            if raw["apply"] and not guarded_keys(raw) - {"r/e"}:
                 unguarded_prefixes.update(
                     re.sub(r"/[^/]+$", "", c.get("write") or c["delete"]) for c in raw["apply"]
                 )
@@ -117,7 +121,7 @@
         with world.cut({"10.0.0.3"}, set(world.workers), hold=False):
             await trio.sleep(25.0)
 
-    settings = [tiny(each) for each in some_controllers(tmp_path, 3)]
+    settings = [with_small_replica(each) for each in some_controllers(tmp_path, 3)]
     world = play(settings, 7, MIX + PIPES, script, 200.0)
     assert world.checker.broken == []
     assert seen_kinds == set(KINDS)
@@ -141,11 +145,11 @@
 
         node._context.syncer.wait_for_read = wait_for_read  # type: ignore[method-assign]
 
-        def job(n: int, *awaits: str, version: int) -> Event:
+        def job_event(n: int, *awaits: str, version: int) -> Event:
             spec = parse_job(job_body(f"wk-{n}", awaits=list(awaits) or None))
             return Event(f"r/j/wk-{n}", job_record(spec, 0.0, False), version)
 
-        replica.replace([job(2, "wk-1", version=3), job(3, "wk-2", version=4)], 4)
+        replica.replace([job_event(2, "wk-1", version=3), job_event(3, "wk-2", version=4)], 4)
         for uid in ("wk-2", "wk-3"):
             with pytest.raises(Unavailable):
                 await job_api._current_view(uid)
