--- a/ryegauge/bookkeeping/budget.py
+++ b/ryegauge/bookkeeping/budget.py
@@ -36,6 +36,7 @@
         self._level = min(self._level, self.burst)
 
     def _refill(self) -> None:
+        """Adds what has accrued since the last call."""
         now = trio.current_time()
         self._level = min(self.burst, self._level + (now - self._refilled_at) * self.rate)
         self._refilled_at = now
@@ -75,4 +76,5 @@
             self._waiters.remove(waiter)
 
     def _is_next(self, waiter: _Waiter) -> bool:
+        """Whether the caller is the first of those with the smallest reserve."""
         return waiter is min(self._waiters, key=lambda other: other.reserve)
--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -639,6 +639,7 @@
             self.orphans.add(event.key)
 
     def _notify_listeners(self, uids: Iterable[str]) -> None:
+        """Calls the listeners with each job."""
         for uid in uids:
             for listener in self.on_job:
                 listener(uid)
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -140,6 +140,7 @@
                 await self._read_requested.wait()
 
     async def _read_changes(self) -> None:
+        """Reads the changes since the last read into the replica."""
         since = self._replica.state_revision
         if self.observer is not None:
             since = self.observer.begin()
--- a/ryegauge/bookkeeping/unsynced_cancellations.py
+++ b/ryegauge/bookkeeping/unsynced_cancellations.py
@@ -54,4 +54,5 @@
         )
 
     def _is_in_replica(self, uid: str) -> bool:
+        """Whether the replica shows the cancellation."""
         return (job := self._replica.jobs.get(uid)) is not None and job.cancelled
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -155,6 +155,7 @@
     # -- submissions -----------------------------------------------------------------
 
     async def _submit(self, body: bytes) -> Reply:
+        """Answers a submission. Raises Malformed for an invalid body, unless its job is known."""
         raw = decode(body)
         try:
             spec = parse_job(raw)
@@ -444,6 +445,7 @@
             raise Unavailable("its lost data is being restored")
 
     async def _poll(self, uid: str) -> Reply:
+        """Answers a poll."""
         if not valid_uid(uid):
             return Reply(404, {"error": "no such job"})
         view = await self._current_view(uid)
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -44,6 +44,8 @@
 
 
 class Event:
+    """Replaces trio.Event, whose wait the model steps."""
+
     def __init__(self) -> None:
         self.is_set = False
 
@@ -92,6 +94,7 @@
         self._final_outcomes, self._fault, self.chain = backend, fault, ()
 
     def replace_replica(self, chain: Chain) -> None:
+        """A read that shows these commits."""
         self._replica, self.chain = replica(chain), chain
 
     async def submit(self, spec: JobSpec, extra_puts: tuple[Put, ...] = ()) -> Reply:
@@ -130,6 +133,7 @@
         self.resume(None)
 
     def resume(self, value: Any) -> None:
+        """Runs to the next awaited call or to the end."""
         try:
             self.awaited = (
                 self.run.throw(value) if isinstance(value, Exception) else self.run.send(value)
@@ -141,7 +145,7 @@
 
 
 class OutdatedAnswer(Exception):
-    pass
+    """An answer contradicts an earlier one."""
 
 
 class ModelRun:
@@ -169,6 +173,7 @@
             self.threads.append(Thread(n, api.write_submissions(), "writer", ""))
 
     def write(self, guards: dict[str, int], changes: list[Any]) -> list[str]:
+        """Executes a transaction; returns the keys whose guards fail."""
         if self.fault == "recorded anew":
             guards = {key: v for key, v in guards.items() if not key.startswith("f/")}
         records = data(self.chain)
@@ -213,6 +218,7 @@
         return found
 
     def perform(self, step: Step) -> None:
+        """Performs one step."""
         kind, n, how = step
         match kind:
             case "look":
@@ -356,6 +362,7 @@
 
 @pytest.fixture
 def explore_model(settings: Settings, monkeypatch: pytest.MonkeyPatch) -> Callable[..., Any]:
+    """Explores the model with a fault from an initial state, with a number of requests."""
     monkeypatch.setattr(
         job_api,
         "trio",
@@ -377,6 +384,7 @@
 def test_no_answer_is_older_than_an_earlier_one(
     explore_model: Callable[..., Any], initial_state: str, min_states: int
 ) -> None:
+    """The unchanged API passes, and enough states are visited for that to mean something."""
     steps, state_count = explore_model(initial_state, "", 2)
     assert steps == []
     assert state_count > min_states
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -63,19 +63,23 @@
         return reply.body["status"] if reply.status == 200 else reply.status
 
     async def all_answers(self, uid: str) -> list[Any]:
+        """The answers to a poll and to each kind of repeated submission."""
         return [await self.answer(uid, n) for n in range(4)]
 
 
 def job_event(n: int, *awaits: str, version: int, over: bool = False) -> Event:
+    """The record of a job."""
     spec = parse_job(job_body(f"wk-{n}", awaits=list(awaits) or None))
     return Event(job_key(f"wk-{n}"), job_record(spec, 0.0, over), version)
 
 
 def done_event(n: int, version: int) -> Event:
+    """The record of an assignment all of whose tasks are done."""
     return Event(assignment_key(f"wk-{n}", 0), {"t": {}, "d": Ranges.up_to(4).flat()}, version)
 
 
 def raise_unavailable() -> None:
+    """A read during an outage."""
     raise Unavailable("an outage")
 
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -90,6 +90,8 @@
 
 
 async def isolate_then_outage(world: World, role: str, scenario_name: str) -> None:
+    """Isolates the leader or another controller while cancellations are confirmed, and begins an
+    outage of the state service before its replica is read again."""
     leader = world.leading
     assert leader is not None
     n = (leader + 1) % 5 if role == "owner" else leader
@@ -133,6 +135,7 @@
 
 
 def job_event(uid: str, version: int, cancelled: bool) -> Event:
+    """The record of a job with four tasks."""
     spec = parse_job(job_body(uid, pieces=4))
     return Event(f"r/j/{uid}", job_record(spec, 0.0, cancelled), version)
 
@@ -214,7 +217,7 @@
 
 
 class RoundCounted(Exception):
-    pass
+    """Ends the loop after one round."""
 
 
 def test_only_complete_rounds_extend_authority(settings: Settings) -> None:
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -70,6 +70,7 @@
         super()._note(event)
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
+        """Counts requests refused with 429."""
         reply = await super().handle(method, target, body)
         if reply.status == 429:
             what = target.partition("?")[0].rpartition("/")[2]
@@ -227,7 +228,7 @@
 
 
 async def no_trouble(world: SmallJobs) -> None:
-    pass
+    """A day without failures."""
 
 
 async def outage_or_crash(world: SmallJobs, *, outage_s: float, leader: bool = False) -> None:
@@ -259,6 +260,8 @@
 
 
 def check_safety_and_times(world: SmallJobs, count: int) -> None:
+    """No safety rule is broken, all jobs are accepted and end, and answers come in time outside of
+    troubles."""
     assert world.checker.broken == []
     assert len(world.submitted) == count
     assert world.unfinished == set()
@@ -286,6 +289,7 @@
 
 @pytest.mark.parametrize("name", TROUBLES)
 def test_small_jobs_are_accepted_and_end(tmp_path: Path, name: str) -> None:
+    """Accepted in time, ended, and within the number of changes per job, under each trouble."""
     world = play_small(tmp_path, TROUBLES[name])
     check_safety_and_times(world, JOB_COUNT)
     assert changes_of(world).total() <= JOB_COUNT * (CHANGES_PER_JOB + REPEATED_CHANGES_PER_JOB)
