--- a/ryegauge/rebuilding/__init__.py
+++ b/ryegauge/rebuilding/__init__.py
@@ -1,6 +1,6 @@
-"""What to do when the state service has lost data: noticing it, and putting back what the
-controllers know. Decisions only: no I/O, and time is passed in. `docs/design/rebuilding.md` has
-the ways weighed, `docs/safety.md` the argument.
+"""Recovery from data loss in the state service: detecting the loss and writing back what the
+controllers still know. Decisions only: no I/O, and time is passed in. The design is in
+`docs/design/rebuilding.md`, the safety argument in `docs/safety.md`.
 
 Loaded only where the property `rebuilding` is on.
 """
--- a/ryegauge/rebuilding/adopting.py
+++ b/ryegauge/rebuilding/adopting.py
@@ -1,4 +1,5 @@
-"""Tasks that machines report and no share holds: they are taken in, not killed."""
+"""Adoption of unrecorded tasks: tasks that machines report and that no share holds, because
+their record was lost. They are added to the part's shares instead of being killed."""
 
 # kind: decisions
 
@@ -11,20 +12,24 @@
 
 
 class Stray(NamedTuple):
+    """A task that a machine of the part reports and that no share holds."""
+
     uid: str
     number: int
-    zone: str  # as shares name zones: empty where the job does not care
-    done: bool  # it has ended, and is done
+    zone: str  # as in shares: empty unless the job records zones
+    done: bool  # has ended successfully
 
 
 def adoptable(book: JobBook, uid: str, index: int) -> bool:
+    """Whether the book has the job and its task is neither done nor held by a part."""
     job = book.jobs.get(uid)
     return job is not None and job.is_open(index)
 
 
 def adopted(book: JobBook, part: int, parts: int, strays: Iterable[Stray]) -> list[Write]:
-    """The part's shares with its strays. Guarded by the shares of all parts, also those that
-    do not exist: so no other part can have taken it in."""
+    """Returns writes, one per job, that add the unrecorded tasks to the part's share. Each is
+    guarded by the shares of all parts, including those that do not exist, so that no two parts
+    can adopt the same task."""
     by_job: dict[str, list[Stray]] = {}
     for stray in strays:
         if adoptable(book, stray.uid, stray.number):
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -1,8 +1,9 @@
-"""What a controller has to write so that the book holds what it knew before a loss.
+"""Computes the writes that restore a controller's knowledge after a loss in the state service.
 
-Each controller puts back what it kept, one after the other, until the book lacks nothing of it.
-Of a record that both have, the newer one counts, but what is done or cancelled stays so by
-whoever knows it. Every write is guarded by what the book shows, so that none undoes another's.
+The controllers restore one after the other, each until the job book lacks nothing that it knew.
+If both the controller and the book have a record, the newer version wins; a task that either
+records as done, or a job that either records as cancelled, stays so. Every write is guarded by
+the versions in the book, so that no controller overwrites what another one has restored.
 """
 
 # kind: decisions
@@ -25,33 +26,36 @@
 from ryegauge.protocol.jobs import PRIORITIES, parse_job
 from ryegauge.rebuilding.records import Kept, Known, stamp
 
-# Bytes of a transaction that are used, of the 64 KiB that the service takes.
+# Upper bound for the size of a transaction; the state service accepts 64 KiB.
 TXN_BYTES = 40_000
 
-# What an outcome takes of a record beside the job's name: quotes, a count, commas.
+# Bytes of an outcome in its record besides the job's name: quotes, task count, commas.
 OUTCOME_BYTES = 14
 
-# Changes that every state service takes in a transaction, with the conditions for them.
+# Changes, with their conditions, that every state service accepts in one transaction.
 LEAST_OPS = 4
 
 
 class Limits(NamedTuple):
-    ops: int  # changes of a transaction
-    value_bytes: int
+    """Limits of the state service for one transaction."""
+
+    ops: int  # changes per transaction
+    value_bytes: int  # size of a record's value
 
 
 class _Of(NamedTuple):
-    """What was kept of one job."""
+    """The known records of one job."""
 
     job: Known | None
-    shares: dict[int, Share]  # their origins say how new they are
-    pages: dict[str, Known]
-    pieces: dict[str, Known]
+    shares: dict[int, Share]  # by part; `origin` holds epoch and version before the loss
+    pages: dict[str, Known]  # records of sealed done tasks, by key
+    pieces: dict[str, Known]  # records with names of needed jobs, by key
 
 
 def to_put_back(kept: Kept, book: JobBook, limits: Limits, name: str) -> list[Write]:
-    """In order of worth; empty if the book lacks nothing. `name`: of this controller, for the
-    names of new records."""
+    """Returns the writes that the book still lacks, the most important first; an empty list
+    means that everything is restored. `name` is this controller's name, which makes the keys
+    of new records unique."""
     jobs = _by_job(kept)
     writes = [*_cancellations(jobs, book, limits), *_types(kept, book)]
     missing, over = _missing(jobs, kept, book)
@@ -66,8 +70,8 @@
 
 
 def too_large(write: Write, limits: Limits) -> bool:
-    """Whether it was recorded when larger values were allowed: it would be refused again and
-    again, and keep everything else waiting."""
+    """Whether a value exceeds the present limit, because it was recorded under a larger one.
+    The service would refuse the write every time, and everything after it would wait."""
     return any(
         isinstance(change, Put) and value_bytes(change.value) > limits.value_bytes
         for change in write.changes
@@ -75,6 +79,7 @@
 
 
 def _by_job(kept: Kept) -> dict[str, _Of]:
+    """Groups the known records of jobs, shares, pages and needed names by job."""
     result: dict[str, _Of] = {}
     for key, known in kept.records.items():
         kind, uid, *rest = key.split("/")[1:]
@@ -95,6 +100,7 @@
 
 
 def _cancellations(jobs: dict[str, _Of], book: JobBook, limits: Limits) -> Iterator[Write]:
+    """Cancels jobs that are known as cancelled and that the book shows as not cancelled."""
     for uid, of in jobs.items():
         job = book.jobs.get(uid)
         if of.job is not None and of.job.value.get("x") and job is not None and not job.cancelled:
@@ -103,6 +109,7 @@
 
 
 def _types(kept: Kept, book: JobBook) -> Iterator[Write]:
+    """Restores the records of machine types."""
     for key, known in kept.records.items():
         if key.startswith("r/c/") and key[4:] not in book.types:
             yield Write({key: 0}, [Put(key, known.value)])
@@ -111,8 +118,9 @@
 def _missing(
     jobs: dict[str, _Of], kept: Kept, book: JobBook
 ) -> tuple[list[str], dict[str, tuple[str, int]]]:
-    """Jobs that the book lacks, those with running tasks first, then by urgency; and the
-    outcomes of those of which nothing else matters."""
+    """Returns the jobs to restore that the book lacks, those with assigned tasks first, then by
+    priority; and the outcomes of jobs that have ended and have no assigned tasks, for which the
+    outcome is enough."""
     live: list[tuple[bool, int, float, str]] = []
     over: dict[str, tuple[str, int]] = {}
     for uid, of in jobs.items():
@@ -134,9 +142,10 @@
 
 
 def _job(uid: str, of: _Of, book: JobBook) -> Iterator[Write]:
-    """The record of a job, after the names of those that it needs, and its shares. It is not
-    put back if it has left the book since. What stands there without the job is seen once the
-    book is read anew."""
+    """Restores a job's record, preceded by the names of the jobs that it needs, and its shares.
+    The guard on its final record keeps it from being restored if it has been archived
+    meanwhile. Records that exist without their job are skipped here; the book shows them
+    under the job after the next full read."""
     assert of.job is not None
     for key, piece in of.pieces.items():
         yield Write({key: 0}, [Put(key, piece.value)])
@@ -153,6 +162,7 @@
 
 
 def _shares(job: Job, of: _Of, book: JobBook) -> Iterator[Write]:
+    """Updates the shares of a job that the book has."""
     uid = job.spec.uid
     for part, share in merged(job, of.shares, book).items():
         key = share_key(uid, part)
@@ -160,12 +170,14 @@
 
 
 def _stamp(share: Share, book: JobBook) -> tuple[int, int]:
+    """Epoch and version of a share, see `stamp`."""
     return stamp(share.version, share.origin, book)
 
 
 def merged(job: Job, old: dict[int, Share], book: JobBook) -> dict[int, Share]:
-    """The parts' shares that have to change for what was known before: of what a part holds
-    the newer record counts, what is done by either is done, and no task is in two parts."""
+    """Returns the shares, by part, that have to change to include `old`, those known before the
+    loss. Of a part's two shares the newer one says which tasks are assigned, a task that is
+    done in either is done, and no task is assigned to two parts."""
     newer = {
         part: share
         for part, share in old.items()
@@ -205,8 +217,8 @@
 def _outcomes(
     kept: Kept, book: JobBook, over: dict[str, tuple[str, int]], limits: Limits, name: str
 ) -> Iterator[Write]:
-    """Outcomes, many to a record. A job that stands in the book although it is over goes: its
-    record came back from before its end."""
+    """Restores outcomes, many per record. A job with a known outcome that the book still has
+    came back from a revision before its end; the same transaction deletes its record."""
     left: dict[str, tuple[str, int]] = {
         uid: outcome for uid, outcome in kept.finals.items() if uid not in book.packed
     }
@@ -236,7 +248,7 @@
 
 
 def _needed(kept: Kept, book: JobBook) -> Iterator[Write]:
-    """Outcomes that jobs in the book wait for, and answers that are owed to queues."""
+    """Restores outcomes that jobs in the book wait for, and replies owed to queues."""
     for key, known in kept.records.items():
         if (key.startswith("r/o/") and key[4:] in book.lost) or (
             key.startswith("r/q/") and key[4:] not in book.debts
@@ -245,7 +257,7 @@
 
 
 def grouped(writes: list[Write], limits: Limits) -> Iterator[Write]:
-    """As many together as a transaction takes, by number and by size."""
+    """Combines writes into as few transactions as the limits on changes and size allow."""
     guards: dict[str, int] = {}
     changes: list[Put | Delete] = []
     size = 0
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -1,4 +1,4 @@
-"""What one controller knew of the state service before a loss, as records."""
+"""The records that one controller knew before a loss in the state service."""
 
 # kind: decisions
 
@@ -22,8 +22,8 @@
 
 
 class Known(NamedTuple):
-    """A record, and how new it is: by era, then by version. Version 0: of a record that never
-    changes, its version was not kept."""
+    """A record's value with its age: epochs are compared first, then versions. The version is 0
+    for records that never change, whose versions the job book does not keep."""
 
     value: Any
     era: int
@@ -31,16 +31,19 @@
 
 
 class Kept(NamedTuple):
-    """`lived`: whether the controller itself saw that something was lost, so that it knows
-    all that it had to do with before."""
+    """Records, and outcomes with task counts of jobs that have left the book.
+
+    `lived` is true if this controller detected the loss itself. It then knows everything that it
+    took part in before the loss."""
 
     records: dict[str, Known]
     finals: dict[str, tuple[Outcome, int]]
     lived: bool
 
     def over(self, older: "Kept | None") -> "Kept":
-        """With what an older one has beside it: of an earlier era, when there were two losses
-        in a row, or of a snapshot. The newer record counts; what is over stays so."""
+        """Returns this state completed by an older one: from an earlier epoch, if two losses
+        followed each other, or from a snapshot. The newer record wins. Records of jobs with a
+        known outcome are dropped."""
         if older is None:
             return self
         finals = {**older.finals, **self.finals}
@@ -56,9 +59,9 @@
 
 
 def _both(one: Known, two: Known) -> Known:
-    """The newer of two records, with what never goes back of the other: the mark of a
-    cancellation, tasks that are done. (Found by the model: after a second loss, the book that
-    the first one had left hid a cancellation which had not been put back.)"""
+    """Returns the newer of two records, with the facts of the older one that are never undone:
+    a cancellation and done tasks. Without them, after a second loss, the incomplete book left
+    by the first one would hide a cancellation that had not been restored yet."""
     newer, older = (one, two) if (one.era, one.version) >= (two.era, two.version) else (two, one)
     if not isinstance(newer.value, dict) or not isinstance(older.value, dict):
         return newer
@@ -73,14 +76,16 @@
 
 
 def stamp(version: int, origin: tuple[int, int] | None, book: JobBook) -> tuple[int, int]:
-    """How new a standing record is, by era and version. One that neither was put back nor
-    written in this era is taken for one of the era before."""
+    """Returns epoch and version of a record in the book. `origin` is that of a restored record,
+    from before the loss. A record that was neither restored nor written in this epoch counts as
+    one of the epoch before."""
     if origin is not None:
         return origin
     return (book.era if version > book.era_start else max(0, book.era - 1)), version
 
 
 def _of_job(job: Job, book: JobBook) -> Iterator[tuple[str, Known]]:
+    """Records of a job, its shares and its pages, by key."""
     uid = job.spec.uid
     record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
     yield job_key(uid), Known(record, *stamp(job.version, None, book))
@@ -91,12 +96,13 @@
         yield page_key(uid, part, number), Known({"d": tasks.flat()}, 0, 0)
 
 
-# Records that are nobody's after a loss: roles, enrolments, the era itself.
+# Keys that are not restored: roles, enrolments and the epoch itself are void after a loss.
 FLEETING = ("r/p/", "r/l", "r/n/", "r/e")
 
 
 def keep(book: JobBook, lived: bool, written: Mapping[int, Iterable[Put]] | None = None) -> Kept:
-    """All that the book holds but roles, and what is `written` but not read yet, by revision."""
+    """Copies everything in the book except roles, and the `written` records, by revision, that
+    were confirmed to this controller and not read yet. `lived` is passed on to the result."""
     records: dict[str, Known] = {}
     for job in book.jobs.values():
         records.update(_of_job(job, book))
