--- a/ryegauge/ordering/__init__.py
+++ b/ryegauge/ordering/__init__.py
@@ -1,7 +1,8 @@
-"""In which order jobs get room, and which running work may be stopped for which.
+"""Scheduling policies: the order in which jobs get capacity, and which running tasks may be
+preempted for which jobs.
 
-Pure policies over plain values; `docs/design/ageing.md` weighs them. The one that the
-property `ordering` names is loaded, the others cost nothing.
+Policies are pure functions of plain values; `docs/design/ageing.md` compares them. Only the one
+that the property `ordering` names is loaded.
 """
 
 from ryegauge.config import Settings
@@ -10,7 +11,7 @@
 
 
 def policy_of(settings: Settings) -> Policy:
-    """The policy that the operators' properties choose."""
+    """Returns the policy that the property `ordering` names, with its parameters."""
     props = settings.properties
     if props.ordering == "settled":
         return Settled()
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -1,21 +1,25 @@
-"""Strict order by rank, beside a reserved share for aged work.
+"""Policies that order jobs strictly by rank, without ageing (`Strict`) and with it (`Ageing`).
 
-Every task of a job has a *tag*, the moment when it is due by age alone:
+`Ageing` reserves a share of the fleet for aged tasks. Every task of a job has a *tag*, the time
+at which it is due by age alone:
 
     tag(job, n) = ready_at + patience(rank) * (1 + n),   n = 0, 1, 2, ...
     patience(rank) = patience_s * factor ** rank
 
-where n counts the job's tasks that are done or held by a part. Due tasks go first, in the
-order of their tags, as long as what is held by due tasks with earlier tags stays below the
-reserved share of the fleet; that share grows from the floor to the ceiling while the first
-of them waits for another patience. Due tasks of the highest rank that waits keep their place
-in this order, and are not counted: nobody above them could be crowded out. Everything else
-goes strictly by rank. While a burst of urgent work waits, as much as the largest share or more,
-other aged work yields, each task for at most one more patience after its tag.
-
-All of it follows from the job book and the time of day: no record, no memory. A task that
-was stopped lowers n again, so its tag is what it was; what is done stays counted. The
-tags are those of start-time fair queueing with one task as the unit of service.
+where n counts the job's tasks that are done or assigned to a part. These are the tags of
+start-time fair queueing with one task as the unit of service.
+
+- Due tasks go first, in the order of their tags, as long as the assigned due tasks with earlier
+  tags take less than the reserved share of the fleet. That share grows from the floor to the
+  ceiling while the first waiting due task waits for another `patience(rank)`.
+- Due tasks of the most urgent waiting rank keep their place in this order but do not count
+  against the share, since there is no more urgent job that they could crowd out.
+- Everything else goes strictly by rank.
+- While urgent jobs wait whose weight is at least the ceiling (a burst), other aged tasks yield,
+  each for at most one more `patience(rank)` after its tag.
+
+The order follows from the job book and the time alone; the policy has no state. If a task is
+preempted, n decreases again and the task has the same tag as before; done tasks stay counted.
 """
 
 import heapq
@@ -24,25 +28,29 @@
 
 from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
 
-EPSILON = 1e-9
+EPSILON = 1e-9  # tolerance in sums of shares
 
-# Jobs of these ranks (critical, high) have lower-ranked work stopped when they wait.
+# Jobs of ranks up to this one (0 critical, 1 high) are urgent: less urgent tasks are preempted
+# for them.
 URGENT = 1
 
 
 def by_rank(job: Waiting) -> tuple[int, bool, float, float, str]:
-    """Rank alone decides between ranks. Among equals: a guarantee, then the latest finish,
-    then who was ready first."""
+    """Sort key: by rank; within a rank, jobs within their team's guarantee first, then by
+    latest finish, then by the time at which they became ready."""
     return (job.rank, not job.within, job.finish, job.ready_at, job.uid)
 
 
 def _unit(job: Waiting) -> int:
-    """A gang is one unit: a part of it is of no use."""
+    """Number of tasks that have to be placed together: all of a gang, else one."""
     return job.open if job.whole else 1
 
 
 class Strict:
-    """By rank alone: routine work may wait forever. The baseline of the experiments."""
+    """Orders by rank alone, so low-ranked jobs may wait forever. Baseline of the experiments.
+
+    A job may preempt lower-ranked tasks if it is urgent and has waited for `stop_after_s`, or if
+    it is within its team's guarantee and has waited for longer than a boot takes."""
 
     stops_any = True
     stop_pause = 2.0
@@ -65,9 +73,10 @@
         return claim.guaranteed or (urgent and claim.waited_s >= self._stop_after_s)
 
     def may_stop(self, claim: Claim, running: Running) -> bool:
-        """Urgent work stops lower work, but not what ends sooner than a stop takes. A
-        guarantee stops what others run beyond theirs if that has just begun, and does not
-        go before it: else the room would go to the higher rank again, round after round."""
+        """Urgent jobs preempt lower-ranked tasks, except those that are expected to end before a
+        preemption would take effect. Jobs within a guarantee preempt recent tasks of teams over
+        theirs, but none that are more urgent than they are: the order would give the freed
+        capacity to the more urgent job again in every round."""
         if running.aged:
             return False
         if (
@@ -94,6 +103,13 @@
 
 
 class Ageing(Strict):
+    """Strict order with a reserved share for aged tasks; see the module for the rules.
+
+    `patience_s` is the waiting time after which the first task of a job of rank 0 is due, and
+    `factor` its growth per rank. `floor` and `ceiling` bound the reserved share of the fleet.
+    Capacity is reserved for a due task for at most `hold_s` at a time.
+    """
+
     ages = True
 
     def __init__(
@@ -114,13 +130,16 @@
         self._hold_s = hold_s
 
     def patience_s(self, rank: int) -> float:
+        """Waiting time of a job of this rank per due task, in seconds."""
         return self._patience_s * self._factor**rank
 
     def tag(self, ready_at: float, rank: int, n: int) -> float:
+        """Unix time at which the job's task after `n` others is due by age."""
         return ready_at + self.patience_s(rank) * (1 + n)
 
     def due(self, ready_at: float, rank: int, now: float) -> int:
-        """How many of a job's tasks are due by age; 0 if the clock stands before it."""
+        """Number of a job's tasks that are due by age; 0 if `now` is before `ready_at`, as it
+        may be since clocks differ."""
         return max(0, math.floor((now - ready_at) / self.patience_s(rank)))
 
     def aged(self, holding: Holding, now: float) -> bool:
@@ -134,8 +153,8 @@
         spare: dict[str, Spare],
         now: float,
     ) -> list[Entry]:
-        # Urgent work in a flood comes to be due as well. Counted, it would use the share up
-        # before older work, although it has all of the fleet besides.
+        # Tasks of a large burst of urgent jobs become due as well. If they counted, they would
+        # use up the share before older jobs, although the whole fleet is open to them anyway.
         able = [j for j in waiting if j.team in spare and spare[j.team].fits(j, _unit(j))]
         top = min((j.rank for j in able), default=0)
         urgent = sum(j.weight * j.open for j in able if j.rank <= URGENT)
@@ -147,7 +166,7 @@
         ]
         for job in sorted(waiting, key=by_rank):
             count = first[job.uid][1] if job.uid in first else 0
-            # Where the rest may run depends on where these go: it follows next round.
+            # Where the rest may run depends on where these run, so it waits for the next round.
             if count < job.open and not (count and job.zoned):
                 turns.append(Entry(job.uid))
         return turns
@@ -161,7 +180,9 @@
         top: int,
         burst: bool = False,
     ) -> dict[str, tuple[Waiting, int]]:
-        """Tasks that go before everything else, by job, in the order of their tags."""
+        """Returns how many tasks of which jobs go before everything else, by job and in the
+        order of their tags. `top` is the most urgent rank among jobs within their team's limits,
+        and `burst` says whether many urgent jobs wait."""
         heap = [
             (self.tag(job.ready_at, job.rank, job.served), job.uid, job)
             for job in waiting
@@ -178,11 +199,11 @@
         while heap:
             tag, uid, job = heapq.heappop(heap)
             if burst and job.rank > top and now - tag < self.patience_s(job.rank):
-                continue  # so are its later tasks
+                continue  # its later tasks yield as well
             count = _unit(job)
             room = left.get(job.team)
             if room is None or not room.fits(job, count):
-                # Its team's limit keeps it waiting: that is not for others to wait for.
+                # It waits because of its team's limit and must not delay other teams.
                 continue
             if share is None and job.rank > top:
                 overdue = (now - tag) / self.patience_s(job.rank)
@@ -193,7 +214,7 @@
             if share is not None and job.rank > top:
                 weight = job.weight * count
                 if used > EPSILON and used + weight > share + EPSILON:
-                    # A smaller one behind must not overtake it again and again.
+                    # Stop here: otherwise smaller tasks could overtake it every round.
                     break
                 used += weight
             left[job.team] = room.less(job, count)
@@ -205,9 +226,9 @@
         return chosen
 
     def _due_held(self, holding: Sequence[Holding], now: float) -> list[tuple[float, float]]:
-        """(tag, weight) of the tasks that are held and due, the earliest tag first. What
-        holds room with a later tag than one that waits has overtaken it, and counts
-        against nobody who came before."""
+        """Returns (tag, weight) of the tasks that are assigned and due, the earliest tag first.
+        An assigned task with a later tag than a waiting one has overtaken it, so it does not
+        count against that one's share."""
         result: list[tuple[float, float]] = []
         for h in holding:
             last = min(h.done + h.held, self.due(h.ready_at, h.rank, now))
@@ -217,8 +238,9 @@
         return result
 
     def _hold_left_s(self, job: Waiting, now: float) -> float:
-        """Room is held for a bounded time, then for as long not: estimates may be wrong,
-        and a machine that never comes free must not stand half empty for good."""
+        """For how long capacity may still be reserved for the job's next task. Periods of
+        `hold_s` with and without a reservation alternate: run time estimates may be wrong, and a
+        machine on which tasks do not end must not stay half empty forever."""
         if self._hold_s <= 0:
             return 0.0
         overdue = now - self.tag(job.ready_at, job.rank, job.served)
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -1,91 +1,99 @@
-"""What a policy is asked with and what it says. Times are seconds of the time of day."""
+"""The interface of scheduling policies and the values they work on. Points in time are Unix times
+in seconds; names that end in `_s` are durations in seconds."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
 
 
 class Waiting(NamedTuple):
-    """A job with open tasks that wait for nothing but room."""
+    """A job with open tasks that wait for nothing but capacity."""
 
     uid: str
     team: str
-    rank: int  # of its priority or of any job that needs it; the most urgent is 0
-    finish: float  # latest finish
+    # Index of its priority, or of the most urgent job that needs it; 0 is the most urgent.
+    rank: int
+    finish: float  # latest finish that still meets its deadline
     submitted_at: float
     ready_at: float  # when the last job that it needs was done, else its submission
-    within: bool  # fits into its team's guarantee with the team's earlier jobs
-    open: int  # tasks neither done nor held by a part
-    served: int  # tasks done or held by a part
-    # The largest share of the fleet's CPUs, memory or cards that one task takes.
+    within: bool  # fits into its team's guarantee together with the team's earlier jobs
+    open: int  # number of tasks neither done nor assigned to a part
+    served: int  # number of tasks done or assigned to a part
+    # The largest share of the fleet's CPUs, memory or GPUs that one task takes.
     weight: float
-    cpus: float  # of one task, as `gpus`
+    cpus: float  # per task, as `gpus`
     gpus: float
     whole: bool = False  # all of its tasks start together
-    standing: bool = False
-    zoned: bool = False  # where a task may run depends on where the others are
+    standing: bool = False  # a service: its tasks never end by themselves
+    zoned: bool = False  # where a task may run depends on where the others run
 
 
 class Holding(NamedTuple):
-    """Tasks of one job that parts hold: running, or on their way."""
+    """The tasks of one job that are assigned to parts, running or about to start."""
 
-    rank: int
+    rank: int  # as in Waiting, also `ready_at` and `weight`
     ready_at: float
-    done: int
-    held: int
+    done: int  # number of the job's tasks that are done
+    held: int  # number of its tasks that are assigned
     weight: float
 
 
 class Entry(NamedTuple):
-    """A job's turn. The same job may come twice: for some of its tasks, then the rest."""
+    """A position in the order of jobs. A job may have two: one for some of its tasks and a later
+    one for the rest."""
 
     uid: str
-    most: int | None = None  # tasks at most in this turn; None: all that are open
-    # If it finds no room, some may be held free for it for so long; 0: none.
+    most: int | None = None  # maximum number of tasks at this position; None: all open ones
+    # For how long capacity may be reserved for it if there is none now; 0: not at all.
     hold_s: float = 0.0
 
 
 class Claim(NamedTuple):
-    """A job that found no room, as far as it may ask for others to be stopped."""
+    """A job that found no capacity, on whose behalf others might be preempted."""
 
     team: str
     rank: int
-    # Within its team's guarantee, and has waited for longer than boots explain.
+    # Within its team's guarantee, and has waited for longer than booting a machine takes.
     guaranteed: bool
     waited_s: float
 
 
 class Running(NamedTuple):
-    """Tasks of one job on one machine that might be stopped for others."""
+    """Tasks of one job on one machine that might be preempted."""
 
     team: str
     rank: int
-    within: bool
-    beyond: bool  # its team uses more than its guarantee
-    recent: bool  # has just begun, and has slack for another run on a new machine
+    within: bool  # the job is within its team's guarantee
+    beyond: bool  # the team uses more than its guarantee
+    recent: bool  # has just begun, and can still meet its deadline on a new machine
     elapsed_s: float
-    left_s: float
-    aged: bool = False  # was given its room for its age
+    left_s: float  # expected time until it ends
+    aged: bool = False  # was given its capacity because of its age
 
 
 class Spare(NamedTuple):
-    """What a team may still use."""
+    """What a team may still use within its limits."""
 
     cpus: float
     gpus: float
 
     def fits(self, job: Waiting, count: int) -> bool:
+        """Whether `count` more tasks of the job are within the limits."""
         return job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
 
     def less(self, job: Waiting, count: int) -> "Spare":
+        """What is left after `count` more tasks of the job."""
         return Spare(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
 
 
 class Policy(Protocol):
-    # Whether work that is well under way may be stopped too.
+    """Decides the order of jobs and which running tasks may be preempted."""
+
+    # Whether tasks may be preempted that have run for a while; otherwise only recent ones.
     stops_any: bool
-    # Pause between stops for others, in the longest ordinary pauses between reports.
+    # Minimum time between preemptions, in multiples of the longest regular gap between reports.
     stop_pause: float
-    # Whether `Holding` and `Waiting.weight` are looked at, and ends are recorded.
+    # Whether the policy uses `Holding` and `Waiting.weight`. The times at which tasks end are
+    # then recorded.
     ages: bool
 
     def order(
@@ -95,20 +103,23 @@
         spare: dict[str, Spare],
         now: float,
     ) -> list[Entry]:
-        """Turns, the first goes first. `spare` is by team and is left as it is."""
+        """Returns the order in which the jobs get capacity, the first one first. `spare` maps
+        team names to what they may still use; it is not modified. `now` is a Unix time."""
         ...
 
     def claims(self, claim: Claim, lowest: int) -> bool:
-        """Whether a job may have others stopped at all; `lowest` is the rank of the least
-        urgent job there is."""
+        """Whether a job may have others preempted at all. `lowest` is the rank of the least
+        urgent live job."""
         ...
 
-    def may_stop(self, claim: Claim, running: Running) -> bool: ...
+    def may_stop(self, claim: Claim, running: Running) -> bool:
+        """Whether these tasks may be preempted for this job."""
+        ...
 
     def stop_key(self, running: Running) -> tuple[float, ...]:
-        """The lowest is stopped first."""
+        """Sort key of tasks that may be preempted: the lowest is preempted first."""
         ...
 
     def aged(self, holding: Holding, now: float) -> bool:
-        """Whether a job holds no more than its age gives it a right to."""
+        """Whether a job holds no more tasks than its age entitles it to."""
         ...
--- a/ryegauge/ordering/settled.py
+++ b/ryegauge/ordering/settled.py
@@ -1,18 +1,23 @@
-"""The order of old: work within its team's guarantee first, whatever its priority.
+"""The policy `settled`, the default: jobs within their team's guarantee go first, whatever their
+priority.
 
-Nothing ages. Stopping others for whatever waits lost more than it gained
-(docs/design.md): priority stops others from two steps down, a guarantee once its job has
-waited, and only what has just begun is stopped.
+There is no ageing. Preempting for every waiting job lost more work than it gained
+(docs/design.md). So a job preempts tasks at least two priorities below its own, or, if it is
+within its team's guarantee and has waited, tasks of teams over theirs; and only tasks that have
+just begun are preempted.
 """
 
 from collections.abc import Sequence
 
 from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
 
+# A job may preempt tasks whose priority is at least this many ranks below its own.
 STEPS = 2
 
 
 class Settled:
+    """Guarantees first, then priority, then the latest finish."""
+
     stops_any = False
     stop_pause = 1.0
     ages = False
