--- a/ryegauge/ordering/__init__.py
+++ b/ryegauge/ordering/__init__.py
@@ -6,15 +6,15 @@
 """
 
 from ryegauge.config import Settings
+from ryegauge.ordering.guarantee_first import GuaranteeFirst
 from ryegauge.ordering.model import Policy
-from ryegauge.ordering.settled import Settled
 
 
-def policy_of(settings: Settings) -> Policy:
+def create_policy(settings: Settings) -> Policy:
     """Returns the policy that the property `ordering` names, with its parameters."""
     props = settings.properties
     if props.ordering == "settled":
-        return Settled()
+        return GuaranteeFirst()
     from ryegauge.ordering.ageing import Ageing, Strict
 
     lease_s = settings.settings.workers.lease_s
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -26,7 +26,14 @@
 import math
 from collections.abc import Sequence
 
-from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
+from ryegauge.ordering.model import (
+    AssignedTasks,
+    PreemptionRequest,
+    QueueEntry,
+    RunningTasks,
+    TeamHeadroom,
+    WaitingJob,
+)
 
 EPSILON = 1e-9  # tolerance in sums of shares
 
@@ -35,15 +42,15 @@
 URGENT = 1
 
 
-def by_rank(job: Waiting) -> tuple[int, bool, float, float, str]:
+def by_rank(job: WaitingJob) -> tuple[int, bool, float, float, str]:
     """Sort key: by rank; within a rank, jobs within their team's guarantee first, then by
     latest finish, then by the time at which they became ready."""
-    return (job.rank, not job.within, job.finish, job.ready_at, job.uid)
+    return (job.rank, not job.within_guarantee, job.finish, job.ready_at, job.uid)
 
 
-def _unit(job: Waiting) -> int:
+def _unit(job: WaitingJob) -> int:
     """Number of tasks that have to be placed together: all of a gang, else one."""
-    return job.open if job.whole else 1
+    return job.open_task_count if job.whole else 1
 
 
 class Strict:
@@ -52,32 +59,32 @@
     A job may preempt lower-ranked tasks if it is urgent and has waited for `stop_after_s`, or if
     it is within its team's guarantee and has waited for longer than a boot takes."""
 
-    stops_any = True
-    stop_pause = 2.0
-    ages = False
+    preempts_long_running = True
+    preemption_pause_reports = 2.0
+    uses_ageing = False
 
     def __init__(self, stop_after_s: float) -> None:
         self._stop_after_s = stop_after_s
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
-        return [Entry(job.uid) for job in sorted(waiting, key=by_rank)]
+    ) -> list[QueueEntry]:
+        return [QueueEntry(job.uid) for job in sorted(waiting, key=by_rank)]
 
-    def claims(self, claim: Claim, lowest: int) -> bool:
+    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
         urgent = claim.rank <= URGENT and lowest > claim.rank
         return claim.guaranteed or (urgent and claim.waited_s >= self._stop_after_s)
 
-    def may_stop(self, claim: Claim, running: Running) -> bool:
+    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool:
         """Urgent jobs preempt lower-ranked tasks, except those that are expected to end before a
         preemption would take effect. Jobs within a guarantee preempt recent tasks of teams over
         theirs, but none that are more urgent than they are: the order would give the freed
         capacity to the more urgent job again in every round."""
-        if running.aged:
+        if running.is_protected_by_age:
             return False
         if (
             claim.rank <= URGENT
@@ -89,16 +96,16 @@
         return (
             claim.guaranteed
             and running.recent
-            and not running.within
+            and not running.within_guarantee
             and running.beyond
             and running.team != claim.team
             and running.rank >= claim.rank
         )
 
-    def stop_key(self, running: Running) -> tuple[float, ...]:
-        return (-running.rank, running.within, running.elapsed_s)
+    def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
+        return (-running.rank, running.within_guarantee, running.elapsed_s)
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         return False
 
 
@@ -110,7 +117,7 @@
     Capacity is reserved for a due task for at most `hold_s` at a time.
     """
 
-    ages = True
+    uses_ageing = True
 
     def __init__(
         self,
@@ -142,44 +149,44 @@
         may be since clocks differ."""
         return max(0, math.floor((now - ready_at) / self.patience_s(rank)))
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         due = self.due(holding.ready_at, holding.rank, now)
         return 0 < holding.done + holding.held <= due
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         # Tasks of a large burst of urgent jobs become due as well. If they counted, they would
         # use up the share before older jobs, although the whole fleet is open to them anyway.
-        able = [j for j in waiting if j.team in spare and spare[j.team].fits(j, _unit(j))]
+        able = [j for j in waiting if j.team in headroom and headroom[j.team].fits(j, _unit(j))]
         top = min((j.rank for j in able), default=0)
-        urgent = sum(j.weight * j.open for j in able if j.rank <= URGENT)
+        urgent = sum(j.weight * j.open_task_count for j in able if j.rank <= URGENT)
         burst = top <= URGENT and urgent >= self._ceiling
-        first = self._aged_first(waiting, holding, spare, now, top, burst)
+        first = self._aged_first(waiting, holding, headroom, now, top, burst)
         turns = [
-            Entry(job.uid, count, self._hold_left_s(job, now) if job.rank > top else 0.0)
+            QueueEntry(job.uid, count, self._hold_left_s(job, now) if job.rank > top else 0.0)
             for job, count in first.values()
         ]
         for job in sorted(waiting, key=by_rank):
             count = first[job.uid][1] if job.uid in first else 0
             # Where the rest may run depends on where these run, so it waits for the next round.
-            if count < job.open and not (count and job.zoned):
-                turns.append(Entry(job.uid))
+            if count < job.open_task_count and not (count and job.zoned):
+                turns.append(QueueEntry(job.uid))
         return turns
 
     def _aged_first(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
         top: int,
         burst: bool = False,
-    ) -> dict[str, tuple[Waiting, int]]:
+    ) -> dict[str, tuple[WaitingJob, int]]:
         """Returns how many tasks of which jobs go before everything else, by job and in the
         order of their tags. `top` is the most urgent rank among jobs within their team's limits,
         and `burst` says whether many urgent jobs wait."""
@@ -191,9 +198,9 @@
         if not heap:
             return {}
         heapq.heapify(heap)
-        left = dict(spare)
+        left = dict(headroom)
         held = self._due_held([h for h in holding if h.rank > top], now)
-        chosen: dict[str, tuple[Waiting, int]] = {}
+        chosen: dict[str, tuple[WaitingJob, int]] = {}
         share: float | None = None
         used, i = 0.0, 0
         while heap:
@@ -221,11 +228,11 @@
             taken = (chosen[uid][1] if uid in chosen else 0) + count
             chosen[uid] = (job, taken)
             following = self.tag(job.ready_at, job.rank, job.served + taken)
-            if taken < job.open and following <= now:
+            if taken < job.open_task_count and following <= now:
                 heapq.heappush(heap, (following, uid, job))
         return chosen
 
-    def _due_held(self, holding: Sequence[Holding], now: float) -> list[tuple[float, float]]:
+    def _due_held(self, holding: Sequence[AssignedTasks], now: float) -> list[tuple[float, float]]:
         """Returns (tag, weight) of the tasks that are assigned and due, the earliest tag first.
         An assigned task with a later tag than a waiting one has overtaken it, so it does not
         count against that one's share."""
@@ -237,7 +244,7 @@
         result.sort()
         return result
 
-    def _hold_left_s(self, job: Waiting, now: float) -> float:
+    def _hold_left_s(self, job: WaitingJob, now: float) -> float:
         """For how long capacity may still be reserved for the job's next task. Periods of
         `hold_s` with and without a reservation alternate: run time estimates may be wrong, and a
         machine on which tasks do not end must not stay half empty forever."""
--- a/ryegauge/ordering/settled.py
+++ b/ryegauge/ordering/guarantee_first.py
@@ -9,41 +9,48 @@
 
 from collections.abc import Sequence
 
-from ryegauge.ordering.model import Claim, Entry, Holding, Running, Spare, Waiting
+from ryegauge.ordering.model import (
+    AssignedTasks,
+    PreemptionRequest,
+    QueueEntry,
+    RunningTasks,
+    TeamHeadroom,
+    WaitingJob,
+)
 
 # A job may preempt tasks whose priority is at least this many ranks below its own.
 STEPS = 2
 
 
-class Settled:
+class GuaranteeFirst:
     """Guarantees first, then priority, then the latest finish."""
 
-    stops_any = False
-    stop_pause = 1.0
-    ages = False
+    preempts_long_running = False
+    preemption_pause_reports = 1.0
+    uses_ageing = False
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         ranked = sorted(
-            waiting, key=lambda j: (not j.within, j.rank, j.finish, j.submitted_at, j.uid)
+            waiting, key=lambda j: (not j.within_guarantee, j.rank, j.finish, j.submitted_at, j.uid)
         )
-        return [Entry(job.uid) for job in ranked]
+        return [QueueEntry(job.uid) for job in ranked]
 
-    def claims(self, claim: Claim, lowest: int) -> bool:
+    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
         return claim.guaranteed or lowest >= claim.rank + STEPS
 
-    def may_stop(self, claim: Claim, running: Running) -> bool:
+    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool:
         lower = running.rank >= claim.rank + STEPS
         yields = claim.guaranteed and running.team != claim.team and running.beyond
-        return (lower or yields) and not running.within
+        return (lower or yields) and not running.within_guarantee
 
-    def stop_key(self, running: Running) -> tuple[float, ...]:
+    def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
         return (running.elapsed_s,)
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         return False
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple, Protocol
 
 
-class Waiting(NamedTuple):
+class WaitingJob(NamedTuple):
     """A job with open tasks that wait for nothing but capacity."""
 
     uid: str
@@ -15,8 +15,8 @@
     finish: float  # latest finish that still meets its deadline
     submitted_at: float
     ready_at: float  # when the last job that it needs was done, else its submission
-    within: bool  # fits into its team's guarantee together with the team's earlier jobs
-    open: int  # number of tasks neither done nor assigned to a part
+    within_guarantee: bool  # fits into its team's guarantee together with the team's earlier jobs
+    open_task_count: int  # number of tasks neither done nor assigned to a part
     served: int  # number of tasks done or assigned to a part
     # The largest share of the fleet's CPUs, memory or GPUs that one task takes.
     weight: float
@@ -27,7 +27,7 @@
     zoned: bool = False  # where a task may run depends on where the others run
 
 
-class Holding(NamedTuple):
+class AssignedTasks(NamedTuple):
     """The tasks of one job that are assigned to parts, running or about to start."""
 
     rank: int  # as in Waiting, also `ready_at` and `weight`
@@ -37,7 +37,7 @@
     weight: float
 
 
-class Entry(NamedTuple):
+class QueueEntry(NamedTuple):
     """A position in the order of jobs. A job may have two: one for some of its tasks and a later
     one for the rest."""
 
@@ -47,7 +47,7 @@
     hold_s: float = 0.0
 
 
-class Claim(NamedTuple):
+class PreemptionRequest(NamedTuple):
     """A job that found no capacity, on whose behalf others might be preempted."""
 
     team: str
@@ -57,69 +57,69 @@
     waited_s: float
 
 
-class Running(NamedTuple):
+class RunningTasks(NamedTuple):
     """Tasks of one job on one machine that might be preempted."""
 
     team: str
     rank: int
-    within: bool  # the job is within its team's guarantee
+    within_guarantee: bool  # the job is within its team's guarantee
     beyond: bool  # the team uses more than its guarantee
     recent: bool  # has just begun, and can still meet its deadline on a new machine
     elapsed_s: float
     left_s: float  # expected time until it ends
-    aged: bool = False  # was given its capacity because of its age
+    is_protected_by_age: bool = False  # was given its capacity because of its age
 
 
-class Spare(NamedTuple):
+class TeamHeadroom(NamedTuple):
     """What a team may still use within its limits."""
 
     cpus: float
     gpus: float
 
-    def fits(self, job: Waiting, count: int) -> bool:
+    def fits(self, job: WaitingJob, count: int) -> bool:
         """Whether `count` more tasks of the job are within the limits."""
         return job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
 
-    def less(self, job: Waiting, count: int) -> "Spare":
+    def less(self, job: WaitingJob, count: int) -> "TeamHeadroom":
         """What is left after `count` more tasks of the job."""
-        return Spare(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
+        return TeamHeadroom(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
 
 
 class Policy(Protocol):
     """Decides the order of jobs and which running tasks may be preempted."""
 
     # Whether tasks may be preempted that have run for a while; otherwise only recent ones.
-    stops_any: bool
+    preempts_long_running: bool
     # Minimum time between preemptions, in multiples of the longest regular gap between reports.
-    stop_pause: float
+    preemption_pause_reports: float
     # Whether the policy uses `Holding` and `Waiting.weight`. The times at which tasks end are
     # then recorded.
-    ages: bool
+    uses_ageing: bool
 
     def order(
         self,
-        waiting: Sequence[Waiting],
-        holding: Sequence[Holding],
-        spare: dict[str, Spare],
+        waiting: Sequence[WaitingJob],
+        holding: Sequence[AssignedTasks],
+        headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[Entry]:
+    ) -> list[QueueEntry]:
         """Returns the order in which the jobs get capacity, the first one first. `spare` maps
         team names to what they may still use; it is not modified. `now` is a Unix time."""
         ...
 
-    def claims(self, claim: Claim, lowest: int) -> bool:
+    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
         """Whether a job may have others preempted at all. `lowest` is the rank of the least
         urgent live job."""
         ...
 
-    def may_stop(self, claim: Claim, running: Running) -> bool:
+    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool:
         """Whether these tasks may be preempted for this job."""
         ...
 
-    def stop_key(self, running: Running) -> tuple[float, ...]:
+    def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
         """Sort key of tasks that may be preempted: the lowest is preempted first."""
         ...
 
-    def aged(self, holding: Holding, now: float) -> bool:
+    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
         """Whether a job holds no more tasks than its age entitles it to."""
         ...
--- a/ryegauge/rebuilding/noticing.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -17,10 +17,10 @@
 from collections.abc import Callable
 from typing import Literal, NamedTuple
 
-from ryegauge.bookkeeping.eras import ERA_KEY
-from ryegauge.bookkeeping.jobbook import PREFIX, JobBook
+from ryegauge.bookkeeping.epochs import EPOCH_KEY
 from ryegauge.bookkeeping.state import Event, Gone, Put, Unavailable
-from ryegauge.rebuilding.records import Kept, keep
+from ryegauge.bookkeeping.state_replica import PREFIX, StateReplica
+from ryegauge.rebuilding.records import KnownState, keep
 
 log = logging.getLogger(__name__)
 
@@ -39,19 +39,19 @@
     why: str
 
 
-class Doubt(Unavailable):
+class ContradictoryAnswer(Unavailable):
     """An answer that contradicts what is known. Callers treat it as no answer."""
 
 
-class Noticing:
+class LossDetector:
     """Checks every answer of the state service against the job book (see the module).
 
     `suspicion` and `verdict` hold the result. The synchronizer calls `begin` before each read and
     `read` or `reread` with its answer; the client calls `confirmed` and `conflicted` after writes.
     """
 
-    def __init__(self, book: JobBook) -> None:
-        self._book = book
+    def __init__(self, replica: StateReplica) -> None:
+        self._replica = replica
         self._last: tuple[int, list[Event]] | None = None
         self._from = 0  # all changes after this revision have been read in sequence
         self._read: dict[int, set[str]] = {}  # revision -> keys that it changed, oldest first
@@ -69,28 +69,30 @@
         # Whether an answer to this controller contradicted the book since the last full read.
         self.contradicted = False
         self.suspicions = 0  # number of contradictions so far
-        self.kept: Kept | None = None  # what this controller knew before the current epoch
-        self._learnt: Kept | None = None  # from snapshots
+        self.known_state: KnownState | None = (
+            None  # what this controller knew before the current epoch
+        )
+        self._learnt: KnownState | None = None  # from snapshots
         # Called before the book changes to another epoch, so that all actions based on the old
         # one stop. Otherwise an owner could place tasks of a cancelled job, which the service
         # shows as not cancelled again, between two reads.
-        self.on_era: Callable[[], None] = lambda: None
+        self.on_epoch_change: Callable[[], None] = lambda: None
         self._was_read = False  # a full read has been accepted before
 
     @property
-    def era_version(self) -> int:
+    def epoch_version(self) -> int:
         """Version of the epoch's record, by which all transactions are guarded."""
-        return self._book.era_version
+        return self._replica.epoch_version
 
     # -- evidence ------------------------------------------------------------------------
 
-    def confirmed(self, revision: int, puts: list[Put]) -> None:
+    def on_committed(self, revision: int, puts: list[Put]) -> None:
         """Records that a transaction of this controller was executed at `revision`. The reads
         must show it."""
         puts = [put for put in puts if put.key.startswith(("f/", PREFIX))]
         if revision <= self._from or not puts or self._shown(puts, self._read.get(revision)):
             return
-        if revision > self._book.ledger:
+        if revision > self._replica.state_revision:
             self._confirmed[revision] = puts
         elif self._last is not None:
             self._missing[revision] = puts
@@ -100,51 +102,51 @@
         mine = {put.key for put in puts if put.key.startswith(PREFIX)}
         return mine <= (keys or set())
 
-    def conflicted(self, guards: dict[str, int], failed: list[str]) -> None:
+    def on_conflict(self, guards: dict[str, int], failed: list[str]) -> None:
         """Records that a transaction was refused because the keys in `failed` do not have the
         versions in `guards`. The next read must show their change."""
         self._conflicts.update((key, guards[key]) for key in failed if guards.get(key))
 
-    def accuse(self, why: str) -> None:
+    def report_loss(self, why: str) -> None:
         """Confirms a loss by evidence other than a read of the changes, such as a worker's token
         or a snapshot. The caller has checked it against a read that began after it arrived."""
         if self.verdict is None:
             self._judge("history", why)
 
-    def learn(self, kept: Kept) -> None:
+    def learn(self, known_state: KnownState) -> None:
         """Adds what a snapshot holds to what is restored in the next epoch."""
-        self._learnt = kept.over(self._learnt)
+        self._learnt = known_state.over(self._learnt)
 
     # -- reads ---------------------------------------------------------------------------
 
     @property
-    def unread(self) -> bool:
+    def has_unread_commits(self) -> bool:
         """Whether a confirmed or refused transaction is still to be checked against a read."""
         return bool(self._confirmed or self._checking or self._conflicts)
 
     def begin(self) -> int:
         """Starts a read and returns the revision after which it has to ask for changes."""
-        self._floor = max([self._book.ledger, *self._confirmed])
+        self._floor = max([self._replica.state_revision, *self._confirmed])
         self._checking, self._conflicts = {**self._checking, **self._conflicts}, {}
-        return self._book.ledger if self._last is None else self._last[0] - 1
+        return self._replica.state_revision if self._last is None else self._last[0] - 1
 
-    def read(self, events: list[Event], ledger: int) -> list[Event]:
+    def read(self, events: list[Event], state_revision: int) -> list[Event]:
         """Checks the changes that a read returned, up to revision `ledger`, and returns those
         that the book does not have yet. Raises Doubt if they contradict what is known, and Gone
         if they begin an epoch, so that everything has to be read again."""
         if self.verdict is not None:
-            raise Doubt("the state service has lost data")
-        if why := self._contradiction(events, ledger):
+            raise ContradictoryAnswer("the state service has lost data")
+        if why := self._contradiction(events, state_revision):
             self._suspect("history", why)
-        new = [event for event in events if event.version > self._book.ledger]
-        if any(event.key == ERA_KEY for event in new):
+        new = [event for event in events if event.version > self._replica.state_revision]
+        if any(event.key == EPOCH_KEY for event in new):
             # The book may be from before a loss. The full read keeps a copy of it first.
             raise Gone
         changed = {event.key for event in new}
         stuck = sorted(
             key
             for key, version in self._checking.items()
-            if key not in changed and self._book.version_of(key) == version
+            if key not in changed and self._replica.version_of(key) == version
         )
         self._checking = {}
         if stuck:
@@ -154,23 +156,25 @@
                 self.to_look = stuck
             self._suspect("records", f"{stuck[0]} has another version, but no read shows a change")
         if self.to_look:
-            raise Doubt(self.suspicion)
-        self._take_in(new, ledger)
+            raise ContradictoryAnswer(self.suspicion)
+        self._take_in(new, state_revision)
         if self.suspicion:
             log.info("no longer suspected of having lost data: %s", self.suspicion)
             self.suspicion, self.contradicted = "", False
         return new
 
-    def odd(self, page: list[Event], after: str | None, last: str | None, ledger: int) -> list[str]:
+    def odd(
+        self, page: list[Event], after: str | None, last: str | None, state_revision: int
+    ) -> list[str]:
         """Returns keys that the book has and that a page of records lacks or has in another
         version. The page covers the keys after `after` up to `last` (None: no bound) as of
         revision `ledger`. The book must have been read since: a record that it has unchanged from
         before that revision has to be in the page with the same version."""
         shown = {event.key: event.version for event in page}
         result: list[str] = []
-        for key, version in self._book.versions():
+        for key, version in self._replica.versions():
             within = (after is None or key > after) and (last is None or key <= last)
-            if within and version <= ledger and shown.get(key) != version:
+            if within and version <= state_revision and shown.get(key) != version:
                 result.append(key)
         return result
 
@@ -187,26 +191,26 @@
         """Takes the version (0: missing) that a read of this record alone has returned. The read
         must have begun after the suspicion was raised."""
         self.to_look = [other for other in self.to_look if other != key]
-        known = self._book.version_of(key)
+        known = self._replica.version_of(key)
         if known is not None and version != known:
             # It may have changed after the last read of the changes; the next one decides.
             self._conflicts[key] = known
             self._looked.add(key)
 
-    def _take_in(self, new: list[Event], ledger: int) -> None:
+    def _take_in(self, new: list[Event], state_revision: int) -> None:
         for event in new:
             self._read.setdefault(event.version, set()).add(event.key)
         while len(self._read) > REMEMBERED:
             self._from = next(iter(self._read))
             del self._read[self._from]
-        self._confirmed = {r: puts for r, puts in self._confirmed.items() if r > ledger}
+        self._confirmed = {r: puts for r, puts in self._confirmed.items() if r > state_revision}
         if new:
             at = new[-1].version
             self._last = at, [event for event in new if event.version == at]
 
-    def _contradiction(self, events: list[Event], ledger: int) -> str:
-        if ledger < self._floor:
-            return f"read revision {ledger} after revision {self._floor}"
+    def _contradiction(self, events: list[Event], state_revision: int) -> str:
+        if state_revision < self._floor:
+            return f"read revision {state_revision} after revision {self._floor}"
         for revision in self._missing:
             return f"a later read did not contain our write at revision {revision}"
         if self._last is not None:
@@ -217,30 +221,32 @@
         for event in events if self._confirmed else ():
             shown.setdefault(event.version, set()).add(event.key)
         for revision, puts in self._confirmed.items():
-            if revision <= ledger and not self._shown(puts, shown.get(revision)):
+            if revision <= state_revision and not self._shown(puts, shown.get(revision)):
                 return f"the changes read do not contain our write at revision {revision}"
         return ""
 
-    def reread(self, items: list[Event], ledger: int) -> None:
+    def reread(self, items: list[Event], state_revision: int) -> None:
         """Checks a full read at revision `ledger`. There is one after a confirmed loss, in a new
         epoch, and when the service no longer has the changes that were asked for. Raises Doubt
         if it contradicts what is known and no new epoch has begun. In a new epoch, `kept` becomes
         a copy of the book as it was before."""
-        era = next((event.value["e"] for event in items if event.key == ERA_KEY), 0)
-        odd = ledger < self._floor or era < self._book.era
-        if era <= self._book.era and (self.verdict is not None or odd):
+        epoch = next((event.value["e"] for event in items if event.key == EPOCH_KEY), 0)
+        odd = state_revision < self._floor or epoch < self._replica.epoch
+        if epoch <= self._replica.epoch and (self.verdict is not None or odd):
             # Until a new epoch begins, the book must not be replaced: it is what gets restored.
-            self._suspect("history", f"read revision {ledger} after revision {self._floor}")
-        if era > self._book.era:
-            self.on_era()
-        if era > self._book.era and self._was_read:
-            older = self.kept if self._learnt is None else self._learnt.over(self.kept)
+            self._suspect("history", f"read revision {state_revision} after revision {self._floor}")
+        if epoch > self._replica.epoch:
+            self.on_epoch_change()
+        if epoch > self._replica.epoch and self._was_read:
+            older = (
+                self.known_state if self._learnt is None else self._learnt.over(self.known_state)
+            )
             # Writes that were confirmed and not read yet count too: users may have been told.
             written = {**self._missing, **self._confirmed}
-            self.kept = keep(self._book, self.contradicted, written).over(older)
+            self.known_state = keep(self._replica, self.contradicted, written).over(older)
             self._learnt = None
         self._was_read = True
-        self._last, self._from = None, ledger
+        self._last, self._from = None, state_revision
         self._read.clear()
         self._confirmed.clear()
         self._conflicts.clear()
@@ -262,7 +268,7 @@
         elif self.verdict is None:
             log.warning("the state service is suspected of having lost data: %s", why)
         self.suspicion = why
-        raise Doubt(why)
+        raise ContradictoryAnswer(why)
 
     def _judge(self, kind: Kind, why: str) -> None:
         """Confirms a loss."""
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -5,120 +5,130 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Any, NamedTuple
 
-from ryegauge.bookkeeping.jobbook import (
+from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state import Put
+from ryegauge.bookkeeping.state_replica import (
+    Assignment,
     Job,
-    JobBook,
     Outcome,
-    Share,
+    StateReplica,
+    assignment_key,
     job_key,
     job_record,
+    needs_piece_key,
     outcome_key,
-    page_key,
-    piece_key,
-    share_key,
+    overflow_page_key,
 )
-from ryegauge.bookkeeping.ranges import Ranges
-from ryegauge.bookkeeping.state import Put
 
 
-class Known(NamedTuple):
+class KnownRecord(NamedTuple):
     """A record's value with its age: epochs are compared first, then versions. The version is 0
     for records that never change, whose versions the job book does not keep."""
 
     value: Any
-    era: int
+    epoch: int
     version: int
 
 
-class Kept(NamedTuple):
+class KnownState(NamedTuple):
     """Records, and outcomes with task counts of jobs that have left the book.
 
     `lived` is true if this controller detected the loss itself. It then knows everything that it
     took part in before the loss."""
 
-    records: dict[str, Known]
-    finals: dict[str, tuple[Outcome, int]]
-    lived: bool
+    records: dict[str, KnownRecord]
+    final_outcomes: dict[str, tuple[Outcome, int]]
+    saw_loss: bool
 
-    def over(self, older: "Kept | None") -> "Kept":
+    def over(self, older: "Kept | None") -> "KnownState":
         """Returns this state completed by an older one: from an earlier epoch, if two losses
         followed each other, or from a snapshot. The newer record wins. Records of jobs with a
         known outcome are dropped."""
         if older is None:
             return self
-        finals = {**older.finals, **self.finals}
+        final_outcomes = {**older.final_outcomes, **self.final_outcomes}
         records = dict(older.records)
         for key, known in self.records.items():
             records[key] = _both(known, records[key]) if key in records else known
         left = {
             key: known
             for key, known in records.items()
-            if not (key.startswith(("r/j/", "r/s/")) and key.split("/")[2] in finals)
+            if not (key.startswith(("r/j/", "r/s/")) and key.split("/")[2] in final_outcomes)
         }
-        return Kept(left, finals, self.lived)
+        return KnownState(left, final_outcomes, self.saw_loss)
 
 
-def _both(one: Known, two: Known) -> Known:
+def _both(one: KnownRecord, two: KnownRecord) -> KnownRecord:
     """Returns the newer of two records, with the facts of the older one that are never undone:
     a cancellation and done tasks. Without them, after a second loss, the incomplete book left
     by the first one would hide a cancellation that had not been restored yet."""
-    newer, older = (one, two) if (one.era, one.version) >= (two.era, two.version) else (two, one)
+    newer, older = (
+        (one, two) if (one.epoch, one.version) >= (two.epoch, two.version) else (two, one)
+    )
     if not isinstance(newer.value, dict) or not isinstance(older.value, dict):
         return newer
     if older.value.get("x") and not newer.value.get("x"):
-        return Known(older.value, newer.era, newer.version)
+        return KnownRecord(older.value, newer.epoch, newer.version)
     if older.value.get("d") and "t" in newer.value and isinstance(older.value["d"], list):
-        share = Share.from_record(newer.value, newer.version)
-        share.done = share.done | Ranges.from_flat(older.value["d"])
-        share.allotted = {zone: tasks - share.done for zone, tasks in share.allotted.items()}
-        return newer._replace(value=share.to_record())
+        assignment = Assignment.from_record(newer.value, newer.version)
+        assignment.done = assignment.done | Ranges.from_flat(older.value["d"])
+        assignment.assigned = {
+            zone: tasks - assignment.done for zone, tasks in assignment.assigned.items()
+        }
+        return newer._replace(value=assignment.to_record())
     return newer
 
 
-def stamp(version: int, origin: tuple[int, int] | None, book: JobBook) -> tuple[int, int]:
+def stamp(version: int, origin: tuple[int, int] | None, replica: StateReplica) -> tuple[int, int]:
     """Returns epoch and version of a record in the book. `origin` is that of a restored record,
     from before the loss. A record that was neither restored nor written in this epoch counts as
     one of the epoch before."""
     if origin is not None:
         return origin
-    return (book.era if version > book.era_start else max(0, book.era - 1)), version
+    return (replica.epoch if version > replica.epoch_start else max(0, replica.epoch - 1)), version
 
 
-def _of_job(job: Job, book: JobBook) -> Iterator[tuple[str, Known]]:
+def _of_job(job: Job, replica: StateReplica) -> Iterator[tuple[str, KnownRecord]]:
     """Records of a job, its shares and its pages, by key."""
     uid = job.spec.uid
     record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
-    yield job_key(uid), Known(record, *stamp(job.version, None, book))
-    for part, share in job.shares.items():
-        known = Known(share.to_record(), *stamp(share.version, share.origin, book))
-        yield share_key(uid, part), known
-    for (part, number), tasks in job.sealed.items():
-        yield page_key(uid, part, number), Known({"d": tasks.flat()}, 0, 0)
+    yield job_key(uid), KnownRecord(record, *stamp(job.version, None, replica))
+    for shard, assignment in job.assignments.items():
+        known = KnownRecord(
+            assignment.to_record(), *stamp(assignment.version, assignment.origin, replica)
+        )
+        yield assignment_key(uid, shard), known
+    for (shard, number), tasks in job.overflow_pages.items():
+        yield overflow_page_key(uid, shard, number), KnownRecord({"d": tasks.flat()}, 0, 0)
 
 
 # Keys that are not restored: roles, enrolments and the epoch itself are void after a loss.
 FLEETING = ("r/p/", "r/l", "r/n/", "r/e")
 
 
-def keep(book: JobBook, lived: bool, written: Mapping[int, Iterable[Put]] | None = None) -> Kept:
+def keep(
+    replica: StateReplica, saw_loss: bool, written: Mapping[int, Iterable[Put]] | None = None
+) -> KnownState:
     """Copies everything in the book except roles, and the `written` records, by revision, that
     were confirmed to this controller and not read yet. `lived` is passed on to the result."""
-    records: dict[str, Known] = {}
-    for job in book.jobs.values():
-        records.update(_of_job(job, book))
-    for uid, digest, number, names in book.pieces():
-        records[piece_key(uid, digest, number)] = Known({"n": list(names)}, book.era, 0)
-    for uid, outcome in book.outcomes.items():
-        records[outcome_key(uid)] = Known({"st": outcome}, book.era, 0)
-    for name, value in book.types.items():
-        records[f"r/c/{name}"] = Known(value, book.era, 0)
-    for uid, (value, version) in book.debts.items():
-        records[f"r/q/{uid}"] = Known(value, book.era, version)
-    finals = {**book.packed, **book.finals}
+    records: dict[str, KnownRecord] = {}
+    for job in replica.jobs.values():
+        records.update(_of_job(job, replica))
+    for uid, digest, number, names in replica.pieces():
+        records[needs_piece_key(uid, digest, number)] = KnownRecord(
+            {"n": list(names)}, replica.epoch, 0
+        )
+    for uid, outcome in replica.outcomes.items():
+        records[outcome_key(uid)] = KnownRecord({"st": outcome}, replica.epoch, 0)
+    for name, value in replica.types.items():
+        records[f"r/c/{name}"] = KnownRecord(value, replica.epoch, 0)
+    for uid, (value, version) in replica.pending_replies.items():
+        records[f"r/q/{uid}"] = KnownRecord(value, replica.epoch, version)
+    final_outcomes = {**replica.restored_outcomes, **replica.final_outcomes}
     for revision, puts in sorted((written or {}).items()):
         for put in puts:
             if put.key.startswith("f/"):
-                finals[put.key[2:]] = (put.value["st"], put.value["d"])
+                final_outcomes[put.key[2:]] = (put.value["st"], put.value["d"])
             elif put.key.startswith("r/") and not put.key.startswith((*FLEETING, "r/k/")):
-                records[put.key] = Known(put.value, book.era, revision)
-    return Kept(records, finals, lived)
+                records[put.key] = KnownRecord(put.value, replica.epoch, revision)
+    return KnownState(records, final_outcomes, saw_loss)
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -15,9 +15,9 @@
 import cbor2
 import zstandard
 
-from ryegauge.bookkeeping.jobbook import JobBook
+from ryegauge.bookkeeping.state_replica import StateReplica
 from ryegauge.config import Settings
-from ryegauge.rebuilding.records import Kept, Known
+from ryegauge.rebuilding.records import KnownRecord, KnownState
 
 MARK = b"ryegauge snapshot "
 FORMAT = 1
@@ -32,21 +32,21 @@
     """The file is truncated, corrupted, or of another format or fleet; the message says which."""
 
 
-class About(NamedTuple):
+class SnapshotHeader(NamedTuple):
     """The header of a snapshot. The order of the fields is part of the file format."""
 
     fleet: str  # identifies the fleet, see `fleet_of`
     node: str  # the controller that took it
     at: float  # Unix time in seconds
-    era: int
-    ledger: int  # revision of the state service
+    epoch: int
+    state_revision: int  # revision of the state service
 
 
 class Snapshot(NamedTuple):
     """The content of a snapshot file."""
 
-    about: About
-    kept: Kept
+    header: SnapshotHeader
+    known_state: KnownState
 
 
 def fleet_of(settings: Settings) -> str:
@@ -56,12 +56,12 @@
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-def name_of(about: About) -> str:
+def snapshot_name(header: SnapshotHeader) -> str:
     """Returns the file name of a snapshot. Names sort by the time at which it was taken."""
-    return f"{round(1000 * about.at):015d}-{about.node}{SUFFIX}"
+    return f"{round(1000 * header.at):015d}-{header.node}{SUFFIX}"
 
 
-def encoded(about: About, kept: Kept) -> Iterator[bytes]:
+def encode_snapshot(header: SnapshotHeader, known_state: KnownState) -> Iterator[bytes]:
     """Yields the file in chunks, each of which takes a few milliseconds to make."""
     digest = hashlib.sha256()
     compressor = zstandard.ZstdCompressor(level=3).compressobj()
@@ -71,17 +71,17 @@
         return data
 
     yield piece(MARK + bytes([FORMAT]))
-    yield piece(compressor.compress(cbor2.dumps(list(about))))
+    yield piece(compressor.compress(cbor2.dumps(list(header))))
     some: list[list[Any]] = []
-    for key, known in kept.records.items():
+    for key, known in known_state.records.items():
         some.append([key, *known])
         if len(some) == PIECE:
             yield piece(compressor.compress(cbor2.dumps(["records", some])))
             some = []
     yield piece(compressor.compress(cbor2.dumps(["records", some])))
-    finals = [[uid, *outcome] for uid, outcome in kept.finals.items()]
-    for first in range(0, len(finals), 10 * PIECE):
-        some = finals[first : first + 10 * PIECE]
+    final_outcomes = [[uid, *outcome] for uid, outcome in known_state.final_outcomes.items()]
+    for first in range(0, len(final_outcomes), 10 * PIECE):
+        some = final_outcomes[first : first + 10 * PIECE]
         yield piece(compressor.compress(cbor2.dumps(["finals", some])))
     yield piece(compressor.flush())
     yield digest.digest()
@@ -101,47 +101,53 @@
         raise Unusable("is truncated or corrupted: the digest does not match")
     plain = io.BytesIO(zstandard.ZstdDecompressor().decompressobj().decompress(body[start:]))
     size = len(plain.getbuffer())
-    about = About(*cbor2.load(plain))
-    if fleet is not None and about.fleet != fleet:
-        raise Unusable(f"is of another fleet ({about.fleet}; this is {fleet})")
-    records: dict[str, Known] = {}
-    finals: dict[str, Any] = {}
+    header = SnapshotHeader(*cbor2.load(plain))
+    if fleet is not None and header.fleet != fleet:
+        raise Unusable(f"is of another fleet ({header.fleet}; this is {fleet})")
+    records: dict[str, KnownRecord] = {}
+    final_outcomes: dict[str, Any] = {}
     while plain.tell() < size:
         kind, entries = cbor2.load(plain)
         if kind == "records":
-            records.update((key, Known(value, era, v)) for key, value, era, v in entries)
+            records.update((key, KnownRecord(value, epoch, v)) for key, value, epoch, v in entries)
         elif kind == "finals":
-            finals.update((uid, (status, done)) for uid, status, done in entries)
-    return Snapshot(about, Kept(records, finals, False))
+            final_outcomes.update((uid, (status, done)) for uid, status, done in entries)
+    return Snapshot(header, KnownState(records, final_outcomes, False))
 
 
-def proof(snapshot: Snapshot, book: JobBook) -> str:
+def evidence_of_loss(snapshot: Snapshot, replica: StateReplica) -> str:
     """Says why the state service must have lost data that the snapshot has; empty if the
     snapshot does not show a loss. A snapshot is normally older than the book, so what it lacks
     or has in an older version shows nothing."""
-    about = snapshot.about
-    if about.era > book.era:
-        return f"a snapshot is of epoch {about.era}, the state service of epoch {book.era}"
-    if about.era < book.era:
+    header = snapshot.header
+    if header.epoch > replica.epoch:
+        return f"a snapshot is of epoch {header.epoch}, the state service of epoch {replica.epoch}"
+    if header.epoch < replica.epoch:
         return ""  # losses after it were dealt with when the present epoch began
-    if about.ledger > book.ledger:
-        return f"a snapshot is of revision {about.ledger}, the state service of {book.ledger}"
-    for key, known in snapshot.kept.records.items():
-        if not key.startswith("r/j/") or key.split("/")[2] not in book.jobs:
+    if header.state_revision > replica.state_revision:
+        return f"a snapshot is of revision {header.state_revision}, the state service of {replica.state_revision}"
+    for key, known in snapshot.known_state.records.items():
+        if not key.startswith("r/j/") or key.split("/")[2] not in replica.jobs:
             continue
-        if known.era == book.era and (book.version_of(key) or 0) < known.version:
+        if known.epoch == replica.epoch and (replica.version_of(key) or 0) < known.version:
             return f"a snapshot has {key} in a later version: {known.version}"
     return ""
 
 
-def unaccounted(snapshot: Snapshot, book: JobBook) -> Iterator[str]:
+def missing_jobs(snapshot: Snapshot, replica: StateReplica) -> Iterator[str]:
     """Yields the jobs of a snapshot that are not in the book. They are lost unless they have
     ended and been archived meanwhile."""
-    kept = snapshot.kept
-    jobs = (key[4:] for key in kept.records if key.startswith("r/j/") and key.count("/") == 2)
-    return (uid for uid in (*jobs, *kept.finals) if uid not in book.jobs and uid not in book.packed)
-
-
-def outdated(names: Iterable[str], kept: int) -> list[str]:
+    known_state = snapshot.known_state
+    jobs = (
+        key[4:] for key in known_state.records if key.startswith("r/j/") and key.count("/") == 2
+    )
+    return (
+        uid
+        for uid in (*jobs, *known_state.final_outcomes)
+        if uid not in replica.jobs and uid not in replica.restored_outcomes
+    )
+
+
+def snapshots_to_delete(names: Iterable[str], known_state: int) -> list[str]:
     """Returns the files to delete out of one controller's: all but the `kept` newest."""
-    return sorted(name for name in names if name.endswith(SUFFIX))[:-kept]
+    return sorted(name for name in names if name.endswith(SUFFIX))[:-known_state]
