--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -67,7 +67,7 @@
         self._hold_before = float("-inf")
         self._started_at = context.wall()
         context.surely_unassigned = self._surely_open
-        peer_messenger.saw_loss, peer_messenger.on_audit = self._lives, self.audit
+        peer_messenger.can_vouch, peer_messenger.on_audit = self._lives, self.audit
         front.on_record_missing = self.record_lost
         self.loss_detector = LossDetector(context.replica)
         self.loss_detector.on_epoch_change = self._stop
@@ -233,7 +233,7 @@
             saw_loss = [
                 name
                 for name, answer in self._peer_messenger.hello_answers.items()
-                if answer.saw_loss
+                if answer.can_vouch
             ]
             for name in saw_loss:
                 answer = await self._peer_messenger.ask(
@@ -280,7 +280,7 @@
                 # it once more, so that guards of the old epoch fail.
                 await self._write_epoch(record, revision)
         self._highest = 0
-        self._context.syncer.reread()
+        self._context.syncer.request_full_read()
         await self._context.syncer.wait_for_read()
 
     async def _write_epoch(self, record: dict[str, object], version: int) -> int:
@@ -407,7 +407,7 @@
                 )
                 self._counts[kind] = self._counts.get(kind, 0) + 1
         # Only a full read shows shares that were in the service without their job.
-        self._context.syncer.reread()
+        self._context.syncer.request_full_read()
         await self._context.syncer.wait_for_read()
         return False
 
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -47,7 +47,8 @@
     """Checks every answer of the state service against the job book (see the module).
 
     `suspicion` and `verdict` hold the result. The synchronizer calls `begin` before each read and
-    `read` or `reread` with its answer; the client calls `confirmed` and `conflicted` after writes.
+    `read` or `on_full_read` with its answer; the client calls `on_committed` or `on_conflict`
+    after each transaction.
     """
 
     def __init__(self, replica: StateReplica) -> None:
@@ -225,7 +226,7 @@
                 return f"the changes read do not contain our write at revision {revision}"
         return ""
 
-    def reread(self, items: list[Event], state_revision: int) -> None:
+    def on_full_read(self, items: list[Event], state_revision: int) -> None:
         """Checks a full read at revision `ledger`. There is one after a confirmed loss, in a new
         epoch, and when the service no longer has the changes that were asked for. Raises Doubt
         if it contradicts what is known and no new epoch has begun. In a new epoch, `kept` becomes
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -142,7 +142,7 @@
             _, _, _, shard, number = key.split("/")
             job.set_overflow_page(int(shard), int(number), Ranges.from_flat(page.value["d"]))
         job.update_counts()
-        if job.over and not job.assigned_count:
+        if job.is_terminal and not job.assigned_count:
             over[uid] = (job.status, job.done_count)
         else:
             rank = PRIORITIES.index(job.spec.priority)
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -40,7 +40,7 @@
     final_outcomes: dict[str, tuple[Outcome, int]]
     saw_loss: bool
 
-    def over(self, older: "Kept | None") -> "KnownState":
+    def over(self, older: "KnownState | None") -> "KnownState":
         """Returns this state completed by an older one: from an earlier epoch, if two losses
         followed each other, or from a snapshot. The newer record wins. Records of jobs with a
         known outcome are dropped."""
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -125,7 +125,10 @@
     if header.epoch < replica.epoch:
         return ""  # losses after it were dealt with when the present epoch began
     if header.state_revision > replica.state_revision:
-        return f"a snapshot is of revision {header.state_revision}, the state service of {replica.state_revision}"
+        return (
+            f"a snapshot is of revision {header.state_revision}, "
+            f"the state service of {replica.state_revision}"
+        )
     for key, known in snapshot.known_state.records.items():
         if not key.startswith("r/j/") or key.split("/")[2] not in replica.jobs:
             continue
--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -332,7 +332,7 @@
                 and self._held(b) != p
                 and b.recovery_stage == GRACE_PERIOD
                 and JOB in b.jobs
-                and not b.jobs[JOB].over
+                and not b.jobs[JOB].is_terminal
                 and self.bug != "adopted not counted"
                 for p, (_, run) in enumerate(s.workers)
             )
@@ -343,7 +343,7 @@
                     yield s._replace(chain=chain)
             return
         job = b.jobs.get(JOB)
-        if job is None or job.over or job.assigned_count:
+        if job is None or job.is_terminal or job.assigned_count:
             return
         if s.controllers[0].anew and not b.epoch and any(run for _, run in s.workers):
             return  # after a start it waits for two reports, which show the running attempt
@@ -379,7 +379,7 @@
         job = b.jobs.get(JOB)
         mine = self._held(b) == n
         if run and not mine:
-            lost = job is None or not (job.over or job.assigned_count)
+            lost = job is None or not (job.is_terminal or job.assigned_count)
             if (
                 b.recovery_stage == RECOVERED
                 and lost
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -128,7 +128,7 @@
     name = uid(n)
     if name in replica.jobs:
         job = replica.jobs[name]
-        return (job.status, job.done_count) if job.over else None
+        return (job.status, job.done_count) if job.is_terminal else None
     if name in replica.restored_outcomes:
         return replica.restored_outcomes[name]
     record = service.data.get(archive_key(name))
--- a/tests/test_noticing.py
+++ b/tests/test_noticing.py
@@ -42,7 +42,7 @@
     def reread(self) -> None:
         self.loss_detector.begin()
         last = {event.key: event for event in self.history}
-        self.loss_detector.reread(sorted(last.values()), len(self.history))
+        self.loss_detector.on_full_read(sorted(last.values()), len(self.history))
         self.replica.replace(sorted(last.values()), len(self.history))
 
 
