--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -37,7 +37,7 @@
 
 log = logging.getLogger(__name__)
 
-# Outcomes of archived jobs that the book keeps per MB of memory; they take about 1% of it.
+# Outcomes of archived jobs that the replica keeps per MB of memory; they take about 1% of it.
 FINALS_PER_MB = 60
 
 # Interval between the leader's audits of all records, in worker leases.
@@ -48,7 +48,7 @@
     """Runs loss detection, audits and the restore of one controller.
 
     It installs the loss detector in the state client and the synchronizer, and its callbacks in
-    the desk, the mesh and the front door. `disk` holds the snapshots, if there are any.
+    the node context, the peer messenger and the job API. `disk` holds the snapshots, if there are any.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
             self._snapshots = snapshotting.Snapshotting(context, self.loss_detector, disk)
 
     def _stop(self) -> None:
-        """Gives up all roles, before the book changes to another epoch."""
+        """Gives up all roles, before the replica changes to another epoch."""
         self._context.owned.clear()
         self._context.previous_leader, self._context.leader = self._context.leader, None
 
@@ -145,7 +145,7 @@
 
     async def _look_for_signs(self) -> None:
         """Checks what workers report: tokens above the present revision, and running tasks that
-        no share holds and whose jobs have not ended. Either shows a loss, if it still does
+        no assignment holds and whose jobs have not ended. Either shows a loss, if it still does
         after a read that began later."""
         if self._highest:
             await self._context.syncer.wait_for_read()
@@ -170,7 +170,7 @@
                     owner.clear_unrecorded(key, attempt)
                 else:
                     self.loss_detector.report_loss(
-                        f"task {key[0]}/{key[1]} runs, but no share holds it"
+                        f"task {key[0]}/{key[1]} runs, but no assignment holds it"
                     )
                     return
 
@@ -181,7 +181,7 @@
         return self.open and not self.data_loss_suspected()
 
     async def audit(self, pause_s: float = 0.0) -> bool | None:
-        """Reads all records and returns whether everything in the book is still in the state
+        """Reads all records and returns whether everything in the replica is still in the state
         service; None if that cannot be told. Pauses for `pause_s` after each page."""
         pages: list[tuple[list[Event], str | None, str | None, int]] = []
         after: str | None = None
@@ -250,8 +250,8 @@
                 break
             await trio.sleep(self._context.report_s / 10)
         # All controllers have just started. The workers' reports may still show running tasks
-        # whose shares were lost. Until the reports are in, open tasks of jobs that were in the
-        # book at the start are not assigned.
+        # whose assignments were lost. Until the reports are in, open tasks of jobs that were in the
+        # replica at the start are not assigned.
         self._hold_before = trio.current_time() + 2 * self._context.settings.report_gap_s
         self._job_api.not_found_after = self._hold_before
         self.open = True
@@ -276,7 +276,7 @@
             version = 0 if found is None else found[1]
             revision = await self._write_epoch(record, version)
             if revision in (self._context.replica.epoch_version, self._context.replica.epoch_start):
-                # The new record has the version that the book knows from the old epoch: write
+                # The new record has the version that the replica knows from the old epoch: write
                 # it once more, so that guards of the old epoch fail.
                 await self._write_epoch(record, revision)
         self._highest = 0
@@ -297,7 +297,7 @@
 
     async def _rebuild(self, now: float) -> None:
         """One step of the restore: restores what this controller knows when it is its turn,
-        adopts unrecorded tasks in the parts that it owns and, if it leads, begins the next
+        adopts unrecorded tasks in the shards that it owns and, if it leads, begins the next
         stage."""
         replica, controller_lease = self._context.replica, self._context.controller_lease
         if not controller_lease.valid(now) or controller_lease.epoch != replica.epoch:
@@ -380,7 +380,7 @@
         )
 
     async def _put_back(self) -> bool:
-        """Writes what the book lacks of this controller's known records. Returns whether it
+        """Writes what the replica lacks of this controller's known records. Returns whether it
         lacked nothing; otherwise the caller has to call again."""
         known_state = self.loss_detector.known_state
         if known_state is None:
@@ -406,7 +406,7 @@
                     change.key.split("/")[1], "others"
                 )
                 self._counts[kind] = self._counts.get(kind, 0) + 1
-        # Only a full read shows shares that were in the service without their job.
+        # Only a full read shows assignments that were in the service without their job.
         self._context.syncer.request_full_read()
         await self._context.syncer.wait_for_read()
         return False
@@ -424,7 +424,7 @@
             log.info("not restored, since it has changed: %s", conflict)
 
     async def _adopt(self, shard: int, owner: ShardOwner) -> None:
-        """Adds the unrecorded tasks of a part to its shares."""
+        """Adds the unrecorded tasks of a shard to its assignments."""
         unrecorded = [
             UnrecordedTask(key[0], key[1], zone, done)
             for (key, _), (_, zone, done) in owner.unrecorded.items()
@@ -435,7 +435,7 @@
         for write in writes:
             await self._write_alone(write)
         if writes:
-            log.info("part %d adopts unrecorded tasks of %d jobs", shard, len(writes))
+            log.info("shard %d adopts unrecorded tasks of %d jobs", shard, len(writes))
             await self._context.syncer.wait_for_read()
 
     def _surely_open(self, job: Job) -> bool:
--- a/ryegauge/coordination/snapshotting.py
+++ b/ryegauge/coordination/snapshotting.py
@@ -31,11 +31,11 @@
 # Snapshots that a controller keeps of its own; older ones are deleted.
 KEPT = 3
 
-# Jobs of a snapshot, missing in the book, that are looked up in the state service one by one.
+# Jobs of a snapshot, missing in the replica, that are looked up in the state service one by one.
 LOOKED_UP = 20
 
-# Pause between two chunks of a snapshot, as a share of the report interval. Taking a snapshot is
-# not urgent and must not delay anything else.
+# Pause between two chunks of a snapshot, as a share of the report interval. Taking a snapshot
+# is not urgent and must not delay anything else.
 PAUSE = 0.01
 
 
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -6,7 +6,7 @@
     tag(job, n) = ready_at + patience(rank) * (1 + n),   n = 0, 1, 2, ...
     patience(rank) = patience_s * factor ** rank
 
-where n counts the job's tasks that are done or assigned to a part. These are the tags of
+where n counts the job's tasks that are done or assigned to a shard. These are the tags of
 start-time fair queueing with one task as the unit of service.
 
 - Due tasks go first, in the order of their tags, as long as the assigned due tasks with earlier
@@ -18,7 +18,7 @@
 - While urgent jobs wait whose weight is at least the ceiling (a burst), other aged tasks yield,
   each for at most one more `patience(rank)` after its tag.
 
-The order follows from the job book and the time alone; the policy has no state. If a task is
+The order follows from the replica and the time alone; the policy has no state. If a task is
 preempted, n decreases again and the task has the same tag as before; done tasks stay counted.
 """
 
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -16,8 +16,8 @@
     submitted_at: float
     ready_at: float  # when the last job that it needs was done, else its submission
     within_guarantee: bool  # fits into its team's guarantee together with the team's earlier jobs
-    open_task_count: int  # number of tasks neither done nor assigned to a part
-    served: int  # number of tasks done or assigned to a part
+    open_task_count: int  # number of tasks neither done nor assigned to a shard
+    served: int  # number of tasks done or assigned to a shard
     # The largest share of the fleet's CPUs, memory or GPUs that one task takes.
     weight: float
     cpus: float  # per task, as `gpus`
@@ -28,7 +28,7 @@
 
 
 class AssignedTasks(NamedTuple):
-    """The tasks of one job that are assigned to parts, running or about to start."""
+    """The tasks of one job that are assigned to shards, running or about to start."""
 
     rank: int  # as in Waiting, also `ready_at` and `weight`
     ready_at: float
--- a/ryegauge/rebuilding/adopting.py
+++ b/ryegauge/rebuilding/adopting.py
@@ -1,5 +1,5 @@
-"""Adoption of unrecorded tasks: tasks that machines report and that no share holds, because
-their record was lost. They are added to the part's shares instead of being killed."""
+"""Adoption of unrecorded tasks: tasks that machines report and that no assignment holds, because
+their record was lost. They are added to the shard's assignments instead of being killed."""
 
 # kind: decisions
 
@@ -12,16 +12,16 @@
 
 
 class UnrecordedTask(NamedTuple):
-    """A task that a machine of the part reports and that no share holds."""
+    """A task that a machine of the shard reports and that no assignment holds."""
 
     uid: str
     number: int
-    zone: str  # as in shares: empty unless the job records zones
+    zone: str  # as in assignments: empty unless the job records zones
     done: bool  # has ended successfully
 
 
 def adoptable(replica: StateReplica, uid: str, index: int) -> bool:
-    """Whether the book has the job and its task is neither done nor held by a part."""
+    """Whether the replica has the job and its task is neither done nor held by a shard."""
     job = replica.jobs.get(uid)
     return job is not None and job.is_open(index)
 
@@ -29,9 +29,9 @@
 def adoption_writes(
     replica: StateReplica, shard: int, shards: int, unrecorded: Iterable[UnrecordedTask]
 ) -> list[Transaction]:
-    """Returns writes, one per job, that add the unrecorded tasks to the part's share. Each is
-    guarded by the shares of all parts, including those that do not exist, so that no two parts
-    can adopt the same task."""
+    """Returns one transaction per job, which adds the unrecorded tasks to the shard's assignment.
+    It is guarded by the assignments of all shards, including those that do not exist, so that no
+    two shards can adopt the same task."""
     by_job: dict[str, list[UnrecordedTask]] = {}
     for stray in unrecorded:
         if adoptable(replica, stray.uid, stray.number):
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -3,11 +3,11 @@
 The first contradiction raises a suspicion; a second one, in a read that began after it, confirms
 the loss. Three checks look for contradictions:
 
-- Every read of changes begins one revision before the last one in the job book, so its answer
+- Every read of changes begins one revision before the last one in the replica, so its answer
   must repeat that revision's changes exactly. A service that was reset to an earlier revision
-  returns different ones there, even if its revision has since grown past the book's.
+  returns different ones there, even if its revision has since grown past the replica's.
 - Every write that was confirmed to this controller must appear in the reads.
-- If a transaction was refused because a record has another version than the book, the next read
+- If a transaction was refused because a record has another version than the replica, the next read
   must show that record's change.
 """
 
@@ -44,7 +44,7 @@
 
 
 class LossDetector:
-    """Checks every answer of the state service against the job book (see the module).
+    """Checks every answer of the state service against the replica (see the module).
 
     `suspicion` and `verdict` hold the result. The synchronizer calls `begin` before each read and
     `read` or `on_full_read` with its answer; the client calls `on_committed` or `on_conflict`
@@ -59,7 +59,7 @@
         self._floor = 0  # lowest revision that the answer of the current read may have
         self._confirmed: dict[int, list[Put]] = {}  # own writes that no read has shown yet
         self._missing: dict[int, list[Put]] = {}  # own writes that a later read did not contain
-        # Keys of failed guards and the book's versions of them: since the last read began, and
+        # Keys of failed guards and the replica's versions of them: since the last read began, and
         # those that the current read has to show as changed.
         self._conflicts: dict[str, int] = {}
         self._checking: dict[str, int] = {}
@@ -67,14 +67,14 @@
         self._looked: set[str] = set()  # keys whose single read confirmed the suspicion
         self.suspicion = ""  # the contradiction, while it is unconfirmed
         self.verdict: Verdict | None = None
-        # Whether an answer to this controller contradicted the book since the last full read.
+        # Whether an answer to this controller contradicted the replica since the last full read.
         self.contradicted = False
         self.suspicions = 0  # number of contradictions so far
         self.known_state: KnownState | None = (
             None  # what this controller knew before the current epoch
         )
         self._learnt: KnownState | None = None  # from snapshots
-        # Called before the book changes to another epoch, so that all actions based on the old
+        # Called before the replica changes to another epoch, so that all actions based on the old
         # one stop. Otherwise an owner could place tasks of a cancelled job, which the service
         # shows as not cancelled again, between two reads.
         self.on_epoch_change: Callable[[], None] = lambda: None
@@ -132,8 +132,8 @@
         return self._replica.state_revision if self._last is None else self._last[0] - 1
 
     def read(self, events: list[Event], state_revision: int) -> list[Event]:
-        """Checks the changes that a read returned, up to revision `ledger`, and returns those
-        that the book does not have yet. Raises Doubt if they contradict what is known, and Gone
+        """Checks the changes that a read returned, up to `state_revision`, and returns those
+        that the replica does not have yet. Raises Doubt if they contradict what is known, and Gone
         if they begin an epoch, so that everything has to be read again."""
         if self.verdict is not None:
             raise ContradictoryAnswer("the state service has lost data")
@@ -141,7 +141,7 @@
             self._suspect("history", why)
         new = [event for event in events if event.version > self._replica.state_revision]
         if any(event.key == EPOCH_KEY for event in new):
-            # The book may be from before a loss. The full read keeps a copy of it first.
+            # The replica may be from before a loss. The full read keeps a copy of it first.
             raise Gone
         changed = {event.key for event in new}
         stuck = sorted(
@@ -167,10 +167,11 @@
     def odd(
         self, page: list[Event], after: str | None, last: str | None, state_revision: int
     ) -> list[str]:
-        """Returns keys that the book has and that a page of records lacks or has in another
-        version. The page covers the keys after `after` up to `last` (None: no bound) as of
-        revision `ledger`. The book must have been read since: a record that it has unchanged from
-        before that revision has to be in the page with the same version."""
+        """Returns keys of records that a page lacks or has in another version than the replica.
+
+        The page covers the keys after `after` up to `last` (None: no bound) as of `state_revision`.
+        The replica must have been read since: a record that it has unchanged from that revision
+        or before has to be in the page with the same version."""
         shown = {event.key: event.version for event in page}
         result: list[str] = []
         for key, version in self._replica.versions():
@@ -227,14 +228,14 @@
         return ""
 
     def on_full_read(self, items: list[Event], state_revision: int) -> None:
-        """Checks a full read at revision `ledger`. There is one after a confirmed loss, in a new
+        """Checks a full read at `state_revision`. There is one after a confirmed loss, in a new
         epoch, and when the service no longer has the changes that were asked for. Raises Doubt
         if it contradicts what is known and no new epoch has begun. In a new epoch, `kept` becomes
-        a copy of the book as it was before."""
+        a copy of the replica as it was before."""
         epoch = next((event.value["e"] for event in items if event.key == EPOCH_KEY), 0)
         odd = state_revision < self._floor or epoch < self._replica.epoch
         if epoch <= self._replica.epoch and (self.verdict is not None or odd):
-            # Until a new epoch begins, the book must not be replaced: it is what gets restored.
+            # Until a new epoch begins, the replica must not be replaced: it is what gets restored.
             self._suspect("history", f"read revision {state_revision} after revision {self._floor}")
         if epoch > self._replica.epoch:
             self.on_epoch_change()
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -1,9 +1,9 @@
 """Computes the writes that restore a controller's knowledge after a loss in the state service.
 
-The controllers restore one after the other, each until the job book lacks nothing that it knew.
-If both the controller and the book have a record, the newer version wins; a task that either
+The controllers restore one after the other, each until the replica lacks nothing that it knew.
+If both the controller and the replica have a record, the newer version wins; a task that either
 records as done, or a job that either records as cancelled, stays so. Every write is guarded by
-the versions in the book, so that no controller overwrites what another one has restored.
+the versions in the replica, so that no controller overwrites what another one has restored.
 """
 
 # kind: decisions
@@ -47,15 +47,15 @@
     """The known records of one job."""
 
     job: KnownRecord | None
-    assignments: dict[int, Assignment]  # by part; `origin` holds epoch and version before the loss
-    pages: dict[str, KnownRecord]  # records of sealed done tasks, by key
+    assignments: dict[int, Assignment]  # by shard; `origin` holds epoch and version before the loss
+    pages: dict[str, KnownRecord]  # overflow pages of done tasks, by key
     pieces: dict[str, KnownRecord]  # records with names of needed jobs, by key
 
 
 def restore_writes(
     known_state: KnownState, replica: StateReplica, limits: Limits, name: str
 ) -> list[Transaction]:
-    """Returns the writes that the book still lacks, the most important first; an empty list
+    """Returns the writes that the replica still lacks, the most important first; an empty list
     means that everything is restored. `name` is this controller's name, which makes the keys
     of new records unique."""
     jobs = _by_job(known_state)
@@ -81,7 +81,7 @@
 
 
 def _by_job(known_state: KnownState) -> dict[str, _Of]:
-    """Groups the known records of jobs, shares, pages and needed names by job."""
+    """Groups the known records of jobs, assignments, overflow pages and needed names by job."""
     result: dict[str, _Of] = {}
     for key, known in known_state.records.items():
         kind, uid, *rest = key.split("/")[1:]
@@ -104,7 +104,7 @@
 def _cancellations(
     jobs: dict[str, _Of], replica: StateReplica, limits: Limits
 ) -> Iterator[Transaction]:
-    """Cancels jobs that are known as cancelled and that the book shows as not cancelled."""
+    """Cancels jobs that are known as cancelled and that the replica shows as not cancelled."""
     for uid, of in jobs.items():
         job = replica.jobs.get(uid)
         if of.job is not None and of.job.value.get("x") and job is not None and not job.cancelled:
@@ -122,7 +122,7 @@
 def _missing(
     jobs: dict[str, _Of], known_state: KnownState, replica: StateReplica
 ) -> tuple[list[str], dict[str, tuple[str, int]]]:
-    """Returns the jobs to restore that the book lacks, those with assigned tasks first, then by
+    """Returns the jobs to restore that the replica lacks, those with assigned tasks first, then by
     priority; and the outcomes of jobs that have ended and have no assigned tasks, for which the
     outcome is enough."""
     live: list[tuple[bool, int, float, str]] = []
@@ -151,10 +151,10 @@
 
 
 def _job(uid: str, of: _Of, replica: StateReplica) -> Iterator[Transaction]:
-    """Restores a job's record, preceded by the names of the jobs that it needs, and its shares.
-    The guard on its final record keeps it from being restored if it has been archived
-    meanwhile. Records that exist without their job are skipped here; the book shows them
-    under the job after the next full read."""
+    """Restores a job's record, preceded by the names of the jobs that it needs, its assignments
+    and its overflow pages. The guard on its archive record keeps it from being restored if it
+    has been archived meanwhile. Records that exist without their job are skipped here; the
+    replica shows them under the job after the next full read."""
     assert of.job is not None
     for key, piece in of.pieces.items():
         yield Transaction({key: 0}, [Put(key, piece.value)])
@@ -171,7 +171,7 @@
 
 
 def _shares(job: Job, of: _Of, replica: StateReplica) -> Iterator[Transaction]:
-    """Updates the shares of a job that the book has."""
+    """Updates the assignments of a job that the replica has."""
     uid = job.spec.uid
     for shard, assignment in merged(job, of.assignments, replica).items():
         key = assignment_key(uid, shard)
@@ -181,14 +181,14 @@
 
 
 def _stamp(assignment: Assignment, replica: StateReplica) -> tuple[int, int]:
-    """Epoch and version of a share, see `stamp`."""
+    """Epoch and version of an assignment, see `stamp`."""
     return stamp(assignment.version, assignment.origin, replica)
 
 
 def merged(job: Job, old: dict[int, Assignment], replica: StateReplica) -> dict[int, Assignment]:
-    """Returns the shares, by part, that have to change to include `old`, those known before the
-    loss. Of a part's two shares the newer one says which tasks are assigned, a task that is
-    done in either is done, and no task is assigned to two parts."""
+    """Returns the assignments, by shard, that have to change to include `old`, those known before
+    the loss. Of a shard's two assignments the newer one says which tasks are assigned, a task
+    that is done in either is done, and no task is assigned to two shards."""
     newer = {
         shard: assignment
         for shard, assignment in old.items()
@@ -233,7 +233,7 @@
     limits: Limits,
     name: str,
 ) -> Iterator[Transaction]:
-    """Restores outcomes, many per record. A job with a known outcome that the book still has
+    """Restores outcomes, many per record. A job with a known outcome that the replica still has
     came back from a revision before its end; the same transaction deletes its record."""
     left: dict[str, tuple[str, int]] = {
         uid: outcome
@@ -266,7 +266,7 @@
 
 
 def _needed(known_state: KnownState, replica: StateReplica) -> Iterator[Transaction]:
-    """Restores outcomes that jobs in the book wait for, and replies owed to queues."""
+    """Restores outcomes that jobs in the replica wait for, and replies owed to queues."""
     for key, known in known_state.records.items():
         if (key.startswith("r/o/") and key[4:] in replica.unresolved_needs) or (
             key.startswith("r/q/") and key[4:] not in replica.pending_replies
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -23,7 +23,7 @@
 
 class KnownRecord(NamedTuple):
     """A record's value with its age: epochs are compared first, then versions. The version is 0
-    for records that never change, whose versions the job book does not keep."""
+    for records that never change, whose versions the replica does not keep."""
 
     value: Any
     epoch: int
@@ -31,7 +31,7 @@
 
 
 class KnownState(NamedTuple):
-    """Records, and outcomes with task counts of jobs that have left the book.
+    """Records, and outcomes with task counts of jobs that have left the replica.
 
     `lived` is true if this controller detected the loss itself. It then knows everything that it
     took part in before the loss."""
@@ -60,7 +60,7 @@
 
 def _both(one: KnownRecord, two: KnownRecord) -> KnownRecord:
     """Returns the newer of two records, with the facts of the older one that are never undone:
-    a cancellation and done tasks. Without them, after a second loss, the incomplete book left
+    a cancellation and done tasks. Without them, after a second loss, the incomplete replica left
     by the first one would hide a cancellation that had not been restored yet."""
     newer, older = (
         (one, two) if (one.epoch, one.version) >= (two.epoch, two.version) else (two, one)
@@ -80,7 +80,7 @@
 
 
 def stamp(version: int, origin: tuple[int, int] | None, replica: StateReplica) -> tuple[int, int]:
-    """Returns epoch and version of a record in the book. `origin` is that of a restored record,
+    """Returns epoch and version of a record in the replica. `origin` is that of a restored record,
     from before the loss. A record that was neither restored nor written in this epoch counts as
     one of the epoch before."""
     if origin is not None:
@@ -89,7 +89,7 @@
 
 
 def _of_job(job: Job, replica: StateReplica) -> Iterator[tuple[str, KnownRecord]]:
-    """Records of a job, its shares and its pages, by key."""
+    """Records of a job, its assignments and its pages, by key."""
     uid = job.spec.uid
     record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
     yield job_key(uid), KnownRecord(record, *stamp(job.version, None, replica))
@@ -109,7 +109,7 @@
 def keep(
     replica: StateReplica, saw_loss: bool, written: Mapping[int, Iterable[Put]] | None = None
 ) -> KnownState:
-    """Copies everything in the book except roles, and the `written` records, by revision, that
+    """Copies everything in the replica except roles, and the `written` records, by revision, that
     were confirmed to this controller and not read yet. `lived` is passed on to the result."""
     records: dict[str, KnownRecord] = {}
     for job in replica.jobs.values():
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -117,7 +117,7 @@
 
 def evidence_of_loss(snapshot: Snapshot, replica: StateReplica) -> str:
     """Says why the state service must have lost data that the snapshot has; empty if the
-    snapshot does not show a loss. A snapshot is normally older than the book, so what it lacks
+    snapshot does not show a loss. A snapshot is normally older than the replica, so what it lacks
     or has in an older version shows nothing."""
     header = snapshot.header
     if header.epoch > replica.epoch:
@@ -138,7 +138,7 @@
 
 
 def missing_jobs(snapshot: Snapshot, replica: StateReplica) -> Iterator[str]:
-    """Yields the jobs of a snapshot that are not in the book. They are lost unless they have
+    """Yields the jobs of a snapshot that are not in the replica. They are lost unless they have
     ended and been archived meanwhile."""
     known_state = snapshot.known_state
     jobs = (
--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -157,7 +157,7 @@
 
 def test_a_new_leader_orders_as_the_old_one_did(settings: Settings) -> None:
     """The time at which a pipeline's job became ready is stored in the records of the jobs that it
-    needs. So a book after a full read has the same times, and the same order, as one that has
+    needs. So a replica after a full read has the same times, and the same order, as one that has
     read each change."""
     wall = [NOW]
     replica = StateReplica(lambda: wall[0])
--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -2,7 +2,7 @@
 depth, with the production code for the decisions.
 
 The model has a state service that is reset to any earlier revision or emptied, up to twice; two
-controllers, each with a part and a worker, the second of which may restart; one job of one task;
+controllers, each with a shard and a worker, the second of which may restart; one job of one task;
 and a user who submits, cancels and polls it. A step is a read (which finds any contradiction, as
 `Noticing` does), a transaction, or a command with its answer."""
 
@@ -49,7 +49,7 @@
 class Controller(NamedTuple):
     """The state of a controller."""
 
-    read: Chain = ()  # the history that its book is from
+    read: Chain = ()  # the history that its replica is from
     known_state: int = 0  # what it knew when the epoch began, as an index of KEPT
     epoch: int = 0
     restored_nodes: int = 0  # the epoch in which it has restored
@@ -95,7 +95,7 @@
 
 @lru_cache(100_000)
 def replica(chain: Chain) -> StateReplica:
-    """The job book after a full read of a history."""
+    """The replica after a full read of a history."""
     result = StateReplica()
     result.max_final_outcomes = 10
     result.replace([Event(k, *v) for k, v in sorted(data(chain).items())], len(chain))
@@ -139,7 +139,7 @@
 
     def share_lost(self) -> State:
         """An initial state in which both controllers have restarted, and the service has the job
-        but not its share, which the second worker runs."""
+        but not its assignment, which the second worker runs."""
         s = self.first()
         chain = self.commit(s.chain, {}, [Put(job_key(JOB), job_record(SPEC, 1.0, False))])
         assert chain is not None
@@ -200,7 +200,7 @@
         return self._adopt(s._replace(chain=chain), n, saw_loss)
 
     def _adopt(self, s: State, n: int, saw_loss: bool) -> State:
-        """Takes over the service's history into a controller's book. In a new epoch, what it
+        """Takes over the service's history into a controller's replica. In a new epoch, what it
         knew before is kept."""
         c = s.controllers[n]
         epoch, known_state = replica(s.chain).epoch, c.known_state
@@ -316,12 +316,12 @@
                     yield s._replace(chain=chain)
 
     def _token(self, b: StateReplica, n: int) -> int | None:
-        """The token under which a controller owns its part; None if it does not."""
+        """The token under which a controller owns its shard; None if it does not."""
         owner = b.shards.get(n)
         return owner.token if owner is not None and owner.node == NAMES[n] else None
 
     def _leader(self, s: State, b: StateReplica, guard: dict[str, int]) -> Iterator[State]:
-        """The leader begins the epoch's next stage or assigns the task to a part."""
+        """The leader begins the epoch's next stage or assigns the task to a shard."""
         if b.leader is None:
             return
         guard = {**guard, "r/l": b.leader.token}
@@ -361,12 +361,12 @@
                 yield self._with(s, 0, s.controllers[0]._replace(read=chain), chain=chain)
 
     def _held(self, b: StateReplica) -> int | None:
-        """The part whose share holds the task."""
+        """The shard whose assignment holds the task."""
         job = b.jobs.get(JOB)
         return next(iter(job.held), None) if job is not None else None
 
     def _worker(self, s: State, n: int) -> Iterator[State]:
-        """A worker reports to its part's owner and gets its command, or its task ends and the
+        """A worker reports to its shard's owner and gets its command, or its task ends and the
         owner records that."""
         c = s.controllers[n]
         if not c.warm:
@@ -448,7 +448,7 @@
 
 
 def test_no_order_breaks_a_rule_after_a_share_was_lost() -> None:
-    """A lost share shows only in the worker's report after both controllers have restarted."""
+    """A lost assignment shows only in the worker's report after both controllers have restarted."""
     model = Model()
     assert explore(model, 14, 400_000, model.share_lost()) > 3_000
 
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -209,9 +209,9 @@
 def test_the_older_book_comes_first(
     by_version_alone: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The controller with the older book restores first, so its old share gets a high version.
-    If versions alone decided, the newer share would be dropped, and a running task would be in
-    no share and be started a second time."""
+    """The controller with the older replica restores first, so its old assignment gets a high
+    version. If versions alone decided, the newer assignment would be dropped, and a running task
+    would be in no assignment and be started a second time."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 0, 0), (0, 0, 0, 1), (0, 0, 0, 2)]:
         history.step(*step)
@@ -281,7 +281,7 @@
 
 
 def test_tasks_that_run_are_taken_in_once() -> None:
-    """Two parts that report the same unrecorded task must not both adopt it."""
+    """Two shards that report the same unrecorded task must not both adopt it."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 1, 3)]:
         history.step(*step)
@@ -297,9 +297,9 @@
     (mine,) = adoption_writes(replica, 0, SHARDS, unrecorded)
     (theirs,) = adoption_writes(replica, 1, SHARDS, unrecorded[:1])
     assert service.write(mine)
-    assert not service.write(theirs)  # the shares that guard it have changed
+    assert not service.write(theirs)  # the assignments that guard it have changed
     job = service.replica().jobs[uid(0)]
-    assert job.assignments[0].tasks == Ranges.of([0])  # task 3 is held by the other part
+    assert job.assignments[0].tasks == Ranges.of([0])  # task 3 is held by the other shard
     assert job.assignments[0].done == Ranges.of([1])
 
 
--- a/tests/test_noticing.py
+++ b/tests/test_noticing.py
@@ -19,7 +19,7 @@
 
 
 class Watched:
-    """A job book with its loss detector, read from `history`, the service's list of changes."""
+    """A replica with its loss detector, read from `history`, the service's list of changes."""
 
     def __init__(self) -> None:
         self.history: list[Event] = []
@@ -81,8 +81,8 @@
 
 @given(before=st.integers(2, 12), back=st.integers(1, 12), after=st.integers(0, 15))
 def test_another_history_is_found_by_the_next_read(before: int, back: int, after: int) -> None:
-    """The service is reset by any number of revisions and may have grown past the book since.
-    The book is not changed before a new epoch begins, and its records are copied then."""
+    """The service is reset by any number of revisions and may have grown past the replica since.
+    The replica is not changed before a new epoch begins, and its records are copied then."""
     w = Watched()
     for n in range(before):
         w.write(n)
@@ -184,7 +184,7 @@
 
 
 def test_a_page_is_held_against_the_book() -> None:
-    """A page of records is compared with the book only within its keys and its revision."""
+    """A page of records is compared with the replica only within its keys and its revision."""
     w = Watched()
     for n in range(4):
         w.write(n)
@@ -201,7 +201,7 @@
 
 
 def test_an_era_is_read_anew_and_what_was_known_is_kept() -> None:
-    """An epoch begun by another controller leads to a full read, and the book is copied first."""
+    """An epoch begun by another controller leads to a full read after the replica was copied."""
     w = Watched()
     w.write(1)
     w.read()
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -111,7 +111,7 @@
 
 def test_tasks_that_run_are_adopted_if_nothing_else_is_left(tmp_path: Path) -> None:
     """All controllers crash, there is no snapshot, and the service has the job but not its
-    shares. The running tasks must go on where they are; none may start twice or take the team
+    assignments. The running tasks must go on where they are; none may start twice or take the team
     over its limit."""
     ran: list[int] = []
 
