--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -44,7 +44,7 @@
     lead.put(job_key(uid), record)
 
 
-def test_an_old_archive_job_under_a_flood_of_urgent_picks(lead: LeaderHarness) -> None:
+def test_aged_low_priority_job_starts_during_a_flood_of_urgent_jobs(lead: LeaderHarness) -> None:
     """An aged job of the lowest priority gets one task although urgent jobs could use the whole
     fleet. It gets no more than the reserved share, and nothing before it is due by age."""
     for n in range(4):
@@ -58,7 +58,7 @@
     assert sum(got.values()) == 14 + 1
 
 
-def test_a_dimming_schedule_at_dusk_behind_a_week_of_backlog(settings: Settings) -> None:
+def test_urgent_job_beyond_its_guarantee_goes_first_with_ageing(settings: Settings) -> None:
     """Under `settled`, routine jobs within their team's guarantee go before urgent jobs of a team
     over its own guarantee; with ageing, the urgent ones go first."""
     for ordering, first in (("settled", "wk-000001"), ("ageing", "wk-000002")):
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(("waited_s", "held"), [(165.0, True), (185.0, False)])
-def test_small_urgent_tasks_do_not_nibble_an_aged_ones_machine_away(
+def test_small_urgent_tasks_do_not_take_capacity_reserved_for_an_aged_one(
     lead: LeaderHarness, waited_s: float, held: bool
 ) -> None:
     """The aged task needs a whole machine, and each has three free CPUs that small urgent tasks
@@ -123,7 +123,7 @@
             lead.leader.fleet.on_rental_refused(Rental("small", zone, spot, 1), lead.now)
 
 
-def test_urgent_work_has_routine_work_stopped_but_not_aged_work(lead: LeaderHarness) -> None:
+def test_urgent_job_preempts_routine_but_not_aged_tasks(lead: LeaderHarness) -> None:
     """An urgent job preempts a routine task, but not one that runs because of its age."""
     lead.job("wk-000001", crew="blue", pieces=1, cpus=4.0)
     lead.allot("wk-000001", 0, [0])
@@ -139,7 +139,7 @@
     assert lead.views() == [("m-1", "wk-000001", 1)]
 
 
-def test_several_small_tasks_make_room_for_a_large_urgent_one(lead: LeaderHarness) -> None:
+def test_several_small_tasks_are_preempted_for_a_large_urgent_one(lead: LeaderHarness) -> None:
     """If only tasks at least as large as the waiting one could be preempted, it would wait until
     all small tasks on a machine have ended. Several are preempted on the machine that loses the
     least run time, and no more of them than needed."""
@@ -155,7 +155,7 @@
     assert lead.views() == [("m-2", "wk-000002", 2)]
 
 
-def test_a_new_leader_orders_as_the_old_one_did(settings: Settings) -> None:
+def test_a_full_read_gives_the_same_ready_times(settings: Settings) -> None:
     """The time at which a pipeline's job became ready is stored in the records of the jobs that it
     needs. So a replica after a full read has the same times, and the same order, as one that has
     read each change."""
@@ -188,7 +188,7 @@
         ]
 
 
-def test_ends_are_dated_only_where_work_ages(settings: Settings) -> None:
+def test_task_end_times_are_recorded_only_with_ageing(settings: Settings) -> None:
     """The time of a task's end is only written if the policy uses ageing: without it, records
     must not grow."""
     for wall, expected in ((None, False), (NOW, True)):
@@ -251,7 +251,9 @@
 
 
 @pytest.mark.parametrize("ordering", ["strict", "ageing"])
-def test_a_flood_with_the_leader_ending_and_all_restarting(tmp_path: Path, ordering: str) -> None:
+def test_flood_of_urgent_jobs_with_a_leader_crash_and_a_restart_of_all(
+    tmp_path: Path, ordering: str
+) -> None:
     """A low-priority job starts in the middle of a flood of urgent jobs with ageing, but only
     after the flood with the strict order. The leader crashes during the flood, and later all
     controllers restart."""
--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -50,11 +50,11 @@
     """The state of a controller."""
 
     read: Chain = ()  # the history that its replica is from
-    known_state: int = 0  # what it knew when the epoch began, as an index of KEPT
+    known_index: int = 0  # what it knew when the epoch began, as an index of KNOWN_STATES
     epoch: int = 0
-    restored_nodes: int = 0  # the epoch in which it has restored
-    warm: bool = True  # has read since its start
-    anew: bool = False  # has restarted and knows nothing from before
+    restored_epoch: int = 0  # the epoch in which it has restored
+    has_read: bool = True  # has read since its start
+    has_restarted: bool = False  # has restarted and knows nothing from before
 
 
 class State(NamedTuple):
@@ -64,20 +64,20 @@
     controllers: tuple[Controller, ...]
     # Highest token seen, and token of the running attempt or 0.
     workers: tuple[tuple[int, int], ...] = ((0, 0), (0, 0))
-    told: str = ""  # the last status that the user was told
+    last_answer: str = ""  # the last status that the user was told
     losses: int = 0
-    ran: bool = False  # the task has ended as done
+    task_done: bool = False  # the task has ended as done
 
 
 # All states that controllers knew at the beginning of an epoch; the model's states hold indices.
-KEPT: list[KnownState | None] = [None]
+KNOWN_STATES: list[KnownState | None] = [None]
 
 
-def remembered(known_state: KnownState) -> int:
-    """Index in KEPT."""
-    if known_state not in KEPT:
-        KEPT.append(known_state)
-    return KEPT.index(known_state)
+def index_of_known_state(known_state: KnownState) -> int:
+    """Index in KNOWN_STATES."""
+    if known_state not in KNOWN_STATES:
+        KNOWN_STATES.append(known_state)
+    return KNOWN_STATES.index(known_state)
 
 
 @lru_cache(100_000)
@@ -102,7 +102,7 @@
     return result
 
 
-class Broken(Exception):
+class RuleViolation(Exception):
     """A state breaks a rule."""
 
 
@@ -116,9 +116,9 @@
         self, chain: Chain, guards: dict[str, int], changes: list[Put | Delete]
     ) -> Chain | None:
         """The history after a transaction; None if a guard fails."""
-        stands = data(chain)
+        service_data = data(chain)
         for key, version in guards.items():
-            if (stands[key][1] if key in stands else 0) != version_of_token(version):
+            if (service_data[key][1] if key in service_data else 0) != version_of_token(version):
                 return None
         return (
             *chain,
@@ -128,7 +128,7 @@
             ),
         )
 
-    def first(self) -> State:
+    def initial_state(self) -> State:
         """The initial state: both controllers have their roles and there is no job."""
         claims = [Put("r/l", {"o": "a", "i": "1"})]
         for shard, name in enumerate(NAMES):
@@ -137,20 +137,20 @@
         assert chain is not None
         return State(chain, (Controller(chain), Controller(chain)))
 
-    def share_lost(self) -> State:
+    def assignment_lost(self) -> State:
         """An initial state in which both controllers have restarted, and the service has the job
         but not its assignment, which the second worker runs."""
-        s = self.first()
+        s = self.initial_state()
         chain = self.commit(s.chain, {}, [Put(job_key(JOB), job_record(SPEC, 1.0, False))])
         assert chain is not None
         chain = (*chain, s.chain[0])  # both claim their roles again
-        cold = Controller(warm=False)
-        return State(chain, (cold, cold), ((0, 0), (1, 1)), "queued", losses=2)
+        restarted = Controller(has_read=False)
+        return State(chain, (restarted, restarted), ((0, 0), (1, 1)), "queued", losses=2)
 
     # -- steps ---------------------------------------------------------------------------
 
     def steps(self, s: State) -> Iterator[State]:
-        """All states that can follow. Raises Broken if a rule is broken."""
+        """All states that can follow. Raises RuleViolation if a rule is broken."""
         yield from self._user(s)
         for n in range(2):
             yield from self._controller(s, n)
@@ -159,36 +159,40 @@
             for length in {0, *range(len(s.chain) - 3, len(s.chain))}:
                 if 0 <= length < len(s.chain):
                     yield s._replace(chain=s.chain[:length], losses=s.losses + 1)
-        if s.controllers[1].warm:
-            yield self._with(s, 1, Controller(warm=False))
+        if s.controllers[1].has_read:
+            yield self._with(s, 1, Controller(has_read=False))
 
     def _with(self, s: State, n: int, controller: Controller, **more: Any) -> State:
         both = list(s.controllers)
         both[n] = controller
         return s._replace(controllers=tuple(both), **more)
 
-    def _good(self, s: State, n: int) -> bool:
+    def _is_consistent(self, s: State, n: int) -> bool:
         """Whether the service's history continues the one that the controller has read."""
         c = s.controllers[n]
-        return c.warm and s.chain[: len(c.read)] == c.read
+        return c.has_read and s.chain[: len(c.read)] == c.read
 
     def _read(self, s: State, n: int) -> State | None:
         """A read by a controller with its consequences; None if nothing follows."""
         c = s.controllers[n]
-        if not c.warm:
-            return self._with(s, n, Controller(s.chain, epoch=replica(s.chain).epoch, anew=True))
-        if not self._good(s, n):
-            if self.bug == "era not raised":
+        if not c.has_read:
+            return self._with(
+                s, n, Controller(s.chain, epoch=replica(s.chain).epoch, has_restarted=True)
+            )
+        if not self._is_consistent(s, n):
+            if self.bug == "epoch not raised":
                 return self._with(s, n, c._replace(read=s.chain))
-            return self._begin_epoch(s, n, c.epoch, saw_loss=True) or self._adopt(s, n, True)
-        return self._adopt(s, n, False)
+            return self._begin_epoch(s, n, c.epoch, saw_loss=True) or self._replace_replica(
+                s, n, True
+            )
+        return self._replace_replica(s, n, False)
 
     def _begin_epoch(self, s: State, n: int, known: int, saw_loss: bool = False) -> State | None:
         """Begins an epoch because data was lost; None if another controller has begun one."""
-        if self.bug == "era not raised":
+        if self.bug == "epoch not raised":
             return None
         found = data(s.chain).get(EPOCH_KEY)
-        if self.bug == "era reused":
+        if self.bug == "epoch reused":
             known = 0
         record = first_epoch_record(found and found[0], known, "history", NAMES[n])
         if record is None:
@@ -197,22 +201,22 @@
             s.chain, {EPOCH_KEY: found[1] if found else 0}, [Put(EPOCH_KEY, record)]
         )
         assert chain is not None
-        return self._adopt(s._replace(chain=chain), n, saw_loss)
+        return self._replace_replica(s._replace(chain=chain), n, saw_loss)
 
-    def _adopt(self, s: State, n: int, saw_loss: bool) -> State:
+    def _replace_replica(self, s: State, n: int, saw_loss: bool) -> State:
         """Takes over the service's history into a controller's replica. In a new epoch, what it
         knew before is kept."""
         c = s.controllers[n]
-        epoch, known_state = replica(s.chain).epoch, c.known_state
+        epoch, known_index = replica(s.chain).epoch, c.known_index
         if epoch > c.epoch:
-            known_state = remembered(
-                copy_known_state(replica(c.read), saw_loss).with_older(KEPT[c.known_state])
+            known_index = index_of_known_state(
+                copy_known_state(replica(c.read), saw_loss).with_older(KNOWN_STATES[c.known_index])
             )
-        return self._with(s, n, c._replace(read=s.chain, known_state=known_state, epoch=epoch))
+        return self._with(s, n, c._replace(read=s.chain, known_index=known_index, epoch=epoch))
 
     def _user(self, s: State) -> Iterator[State]:
         """The user submits to, polls or cancels at the first controller, which reads first."""
-        if not self._good(s, 0):
+        if not self._is_consistent(s, 0):
             return
         s = self._read(s, 0) or s
         b = replica(s.chain)
@@ -225,8 +229,8 @@
                 now = b.restored_outcomes[JOB][0]
             elif not b.recovery_complete and self.bug != "404 too early":
                 return  # 503
-            elif s.told:
-                raise Broken("forgotten")
+            elif s.last_answer:
+                raise RuleViolation("an accepted job is forgotten")
             else:
                 chain = self.commit(
                     s.chain, guard, [Put(job_key(JOB), job_record(SPEC, 1.0, False))]
@@ -234,21 +238,21 @@
                 assert chain is not None
                 # The write was confirmed to the controller, so it knows the record.
                 yield self._with(
-                    s._replace(chain=chain, told="queued"),
+                    s._replace(chain=chain, last_answer="queued"),
                     0,
                     s.controllers[0]._replace(read=chain),
                 )
                 return
         else:
             now = job.status
-        ended = s.told in ("done", "cancelled")
-        if ended and now != s.told:
-            raise Broken(f"went back: {s.told}, {now}")
+        ended = s.last_answer in ("done", "cancelled")
+        if ended and now != s.last_answer:
+            raise RuleViolation(f"the outcome changes from {s.last_answer} to {now}")
         if now in ("done", "cancelled"):
-            if now == "done" and not s.ran:
-                raise Broken("not done")
-            if s.told != now:
-                yield s._replace(told=now)
+            if now == "done" and not s.task_done:
+                raise RuleViolation("the job is answered as done before its task has ended")
+            if s.last_answer != now:
+                yield s._replace(last_answer=now)
         elif job is not None and not ended:
             changes = [Put(job_key(JOB), cancelled_record(SPEC, 1.0, 4096))]
             guards = {job_key(JOB): job.version, **guard}
@@ -256,7 +260,7 @@
             chain = self.commit(s.chain, guards, list(changes))
             if chain is not None:
                 yield self._with(
-                    s._replace(chain=chain, told="cancelled"),
+                    s._replace(chain=chain, last_answer="cancelled"),
                     0,
                     s.controllers[0]._replace(read=chain),
                 )
@@ -264,18 +268,20 @@
     def _controller(self, s: State, n: int) -> Iterator[State]:
         """A controller reads, claims its roles, restores, adopts or leads."""
         c = s.controllers[n]
-        if c.read != s.chain or not c.warm:
+        if c.read != s.chain or not c.has_read:
             read = self._read(s, n)
             if read is not None:
                 yield read
-            if not c.warm:
+            if not c.has_read:
                 return
         b = replica(c.read)
         guard = {EPOCH_KEY: b.epoch_version}
         token = self._token(b, n)
         if token is None:
             stale = {k: b.stale.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
-            mark = {"b": [c.epoch, bool(KEPT[c.restored_nodes])]} if c.restored_nodes else {}
+            mark = (
+                {"b": [c.epoch, bool(KNOWN_STATES[c.restored_epoch])]} if c.restored_epoch else {}
+            )
             record = {"o": NAMES[n], "i": "1"}
             chain = self.commit(
                 s.chain,
@@ -286,14 +292,14 @@
                 if fencing_token(b.epoch, len(chain)) >= s.workers[n][0]:
                     yield s._replace(chain=chain)
                 elif (
-                    accused := self._begin_epoch(s, n, epoch_of_token(s.workers[n][0]))
+                    epoch_begun := self._begin_epoch(s, n, epoch_of_token(s.workers[n][0]))
                 ) is not None:
-                    yield accused
+                    yield epoch_begun
                 else:
-                    raise Broken("the rightful owner is refused")
+                    raise RuleViolation("the rightful owner is refused")
             return
-        if b.recovery_stage == RESTORING and c.restored_nodes != c.epoch:
-            known_state = KEPT[c.known_state]
+        if b.recovery_stage == RESTORING and c.restored_epoch != c.epoch:
+            known_state = KNOWN_STATES[c.known_index]
             writes = [] if known_state is None else restore_writes(known_state, b, LIMITS, NAMES[n])
             if writes:
                 chain = self.commit(s.chain, {**writes[0].guards, **guard}, writes[0].changes)
@@ -302,7 +308,7 @@
                 chain = self.commit(
                     s.chain, guard, [Put(f"r/n/{NAMES[n]}", {"i": "1", "b": [c.epoch, saw_loss]})]
                 )
-                c = c._replace(restored_nodes=c.epoch)
+                c = c._replace(restored_epoch=c.epoch)
             if chain is not None:
                 yield self._with(s, n, c, chain=chain)
             return
@@ -347,7 +353,7 @@
         job = b.jobs.get(JOB)
         if job is None or job.is_terminal or job.assigned_count:
             return
-        if s.controllers[0].anew and not b.epoch and any(run for _, run in s.workers):
+        if s.controllers[0].has_restarted and not b.epoch and any(run for _, run in s.workers):
             return  # after a start it waits for two reports, which show the running attempt
         for shard in range(2):
             assignment = job.assignments.get(shard)
@@ -371,7 +377,7 @@
         """A worker reports to its shard's owner and gets its command, or its task ends and the
         owner records that."""
         c = s.controllers[n]
-        if not c.warm:
+        if not c.has_read:
             return
         b = replica(c.read)
         token = self._token(b, n)
@@ -388,25 +394,26 @@
                 and run != token
                 and epoch_of_token(run) == b.epoch
             ):
-                if (accused := self._begin_epoch(s, n, b.epoch)) is not None:
-                    yield accused
+                if (epoch_begun := self._begin_epoch(s, n, b.epoch)) is not None:
+                    yield epoch_begun
             elif b.recovery_stage == RECOVERED or (
                 b.recovery_stage == GRACE_PERIOD and job is None
             ):
-                yield self._run(s, n, token, 0)
+                yield self._with_worker(s, n, token, 0)
         elif run and job is not None and job.cancelled:
-            yield self._run(s, n, token, 0)
+            yield self._with_worker(s, n, token, 0)
         elif mine and job is not None and not job.cancelled and b.recovery_stage == RECOVERED:
             if not run:
                 # A task assigned before the end of the rebuilding is not started before both
                 # workers have reported under tokens of this epoch: an attempt may still run.
+                # A task assigned later starts at once.
                 other = s.workers[1 - n]
                 unseen = job.assignments[n].version < b.epoch_version
                 if other[1] and unseen and other[0] < fencing_token(b.epoch, 0):
                     return
                 if other[1]:
-                    raise Broken("ran twice")
-                yield self._run(s, n, token, token)
+                    raise RuleViolation("the task runs twice")
+                yield self._with_worker(s, n, token, token)
             else:
                 guard = {
                     EPOCH_KEY: b.epoch_version,
@@ -417,51 +424,51 @@
                     s.chain, guard, [Put(assignment_key(JOB, n), {"t": {}, "d": [0, 1]})]
                 )
                 if chain is not None:
-                    yield self._run(s._replace(chain=chain, ran=True), n, token, 0)
+                    yield self._with_worker(s._replace(chain=chain, task_done=True), n, token, 0)
 
-    def _run(self, s: State, n: int, token: int, run: int) -> State:
+    def _with_worker(self, s: State, n: int, token: int, run: int) -> State:
         """The worker has seen `token` and runs the attempt with token `run`, or none if 0."""
         both = list(s.workers)
         both[n] = (token, run)
         return s._replace(workers=tuple(both))
 
 
-def explore(model: Model, depth: int, most: int, start: State | None = None) -> int:
-    """Explores all states within `depth` steps, breadth first, until there are more than `most`.
-    Returns their number; raises Broken if a rule is broken."""
-    seen = {start or model.first()}
-    edge = list(seen)
+def explore(model: Model, depth: int, max_states: int, start: State | None = None) -> int:
+    """Explores all states within `depth` steps, breadth first, until there are more than
+    `max_states`. Returns their number; raises RuleViolation if a rule is broken."""
+    seen = {start or model.initial_state()}
+    frontier = list(seen)
     for _ in range(depth):
         new: list[State] = []
-        for state in edge:
+        for state in frontier:
             for after in model.steps(state):
                 if after not in seen:
                     seen.add(after)
                     new.append(after)
-        edge = new
-        if len(seen) > most:
+        frontier = new
+        if len(seen) > max_states:
             break
     return len(seen)
 
 
-def test_no_order_breaks_a_rule() -> None:
+def test_no_order_of_steps_breaks_a_rule() -> None:
     """Explored to a depth of 10 here; a run to depth 13 has 524,051 states and breaks no rule."""
     assert explore(Model(), 10, 400_000) > 50_000
 
 
-def test_no_order_breaks_a_rule_after_a_share_was_lost() -> None:
+def test_no_order_of_steps_breaks_a_rule_after_a_lost_assignment() -> None:
     """A lost assignment shows only in the worker's report after both controllers have restarted."""
     model = Model()
-    assert explore(model, 14, 400_000, model.share_lost()) > 3_000
+    assert explore(model, 14, 400_000, model.assignment_lost()) > 3_000
 
 
 @pytest.mark.parametrize(
     "bug",
-    ["era not raised", "era reused", "404 too early", "adopted not counted"],
+    ["epoch not raised", "epoch reused", "404 too early", "adopted not counted"],
 )
-def test_each_seeded_mistake_is_found(bug: str) -> None:
+def test_model_finds_each_seeded_fault(bug: str) -> None:
     """The model is sensitive: it finds each of these faults."""
     model = Model(bug)
-    start = model.share_lost() if bug == "adopted not counted" else None
-    with pytest.raises(Broken):
+    start = model.assignment_lost() if bug == "adopted not counted" else None
+    with pytest.raises(RuleViolation):
         explore(model, 18, 400_000, start)
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -69,7 +69,7 @@
     return f"wk-{n:06d}"
 
 
-def share(assigned: set[int], done: set[int]) -> dict[str, Any]:
+def assignment_record(assigned: set[int], done: set[int]) -> dict[str, Any]:
     return {"t": {"": Ranges.of(assigned).flat()} if assigned else {}, "d": Ranges.of(done).flat()}
 
 
@@ -106,17 +106,28 @@
             return
         held = self._held(n)
         mine, done = held[shard]
-        with_older = bool(known[0].get("x")) or sum(len(d) for _, d in held.values()) == TASKS
+        ended = bool(known[0].get("x")) or sum(len(d) for _, d in held.values()) == TASKS
         taken = set().union(*(t | d for t, d in held.values()))
-        if kind == 0 and not with_older and task not in taken:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine | {task}, done))])
+        if kind == 0 and not ended and task not in taken:
+            self._commit(
+                [Put(assignment_key(uid(n), shard), assignment_record(mine | {task}, done))]
+            )
         elif kind == 1 and task in mine:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine - {task}, done | {task}))])
+            self._commit(
+                [
+                    Put(
+                        assignment_key(uid(n), shard),
+                        assignment_record(mine - {task}, done | {task}),
+                    )
+                ]
+            )
         elif kind == 2 and task in mine:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine - {task}, done))])
-        elif kind == 3 and not with_older:
+            self._commit(
+                [Put(assignment_key(uid(n), shard), assignment_record(mine - {task}, done))]
+            )
+        elif kind == 3 and not ended:
             self._commit([Put(key, {**known[0], "x": True})])
-        elif kind == 4 and with_older and not any(t for t, _ in held.values()):
+        elif kind == 4 and ended and not any(t for t, _ in held.values()):
             status = "cancelled" if known[0].get("x") else "done"
             count = sum(len(d) for _, d in held.values())
             self._commit(
@@ -128,7 +139,7 @@
             )
 
 
-def told(replica: StateReplica, service: Service, n: int) -> tuple[str, int] | None:
+def outcome_of(replica: StateReplica, service: Service, n: int) -> tuple[str, int] | None:
     """The outcome that a user is told, with the number of done tasks; None before the end."""
     name = uid(n)
     if name in replica.jobs:
@@ -148,7 +159,9 @@
 
 
 @given(steps=STEPS, data=st.data())
-def test_whoever_puts_back_in_whatever_order(steps: list[tuple[int, ...]], data: Any) -> None:
+def test_restores_in_any_order_yield_the_newest_known_state(
+    steps: list[tuple[int, ...]], data: Any
+) -> None:
     """The service is reset to an earlier revision, emptied, or loses single records. Controllers
     that had read up to different revisions restore what they know in any order, and some are
     interrupted and start again. The result must be what the one that had read most knew."""
@@ -156,26 +169,30 @@
     for step in steps:
         history.step(*step)
     last = len(history.at) - 1
-    went_back = data.draw(st.booleans(), label="went back, or lost records")
-    revision = data.draw(st.integers(0, last), label="revision") if went_back else last
-    stands = dict(history.at[revision])
-    if not went_back:
-        drops = data.draw(st.sets(st.sampled_from(sorted(stands) or ["-"])), label="lost")
-        stands = {k: v for k, v in stands.items() if k not in drops or k.startswith("f/")}
+    was_reset = data.draw(st.booleans(), label="reset, else records are lost")
+    revision = data.draw(st.integers(0, last), label="revision") if was_reset else last
+    service_data = dict(history.at[revision])
+    if not was_reset:
+        dropped_keys = data.draw(
+            st.sets(st.sampled_from(sorted(service_data) or ["-"])), label="lost"
+        )
+        service_data = {
+            k: v for k, v in service_data.items() if k not in dropped_keys or k.startswith("f/")
+        }
     read = data.draw(st.lists(st.integers(revision, last), min_size=1, max_size=3), label="read")
     replicas = []
-    for upto in read:
+    for last_read in read:
         replica = StateReplica()
         replica.max_final_outcomes = 100
         # One revision after the other, as a controller reads them, so that it also knows the
         # jobs that were archived.
-        for at in range(1, upto + 1):
+        for at in range(1, last_read + 1):
             before, after = history.at[at - 1], history.at[at]
             events = [Event(k, None, at) for k in before if k not in after]
             events += [Event(k, *after[k]) for k in after if before.get(k) != after[k]]
             replica.apply([e for e in events if e.key.startswith("r/")], at)
         replicas.append(replica)
-    service = Service(stands, revision)
+    service = Service(service_data, revision)
     assert service.write(
         Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING, "k": "history"})])
     )
@@ -185,22 +202,22 @@
             writes = restore_writes(known_state, service.replica(), LIMITS, f"node-{n}")
             if not writes:
                 break
-            for together in group_writes(writes, LIMITS):
+            for transaction in group_writes(writes, LIMITS):
                 # No transaction has more changes than the service accepts.
-                assert len(together.changes) <= LIMITS.max_changes
+                assert len(transaction.changes) <= LIMITS.max_changes
                 if turn == 0 and data.draw(st.booleans(), label="ends here"):
                     break
-                if not service.write(together):
+                if not service.write(transaction):
                     for write in writes:
                         service.write(write)
         else:
-            pytest.fail("never done")
+            pytest.fail("the restore does not end")
     result = service.replica()
     truth = Service(history.at[max(read)], max(read))
     expected = truth.replica()
     for n in range(3):
-        end = told(expected, truth, n)
-        assert told(result, service, n) == end
+        end = outcome_of(expected, truth, n)
+        assert outcome_of(result, service, n) == end
         if (job := expected.jobs.get(uid(n))) is not None and (end is None or job.assigned_count):
             got = result.jobs[uid(n)]
             assert got.done_count == job.done_count
@@ -211,7 +228,7 @@
 
 
 @pytest.mark.parametrize("by_version_alone", [False, True])
-def test_the_older_book_comes_first(
+def test_restoring_an_older_replica_first_loses_no_task(
     by_version_alone: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The controller with the older replica restores first, so its old assignment gets a high
@@ -235,7 +252,7 @@
     assert (held == Ranges.of([0, 1, 2])) == (not by_version_alone)
 
 
-def test_two_losses_in_a_row_keep_what_was_not_put_back() -> None:
+def test_second_loss_during_the_restore_keeps_unrestored_records() -> None:
     """A second loss during the restore after the first. The records known before the first one
     must still be restored, in an epoch after both."""
     history = History()
@@ -244,8 +261,8 @@
     first = copy_known_state(history.service.replica(), True)
     empty = Service({}, 0)
     empty.write(Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING})]))
-    half = restore_writes(first, empty.replica(), LIMITS, "a")[:1]
-    assert all(empty.write(write) for write in half)
+    first_writes = restore_writes(first, empty.replica(), LIMITS, "a")[:1]
+    assert all(empty.write(write) for write in first_writes)
     second = copy_known_state(empty.replica(), True).with_older(first)
     lost = Service({}, 0)
     record = first_epoch_record(None, 1, "history", "a")
@@ -265,7 +282,7 @@
         first_epoch_record(None, 255, "history", "b")
 
 
-def test_what_does_not_fit_any_more_keeps_nothing_waiting() -> None:
+def test_oversized_record_does_not_block_the_restore() -> None:
     """A record larger than the present limit is skipped; the service would refuse it every time,
     and the records after it would never be restored."""
     history = History()
@@ -287,7 +304,7 @@
     assert list(service.replica().jobs) == [uid(1)]
 
 
-def test_tasks_that_run_are_taken_in_once() -> None:
+def test_unrecorded_task_is_adopted_once() -> None:
     """Two shards that report the same unrecorded task must not both adopt it."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 1, 3)]:
@@ -310,7 +327,7 @@
     assert job.assignments[0].done == Ranges.of([1])
 
 
-def test_an_era_ends_when_all_that_live_have_put_back() -> None:
+def test_epoch_stages_wait_for_live_controllers() -> None:
     """When controllers restore, how long the others are waited for, and when the epoch may say
     that nothing is missing."""
     replica = StateReplica()
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -204,7 +204,7 @@
 
 
 @given(jobs_strategy, holdings_strategy, st.randoms(use_true_random=False))
-def test_the_order_is_the_plain_models_in_whatever_order_it_is_asked(
+def test_order_matches_the_reference_model(
     drawn: list[tuple], held: list[tuple], rng: random.Random
 ) -> None:
     waiting, holding = waiting_of(drawn), holding_of(held)
@@ -217,7 +217,9 @@
 
 
 @given(jobs_strategy, holdings_strategy)
-def test_past_the_aged_share_rank_alone_decides(drawn: list[tuple], held: list[tuple]) -> None:
+def test_rank_alone_decides_beyond_the_reserved_share(
+    drawn: list[tuple], held: list[tuple]
+) -> None:
     """The first guarantee: tasks that are not due by age never go before a more urgent rank, and
     those that go first because of their age stay within the ceiling, except for a single one."""
     waiting = waiting_of(drawn)
@@ -243,7 +245,7 @@
 
 
 @given(jobs_strategy, holdings_strategy, st.integers(0, 9), st.sampled_from([60.0, 500.0]))
-def test_who_has_waited_for_longer_goes_no_later(
+def test_a_longer_wait_never_delays_a_job(
     drawn: list[tuple], held: list[tuple], which: int, longer: float
 ) -> None:
     waiting, holding = waiting_of(drawn), holding_of(held)
@@ -271,7 +273,7 @@
     assert all(max_tasks is None for uid, max_tasks in got if uid in full)
 
 
-def test_a_clock_that_stands_before_the_submission() -> None:
+def test_job_submitted_ahead_of_the_local_clock_has_no_due_task() -> None:
     """The clock of the controller that accepted a job may be ahead by up to twice the clock error.
     The job's age is then negative, and must not make any of its tasks due."""
     fresh = job("wk-1", rank=0, age=-0.01)
@@ -282,7 +284,7 @@
     assert steps[0] == steps[1] == steps[2] == [("wk-2", 1), ("wk-1", None), ("wk-2", None)]
 
 
-def test_stopped_and_cancelled_work_neither_gains_nor_loses_age() -> None:
+def test_preemption_keeps_the_tag_and_resubmission_resets_it() -> None:
     """A preempted task no longer counts as served, so its tag is the same as before; done tasks
     stay counted. A job that is submitted again has no age."""
     policy = ageing()
@@ -302,7 +304,7 @@
 
 
 @given(st.integers(0, 400), st.integers(1, 3), st.integers(1, 4))
-def test_nobody_starves_under_a_flood_that_never_ends(seed: int, rank: int, low_jobs: int) -> None:
+def test_no_job_starves_under_an_endless_flood(seed: int, rank: int, low_jobs: int) -> None:
     """The second guarantee, on a simulated fleet of 20 slots: urgent jobs that could use the whole
     fleet always wait, and yet every job of a lower rank starts a task within a bound of twice its
     patience plus the run times of due tasks with earlier tags."""
@@ -367,7 +369,7 @@
         assert started.get(uid, math.inf) - ready <= bound
 
 
-def test_twenty_thousand_waiting_jobs_are_looked_at_once_each() -> None:
+def test_each_of_20000_waiting_jobs_is_examined_once() -> None:
     class Counting(Ageing):
         looked = 0
 
@@ -392,7 +394,7 @@
     assert len({e.uid for e in got}) == len(waiting)
 
 
-def test_room_is_held_for_a_bounded_time_and_then_for_as_long_not() -> None:
+def test_capacity_reservations_alternate_with_equal_pauses() -> None:
     policy = ageing(hold_s=40.0)
 
     def hold(age: float) -> float:
@@ -420,7 +422,7 @@
     return RunningTasks(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def test_urgent_work_stops_lower_work_that_was_not_given_its_room_for_its_age() -> None:
+def test_urgent_jobs_preempt_less_urgent_tasks_not_protected_by_age() -> None:
     policy = ageing()
     claim = PreemptionRequest("red", 1, False, 5.0)
     assert policy.may_request_preemption(claim, 2)
@@ -439,7 +441,7 @@
     assert not policy.may_preempt(owed, team_over_guarantee._replace(team="red"))
 
 
-def test_aged_means_that_a_job_holds_no_more_than_its_age_gives_it() -> None:
+def test_job_is_protected_by_age_up_to_its_due_tasks() -> None:
     policy = ageing()
     two = 2 * policy.patience_s(2) + 1.0
     assert policy.is_protected_by_age(AssignedTasks(2, NOW - two, 0, 2, 0.1), NOW)
@@ -452,7 +454,7 @@
 
 
 @given(jobs_strategy)
-def test_the_settled_order_is_the_one_of_old(drawn: list[tuple]) -> None:
+def test_guarantee_first_order(drawn: list[tuple]) -> None:
     waiting = waiting_of(drawn)
     expected = sorted(
         waiting,
@@ -462,7 +464,7 @@
     assert got == [QueueEntry(j.uid) for j in expected]
 
 
-def test_settled_stops_only_what_has_just_begun_from_two_steps_down() -> None:
+def test_guarantee_first_preempts_recent_tasks_two_ranks_below() -> None:
     policy = GuaranteeFirst()
     urgent = PreemptionRequest("red", 0, False, 0.0)
     assert policy.may_request_preemption(urgent, 2)
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("kind", "count", "seed", "ends"), DAYS)
-def test_one_that_lives_is_enough(
+def test_one_surviving_controller_restores_everything(
     tmp_path: Path, kind: str, count: int, seed: int, ends: tuple[int, ...]
 ) -> None:
     """As long as one controller survives the loss, no rule is broken and all jobs finish."""
@@ -60,7 +60,7 @@
     assert world.unfinished == set()
 
 
-def test_it_goes_on_where_it_was(tmp_path: Path) -> None:
+def test_restore_resumes_after_crashes_and_further_losses(tmp_path: Path) -> None:
     """Most controllers crash during the restore; then the service is reset twice more."""
 
     async def script(world: World) -> None:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("kind", ["back 20 s", "all", "records"])
-def test_snapshots_are_enough_when_all_end(tmp_path: Path, kind: str) -> None:
+def test_snapshots_restore_after_all_controllers_crashed(tmp_path: Path, kind: str) -> None:
     """All controllers crash with the loss and have recent snapshots, besides a truncated one and
     one that is no snapshot."""
 
@@ -109,7 +109,7 @@
     assert all(3 <= len(disk.files) <= 5 for disk in world.disks.values())
 
 
-def test_tasks_that_run_are_adopted_if_nothing_else_is_left(tmp_path: Path) -> None:
+def test_running_tasks_are_adopted_if_no_copy_of_their_records_is_left(tmp_path: Path) -> None:
     """All controllers crash, there is no snapshot, and the service has the job but not its
     assignments. The running tasks must go on where they are; none may start twice or take the team
     over its limit."""
@@ -132,7 +132,7 @@
     assert world.checker.starts == 6  # no task was started again
 
 
-def test_what_nobody_knows_is_not_said_to_be_unknown(tmp_path: Path) -> None:
+def test_unrestorable_jobs_are_not_answered_404(tmp_path: Path) -> None:
     """The service loses everything and all controllers crash. Once a worker's report shows the
     loss, questions must be answered 503: a 404 would deny a job that was accepted. The epoch's
     record says that not everything could be restored."""
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -52,7 +52,7 @@
     assert decoded(b"".join(pieces), "f1") == (HEADER, known_state)
 
 
-def test_whatever_is_not_as_written_is_named() -> None:
+def test_unusable_files_are_refused_with_the_reason() -> None:
     """A truncated, corrupted or foreign file is refused with the reason."""
     known_state = KnownState({"r/j/a": KnownRecord({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
     data = b"".join(encode_snapshot(HEADER, known_state))
@@ -81,7 +81,7 @@
     return replica
 
 
-def test_only_what_is_older_than_the_snapshot_proves_a_loss() -> None:
+def test_only_a_service_behind_the_snapshot_shows_a_loss() -> None:
     """A snapshot shows a loss only if the service is behind it: in epoch, revision or version."""
     record = KnownRecord(job_record(parse_job(job_body("wk-000001")), 1.0, False), 0, 5)
     share = KnownRecord({"t": {"": [0, 2]}, "d": []}, 0, 7)
@@ -103,7 +103,7 @@
     assert list(snapshots.missing_jobs(snapshot, replica_of(both, 9))) == ["wk-2"]
 
 
-def test_the_newest_are_kept() -> None:
+def test_newest_snapshots_are_kept() -> None:
     names = [
         snapshots.snapshot_name(HEADER._replace(at=at))
         for at in (5.0, 100.0, 20.0, 1_700_000_000.0)
@@ -111,7 +111,7 @@
     assert snapshots.snapshots_to_delete([*names, "other"], 3) == [names[0]]
 
 
-def test_the_command(tmp_path: Path) -> None:
+def test_snapshot_commands(tmp_path: Path) -> None:
     config = tmp_path / "settings.toml"
     config.write_text(settings_text())
     header = HEADER._replace(fleet=snapshots.fleet_of(load(config)))
