--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -25,35 +25,44 @@
 
 
 def with_ordering(settings: Settings, ordering: str, **changes: float) -> Settings:
+    """Settings with the property `ordering` and `changes` of other properties."""
     properties = msgspec.convert({"ordering": ordering, **changes}, Properties)
     return msgspec.structs.replace(settings, properties=properties)
 
 
 @pytest.fixture
-def lead(settings: Settings) -> LeaderHarness:
+def harness(settings: Settings) -> LeaderHarness:
     return LeaderHarness(with_ordering(settings, "ageing", ageing_patience_leases=1.0))
 
 
-def flood(lead: LeaderHarness, first: int = 100, jobs: int = 10, **changes: object) -> None:
+def submit_urgent_jobs(
+    harness: LeaderHarness, first: int = 100, jobs: int = 10, **changes: object
+) -> None:
     for n in range(jobs):
-        lead.job(f"wk-{first + n:06d}", urgency="high", pieces=8, cpus=1.0, memoryGb=1.0, **changes)
+        harness.job(
+            f"wk-{first + n:06d}", urgency="high", pieces=8, cpus=1.0, memoryGb=1.0, **changes
+        )
 
 
-def old_job(lead: LeaderHarness, uid: str, age_s: float, **changes: object) -> None:
-    record = job_record(parse_job(job_body(uid, **changes)), lead.now - age_s, False)
-    lead.put(job_key(uid), record)
+def submit_aged_job(harness: LeaderHarness, uid: str, age_s: float, **changes: object) -> None:
+    record = job_record(parse_job(job_body(uid, **changes)), harness.now - age_s, False)
+    harness.put(job_key(uid), record)
 
 
-def test_aged_low_priority_job_starts_during_a_flood_of_urgent_jobs(lead: LeaderHarness) -> None:
+def test_aged_low_priority_job_starts_during_a_flood_of_urgent_jobs(harness: LeaderHarness) -> None:
     """An aged job of the lowest priority gets one task although urgent jobs could use the whole
     fleet. It gets no more than the reserved share, and nothing before it is due by age."""
     for n in range(4):
-        lead.machine(f"m-{n}")
-    flood(lead)
-    old_job(lead, "wk-000001", 10.0, urgency="best_effort", pieces=20, cpus=2.0, crew="blue")
-    assert "wk-000001" not in lead.round()
-    old_job(lead, "wk-000002", DAY_S, urgency="best_effort", pieces=20, cpus=2.0, crew="blue")
-    got = lead.round()
+        harness.machine(f"m-{n}")
+    submit_urgent_jobs(harness)
+    submit_aged_job(
+        harness, "wk-000001", 10.0, urgency="best_effort", pieces=20, cpus=2.0, crew="blue"
+    )
+    assert "wk-000001" not in harness.round()
+    submit_aged_job(
+        harness, "wk-000002", DAY_S, urgency="best_effort", pieces=20, cpus=2.0, crew="blue"
+    )
+    got = harness.round()
     assert got["wk-000002"] == 1  # it takes 2 of 16 CPUs; two tasks would exceed the ceiling
     assert sum(got.values()) == 14 + 1
 
@@ -62,47 +71,49 @@
     """Under `settled`, routine jobs within their team's guarantee go before urgent jobs of a team
     over its own guarantee; with ageing, the urgent ones go first."""
     for ordering, first in (("settled", "wk-000001"), ("ageing", "wk-000002")):
-        lead = LeaderHarness(with_ordering(settings, ordering))
-        lead.machine("m-1")
-        old_job(lead, "wk-000001", 5.0, crew="blue", pieces=4, cpus=2.0)
-        lead.job("wk-000002", urgency="high", pieces=12, cpus=2.0)
-        assert next(iter(lead.round())) == first, ordering
+        harness = LeaderHarness(with_ordering(settings, ordering))
+        harness.machine("m-1")
+        submit_aged_job(harness, "wk-000001", 5.0, crew="blue", pieces=4, cpus=2.0)
+        harness.job("wk-000002", urgency="high", pieces=12, cpus=2.0)
+        assert next(iter(harness.round())) == first, ordering
 
 
-def test_an_aged_job_of_a_team_at_its_limit_blocks_nobody(lead: LeaderHarness) -> None:
+def test_an_aged_job_of_a_team_at_its_limit_blocks_nobody(harness: LeaderHarness) -> None:
     """An aged job that waits because of its team's limit must not delay other teams."""
     for n in range(12):
-        lead.machine(f"m-{n}")
-    lead.job("wk-000001", pieces=16, cpus=2.0)  # team red is at its limit
-    lead.allot("wk-000001", 0, list(range(16)))
-    old_job(lead, "wk-000002", DAY_S, pieces=4, cpus=2.0)
-    old_job(lead, "wk-000003", 500.0, pieces=4, cpus=2.0, crew="blue", urgency="best_effort")
-    lead.job("wk-000004", pieces=4, cpus=2.0, crew="blue", urgency="critical")
-    got = lead.round()
+        harness.machine(f"m-{n}")
+    harness.job("wk-000001", pieces=16, cpus=2.0)  # team red is at its limit
+    harness.allot("wk-000001", 0, list(range(16)))
+    submit_aged_job(harness, "wk-000002", DAY_S, pieces=4, cpus=2.0)
+    submit_aged_job(
+        harness, "wk-000003", 500.0, pieces=4, cpus=2.0, crew="blue", urgency="best_effort"
+    )
+    harness.job("wk-000004", pieces=4, cpus=2.0, crew="blue", urgency="critical")
+    got = harness.round()
     assert "wk-000002" not in got
     assert next(iter(got)) == "wk-000003"
     assert got["wk-000004"] == 4
 
 
-def busy(lead: LeaderHarness, name: str, index: int, left_s: float) -> None:
-    lead.machine(name, empty=False, tasks=[("wk-000001", [index, index + 1], left_s)])
+def add_busy_machine(harness: LeaderHarness, name: str, index: int, left_s: float) -> None:
+    harness.machine(name, empty=False, tasks=[("wk-000001", [index, index + 1], left_s)])
 
 
-@pytest.mark.parametrize(("waited_s", "held"), [(165.0, True), (185.0, False)])
+@pytest.mark.parametrize(("waited_s", "reserved"), [(165.0, True), (185.0, False)])
 def test_small_urgent_tasks_do_not_take_capacity_reserved_for_an_aged_one(
-    lead: LeaderHarness, waited_s: float, held: bool
+    harness: LeaderHarness, waited_s: float, reserved: bool
 ) -> None:
     """The aged task needs a whole machine, and each has three free CPUs that small urgent tasks
     would take again and again. The machine that is expected to be empty first is reserved for it;
     tasks that end before may still run there. If it does not start within the reservation, there
     is none for an equally long time."""
-    refuse_all(lead)
-    lead.job("wk-000001", pieces=2, cpus=1.0, crew="blue")
-    lead.allot("wk-000001", 0, [0, 1])
-    busy(lead, "m-1", 0, 15.0)
-    busy(lead, "m-2", 1, 19.0)
-    old_job(
-        lead,
+    refuse_all_rentals(harness)
+    harness.job("wk-000001", pieces=2, cpus=1.0, crew="blue")
+    harness.allot("wk-000001", 0, [0, 1])
+    add_busy_machine(harness, "m-1", 0, 15.0)
+    add_busy_machine(harness, "m-2", 1, 19.0)
+    submit_aged_job(
+        harness,
         "wk-000002",
         waited_s,
         pieces=1,
@@ -111,48 +122,49 @@
         urgency="best_effort",
         expectS=30.0,
     )
-    lead.job("wk-000003", pieces=6, cpus=1.0, urgency="high", expectS=25.0)
-    assert lead.round() == {"wk-000003": 3 if held else 6}
-    lead.job("wk-000004", pieces=2, cpus=1.0, urgency="critical", expectS=10.0)
-    assert lead.round()["wk-000004"] == 2
+    harness.job("wk-000003", pieces=6, cpus=1.0, urgency="high", expectS=25.0)
+    assert harness.round() == {"wk-000003": 3 if reserved else 6}
+    harness.job("wk-000004", pieces=2, cpus=1.0, urgency="critical", expectS=10.0)
+    assert harness.round()["wk-000004"] == 2
 
 
-def refuse_all(lead: LeaderHarness) -> None:
+def refuse_all_rentals(harness: LeaderHarness) -> None:
+    """Makes the cloud refuse rentals, so that only the present machines count."""
     for zone in ("a", "b"):
         for spot in (True, False):
-            lead.leader.fleet.on_rental_refused(Rental("small", zone, spot, 1), lead.now)
+            harness.leader.fleet.on_rental_refused(Rental("small", zone, spot, 1), harness.now)
 
 
-def test_urgent_job_preempts_routine_but_not_aged_tasks(lead: LeaderHarness) -> None:
+def test_urgent_job_preempts_routine_but_not_aged_tasks(harness: LeaderHarness) -> None:
     """An urgent job preempts a routine task, but not one that runs because of its age."""
-    lead.job("wk-000001", crew="blue", pieces=1, cpus=4.0)
-    lead.allot("wk-000001", 0, [0])
-    old_job(lead, "wk-000002", 65.0, crew="blue", pieces=1, cpus=4.0)
-    lead.allot("wk-000002", 0, [0])
-    lead.machine("m-1", empty=False, tasks=[("wk-000001", [0, 1], 12.0)])
-    lead.machine("m-2", empty=False, tasks=[("wk-000002", [0, 1], 12.0)])
-    lead.job("wk-000003", urgency="high", pieces=2, cpus=4.0)
-    lead.round()
-    assert lead.views() == []  # the urgent job has not waited long enough
-    lead.now += 2.0
-    lead.round()
-    assert lead.views() == [("m-1", "wk-000001", 1)]
-
-
-def test_several_small_tasks_are_preempted_for_a_large_urgent_one(lead: LeaderHarness) -> None:
+    harness.job("wk-000001", crew="blue", pieces=1, cpus=4.0)
+    harness.allot("wk-000001", 0, [0])
+    submit_aged_job(harness, "wk-000002", 65.0, crew="blue", pieces=1, cpus=4.0)
+    harness.allot("wk-000002", 0, [0])
+    harness.machine("m-1", empty=False, tasks=[("wk-000001", [0, 1], 12.0)])
+    harness.machine("m-2", empty=False, tasks=[("wk-000002", [0, 1], 12.0)])
+    harness.job("wk-000003", urgency="high", pieces=2, cpus=4.0)
+    harness.round()
+    assert harness.views() == []  # the urgent job has not waited long enough
+    harness.now += 2.0
+    harness.round()
+    assert harness.views() == [("m-1", "wk-000001", 1)]
+
+
+def test_several_small_tasks_are_preempted_for_a_large_urgent_one(harness: LeaderHarness) -> None:
     """If only tasks at least as large as the waiting one could be preempted, it would wait until
     all small tasks on a machine have ended. Several are preempted on the machine that loses the
     least run time, and no more of them than needed."""
-    lead.job("wk-000001", crew="blue", pieces=4, cpus=1.0, expectS=30.0)
-    lead.allot("wk-000001", 0, [0, 1, 2, 3])
-    lead.job("wk-000002", crew="blue", pieces=3, cpus=1.0, expectS=30.0)
-    lead.allot("wk-000002", 0, [0, 1, 2])
-    lead.machine("m-1", empty=False, tasks=[("wk-000001", [0, 4], 5.0)])
-    lead.machine("m-2", empty=False, tasks=[("wk-000002", [0, 3], 25.0)])
-    lead.job("wk-000003", urgency="high", pieces=1, cpus=3.0)
-    lead.now += 2.0
-    lead.round()
-    assert lead.views() == [("m-2", "wk-000002", 2)]
+    harness.job("wk-000001", crew="blue", pieces=4, cpus=1.0, expectS=30.0)
+    harness.allot("wk-000001", 0, [0, 1, 2, 3])
+    harness.job("wk-000002", crew="blue", pieces=3, cpus=1.0, expectS=30.0)
+    harness.allot("wk-000002", 0, [0, 1, 2])
+    harness.machine("m-1", empty=False, tasks=[("wk-000001", [0, 4], 5.0)])
+    harness.machine("m-2", empty=False, tasks=[("wk-000002", [0, 3], 25.0)])
+    harness.job("wk-000003", urgency="high", pieces=1, cpus=3.0)
+    harness.now += 2.0
+    harness.round()
+    assert harness.views() == [("m-2", "wk-000002", 2)]
 
 
 def test_a_full_read_gives_the_same_ready_times(settings: Settings) -> None:
@@ -176,11 +188,11 @@
     put(assignment_key("wk-000000", 0), {"t": {}, "d": [0, 3], "e": NOW - 250.0})
     wall[0] = NOW + 77.0  # this controller reads it late
     put(assignment_key("wk-000000", 1), {"t": {}, "d": [3, 4], "e": NOW - 200.0})
-    again = StateReplica(lambda: NOW + 500.0)
-    again.replace(
+    reread_replica = StateReplica(lambda: NOW + 500.0)
+    reread_replica.replace(
         [Event(k, v, version) for k, (v, version) in records.items()], replica.state_revision
     )
-    for each in (replica, again):
+    for each in (replica, reread_replica):
         assert [each.jobs[f"wk-{n:06d}"].ready_at for n in (1, 2, 3)] == [
             NOW - 200.0,
             NOW - 400.0,
@@ -202,15 +214,15 @@
 
 def test_properties_choose_the_policy(settings: Settings) -> None:
     assert not create_policy(settings).uses_ageing
-    chosen = create_policy(with_ordering(settings, "ageing", ageing_rank_factor=3.0))
-    assert isinstance(chosen, Ageing)
-    assert chosen.patience_s(2) == 10.0 * settings.settings.workers.lease_s * 9
+    policy = create_policy(with_ordering(settings, "ageing", ageing_rank_factor=3.0))
+    assert isinstance(policy, Ageing)
+    assert policy.patience_s(2) == 10.0 * settings.settings.workers.lease_s * 9
 
 
-# -- whole days ------------------------------------------------------------------------------
+# -- simulated days --------------------------------------------------------------------------
 
 
-def some(tmp_path: Path, ordering: str) -> list[Settings]:
+def controller_settings(tmp_path: Path, ordering: str) -> list[Settings]:
     result = []
     for n in range(3):
         path = tmp_path / f"{n}.toml"
@@ -220,12 +232,13 @@
 
 
 def first_start(world: World, uid: str) -> float:
+    """When the first task of a job started; infinity if none did."""
     return next(
         (e.at for e in world.happened if e.what == "started" and e.uid == uid), float("inf")
     )
 
 
-FLOOD: list[dict[str, Any]] = [
+FLOOD_JOBS: list[dict[str, Any]] = [
     {
         "pieces": 12,
         "cpus": 4.0,
@@ -258,7 +271,7 @@
     after the flood with the strict order. The leader crashes during the flood, and later all
     controllers restart."""
 
-    async def ends(world: World) -> None:
+    async def script(world: World) -> None:
         await trio.sleep(45.0)
         leader = world.state.data["r/l"][0]["o"]
         world.crash(world.names.index(leader))
@@ -266,7 +279,7 @@
         world.crash(0, 1, 2)
 
     fleet = (FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 10.0, steady=1, spot=3),)
-    world = play(some(tmp_path, ordering), 5, FLOOD, ends, 225.0, fleet)
+    world = play(controller_settings(tmp_path, ordering), 5, FLOOD_JOBS, script, 225.0, fleet)
     assert world.checker.broken == []
     # The job is due after 10 s times 8 and yields to the flood for as long. The rest is for
     # running tasks, the recovery after the crash, and one run.
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -19,12 +19,17 @@
 )
 
 NOW = 100_000.0
-P, FACTOR, FLOOR, CEILING = 100.0, 2.0, 0.1, 0.3
+PATIENCE_S, FACTOR, FLOOR, CEILING = 100.0, 2.0, 0.1, 0.3
 
 
 def ageing(hold_s: float = 0.0) -> Ageing:
     return Ageing(
-        patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=hold_s, stop_after_s=1.0
+        patience_s=PATIENCE_S,
+        factor=FACTOR,
+        floor=FLOOR,
+        ceiling=CEILING,
+        hold_s=hold_s,
+        stop_after_s=1.0,
     )
 
 
@@ -61,7 +66,7 @@
     ),
     max_size=10,
 )
-holdings_strategy = st.lists(
+assigned_strategy = st.lists(
     st.tuples(
         st.integers(0, 3),
         st.sampled_from([10.0, 250.0, 1000.0, 3000.0]),
@@ -71,14 +76,14 @@
     ),
     max_size=4,
 )
-SPARE = {
+HEADROOM = {
     "red": TeamHeadroom(8.0, 0.0),
     "blue": TeamHeadroom(3.0, 0.0),
     "full": TeamHeadroom(0.0, 0.0),
 }
 
 
-def waiting_of(drawn: list[tuple]) -> list[WaitingJob]:
+def waiting_jobs(drawn: list[tuple]) -> list[WaitingJob]:
     return [
         job(
             f"wk-{n:03d}",
@@ -108,80 +113,81 @@
     ]
 
 
-def holding_of(drawn: list[tuple]) -> list[AssignedTasks]:
-    return [AssignedTasks(rank, NOW - age, done, held, w) for rank, age, done, held, w in drawn]
+def assigned_tasks(drawn: list[tuple]) -> list[AssignedTasks]:
+    return [AssignedTasks(rank, NOW - age, done, count, w) for rank, age, done, count, w in drawn]
 
 
-def plain_order(
-    waiting: list[WaitingJob], holding: list[AssignedTasks], spare: dict[str, TeamHeadroom]
+def reference_order(
+    waiting: list[WaitingJob], assigned: list[AssignedTasks], headroom: dict[str, TeamHeadroom]
 ) -> list[tuple[str, int | None]]:
     """Reference model of the order: examines every due task again for each position."""
-    patience = {rank: P * FACTOR**rank for rank in range(4)}
+    patience = {rank: PATIENCE_S * FACTOR**rank for rank in range(4)}
 
     def tag(ready_at: float, rank: int, n: int) -> float:
         return ready_at + patience[rank] * (n + 1)
 
-    able = [
+    placeable = [
         j
         for j in waiting
-        if spare[j.team].cpus + 1e-6 >= j.cpus * (j.open_task_count if j.starts_together else 1)
+        if headroom[j.team].cpus + 1e-6 >= j.cpus * (j.open_task_count if j.starts_together else 1)
     ]
-    top = min((j.rank for j in able), default=0)
-    burst = sum(j.weight * j.open_task_count for j in able if j.rank <= 1) >= CEILING
-    held = [
+    top_rank = min((j.rank for j in placeable), default=0)
+    burst = sum(j.weight * j.open_task_count for j in placeable if j.rank <= 1) >= CEILING
+    assigned_tags = [
         (tag(h.ready_at, h.rank, h.done_count + i), h.weight)
-        for h in holding
-        if h.rank > top
+        for h in assigned
+        if h.rank > top_rank
         for i in range(h.assigned_count)
     ]
-    given: dict[str, int] = {}
-    room = {team: s.cpus for team, s in spare.items()}
-    stuck: set[str] = set()
+    placed: dict[str, int] = {}
+    free_cpus = {team: s.cpus for team, s in headroom.items()}
+    skipped: set[str] = set()
     admitted = 0.0
     share = None
     while True:
         due = []
         for j in waiting:
-            n = given.get(j.uid, 0)
-            t = tag(j.ready_at, j.rank, j.served_task_count + n)
-            if t <= NOW and n < j.open_task_count and j.uid not in stuck:
-                due.append((t, j.uid, j))
+            n = placed.get(j.uid, 0)
+            tag_at = tag(j.ready_at, j.rank, j.served_task_count + n)
+            if tag_at <= NOW and n < j.open_task_count and j.uid not in skipped:
+                due.append((tag_at, j.uid, j))
         if not due:
             break
-        t, uid, j = min(due)
-        if burst and j.rank > top and NOW - t < patience[j.rank]:
-            stuck.add(uid)
+        tag_at, uid, j = min(due)
+        if burst and j.rank > top_rank and NOW - tag_at < patience[j.rank]:
+            skipped.add(uid)
             continue
         tasks = j.open_task_count if j.starts_together else 1
-        if room[j.team] + 1e-6 < j.cpus * tasks:
-            stuck.add(uid)
+        if free_cpus[j.team] + 1e-6 < j.cpus * tasks:
+            skipped.add(uid)
             continue
-        if j.rank > top:
+        if j.rank > top_rank:
             if share is None:
-                share = FLOOR + (CEILING - FLOOR) * min(1.0, (NOW - t) / patience[j.rank])
-            used = admitted + sum(w for when, w in held if when <= t)
+                share = FLOOR + (CEILING - FLOOR) * min(1.0, (NOW - tag_at) / patience[j.rank])
+            used = admitted + sum(w for when, w in assigned_tags if when <= tag_at)
             if used > 1e-9 and used + j.weight * tasks > share + 1e-9:
                 break
             admitted += j.weight * tasks
-        room[j.team] -= j.cpus * tasks
-        given[uid] = given.get(uid, 0) + tasks
-    turns: list[tuple[str, int | None]] = list(given.items())
+        free_cpus[j.team] -= j.cpus * tasks
+        placed[uid] = placed.get(uid, 0) + tasks
+    positions: list[tuple[str, int | None]] = list(placed.items())
     rest = [
         j
         for j in waiting
-        if given.get(j.uid, 0) < j.open_task_count and not (j.zone_dependent and j.uid in given)
+        if placed.get(j.uid, 0) < j.open_task_count and not (j.zone_dependent and j.uid in placed)
     ]
     while rest:
         first = rest[0]
         for j in rest[1:]:
-            if before(j, first):
+            if goes_before(j, first):
                 first = j
-        turns.append((first.uid, None))
+        positions.append((first.uid, None))
         rest.remove(first)
-    return turns
+    return positions
 
 
-def before(a: WaitingJob, b: WaitingJob) -> bool:
+def goes_before(a: WaitingJob, b: WaitingJob) -> bool:
+    """The reference model's order of jobs that are not placed by age."""
     if a.rank != b.rank:
         return a.rank < b.rank
     if a.within_guarantee != b.within_guarantee:
@@ -193,83 +199,86 @@
     return a.uid < b.uid
 
 
-def turns(
+def positions(
     policy: Ageing,
     waiting: list[WaitingJob],
-    holding: list[AssignedTasks],
-    spare: dict[str, TeamHeadroom] = SPARE,
+    assigned: list[AssignedTasks],
+    headroom: dict[str, TeamHeadroom] = HEADROOM,
     now: float = NOW,
 ) -> list[tuple[str, int | None]]:
-    return [(e.uid, e.max_tasks) for e in policy.order(waiting, holding, spare, now)]
+    return [(e.uid, e.max_tasks) for e in policy.order(waiting, assigned, headroom, now)]
 
 
-@given(jobs_strategy, holdings_strategy, st.randoms(use_true_random=False))
+@given(jobs_strategy, assigned_strategy, st.randoms(use_true_random=False))
 def test_order_matches_the_reference_model(
-    drawn: list[tuple], held: list[tuple], rng: random.Random
+    drawn: list[tuple], drawn_assigned: list[tuple], rng: random.Random
 ) -> None:
-    waiting, holding = waiting_of(drawn), holding_of(held)
-    expected = plain_order(waiting, holding, SPARE)
-    assert turns(ageing(), waiting, holding) == expected
+    """The order is that of the reference model, whatever the order of the input."""
+    waiting, assigned = waiting_jobs(drawn), assigned_tasks(drawn_assigned)
+    expected = reference_order(waiting, assigned, HEADROOM)
+    assert positions(ageing(), waiting, assigned) == expected
     rng.shuffle(waiting)
-    rng.shuffle(holding)
-    assert turns(ageing(), waiting, holding) == expected
+    rng.shuffle(assigned)
+    assert positions(ageing(), waiting, assigned) == expected
     assert {uid for uid, _ in expected} == {j.uid for j in waiting}
 
 
-@given(jobs_strategy, holdings_strategy)
+@given(jobs_strategy, assigned_strategy)
 def test_rank_alone_decides_beyond_the_reserved_share(
-    drawn: list[tuple], held: list[tuple]
+    drawn: list[tuple], drawn_assigned: list[tuple]
 ) -> None:
     """The first guarantee: tasks that are not due by age never go before a more urgent rank, and
     those that go first because of their age stay within the ceiling, except for a single one."""
-    waiting = waiting_of(drawn)
+    waiting = waiting_jobs(drawn)
     by_uid = {j.uid: j for j in waiting}
-    got = turns(ageing(), waiting, holding_of(held))
+    got = positions(ageing(), waiting, assigned_tasks(drawn_assigned))
     ranks = [by_uid[uid].rank for uid, max_tasks in got if max_tasks is None]
     assert ranks == sorted(ranks)
     first = [(by_uid[uid], max_tasks) for uid, max_tasks in got if max_tasks is not None]
-    top = min(
+    top_rank = min(
         (
             j.rank
             for j in waiting
             if j.team != "full"
-            and SPARE[j.team].fits(j, j.open_task_count if j.starts_together else 1)
+            and HEADROOM[j.team].fits(j, j.open_task_count if j.starts_together else 1)
         ),
         default=0,
     )
-    first = [(j, max_tasks) for j, max_tasks in first if j.rank > top]
+    first = [(j, max_tasks) for j, max_tasks in first if j.rank > top_rank]
     units = [j.weight * j.open_task_count if j.starts_together else j.weight for j, _ in first]
     assert sum(j.weight * max_tasks for j, max_tasks in first) <= max([CEILING, *units[:1]]) + 1e-6
     for j, _ in first:
-        assert j.ready_at + P * FACTOR**j.rank * (1 + j.served_task_count) <= NOW
+        assert j.ready_at + PATIENCE_S * FACTOR**j.rank * (1 + j.served_task_count) <= NOW
 
 
-@given(jobs_strategy, holdings_strategy, st.integers(0, 9), st.sampled_from([60.0, 500.0]))
+@given(jobs_strategy, assigned_strategy, st.integers(0, 9), st.sampled_from([60.0, 500.0]))
 def test_a_longer_wait_never_delays_a_job(
-    drawn: list[tuple], held: list[tuple], which: int, longer: float
+    drawn: list[tuple], drawn_assigned: list[tuple], which: int, extra_wait_s: float
 ) -> None:
-    waiting, holding = waiting_of(drawn), holding_of(held)
+    """An earlier ready time never moves a job back in the order."""
+    waiting, assigned = waiting_jobs(drawn), assigned_tasks(drawn_assigned)
     if not waiting:
         return
     chosen = waiting[which % len(waiting)]
-    older = [j._replace(ready_at=j.ready_at - longer) if j is chosen else j for j in waiting]
+    older = [j._replace(ready_at=j.ready_at - extra_wait_s) if j is chosen else j for j in waiting]
 
-    def place(some: list[WaitingJob]) -> int:
-        order = list(dict.fromkeys(uid for uid, _ in turns(ageing(), some, holding)))
+    def position(some: list[WaitingJob]) -> int:
+        order = list(dict.fromkeys(uid for uid, _ in positions(ageing(), some, assigned)))
         return order.index(chosen.uid)
 
-    assert place(older) <= place(waiting)
+    assert position(older) <= position(waiting)
 
 
-@given(jobs_strategy, holdings_strategy)
+@given(jobs_strategy, assigned_strategy)
 def test_a_team_at_its_limit_changes_nothing_for_the_others(
-    drawn: list[tuple], held: list[tuple]
+    drawn: list[tuple], drawn_assigned: list[tuple]
 ) -> None:
-    waiting, holding = waiting_of(drawn), holding_of(held)
+    """Jobs of a team that has no headroom are never placed by age and do not affect others."""
+    waiting, assigned = waiting_jobs(drawn), assigned_tasks(drawn_assigned)
     others = [j for j in waiting if j.team != "full"]
     full = {j.uid for j in waiting} - {j.uid for j in others}
-    got = turns(ageing(), waiting, holding)
-    assert [turn for turn in got if turn[0] not in full] == turns(ageing(), others, holding)
+    got = positions(ageing(), waiting, assigned)
+    assert [entry for entry in got if entry[0] not in full] == positions(ageing(), others, assigned)
     assert all(max_tasks is None for uid, max_tasks in got if uid in full)
 
 
@@ -278,9 +287,9 @@
     The job's age is then negative, and must not make any of its tasks due."""
     fresh = job("wk-1", rank=0, age=-0.01)
     assert ageing().due_count(fresh.ready_at, 0, NOW) == 0
-    assert turns(ageing(hold_s=10.0), [fresh], []) == [("wk-1", None)]
+    assert positions(ageing(hold_s=10.0), [fresh], []) == [("wk-1", None)]
     old = job("wk-2", age=500.0)
-    steps = [turns(ageing(), [old, fresh], [], now=NOW + d) for d in (0.0, -0.01, 0.01)]
+    steps = [positions(ageing(), [old, fresh], [], now=NOW + d) for d in (0.0, -0.01, 0.01)]
     assert steps[0] == steps[1] == steps[2] == [("wk-2", 1), ("wk-1", None), ("wk-2", None)]
 
 
@@ -289,18 +298,16 @@
     stay counted. A job that is submitted again has no age."""
     policy = ageing()
     urgent = job("wk-9", rank=0)
-    before_stop = policy.tag(NOW - 900.0, 2, 1)
-    served_task_count = job("wk-1", age=900.0, served_task_count=2)
-    stopped = job("wk-1", age=900.0, served_task_count=1)
-    assert (
-        policy.tag(served_task_count.ready_at, 2, served_task_count.served_task_count) > before_stop
-    )
-    assert policy.tag(stopped.ready_at, 2, stopped.served_task_count) == before_stop
-    other = job("wk-0", age=450.0)
-    assert turns(policy, [stopped, other, urgent], [])[0] == ("wk-1", 1)
-    assert turns(policy, [served_task_count, other, urgent], [])[0] == ("wk-0", 1)
-    again = job("wk-2", age=0.0)
-    assert turns(policy, [again, other, urgent], [])[0] == ("wk-0", 1)
+    tag_before = policy.tag(NOW - 900.0, 2, 1)
+    served = job("wk-1", age=900.0, served_task_count=2)
+    preempted = job("wk-1", age=900.0, served_task_count=1)
+    assert policy.tag(served.ready_at, 2, served.served_task_count) > tag_before
+    assert policy.tag(preempted.ready_at, 2, preempted.served_task_count) == tag_before
+    later_job = job("wk-0", age=450.0)
+    assert positions(policy, [preempted, later_job, urgent], [])[0] == ("wk-1", 1)
+    assert positions(policy, [served, later_job, urgent], [])[0] == ("wk-0", 1)
+    resubmitted = job("wk-2", age=0.0)
+    assert positions(policy, [resubmitted, later_job, urgent], [])[0] == ("wk-0", 1)
 
 
 @given(st.integers(0, 400), st.integers(1, 3), st.integers(1, 4))
@@ -312,23 +319,23 @@
     policy = ageing()
     slots, run_s, step = 20, 25.0, 5.0
     patience = policy.patience_s(rank)
-    low = {f"wk-{n}": NOW + rng.uniform(0.0, 2 * patience) for n in range(low_jobs)}
+    low_ranked = {f"wk-{n}": NOW + rng.uniform(0.0, 2 * patience) for n in range(low_jobs)}
     started: dict[str, float] = {}
-    running: list[tuple[float, str]] = []
-    served_task_count = dict.fromkeys(low, 0)
-    done = dict.fromkeys(low, 0)
+    in_progress: list[tuple[float, str]] = []
+    served_task_count = dict.fromkeys(low_ranked, 0)
+    done = dict.fromkeys(low_ranked, 0)
     urgent = 0
     now = NOW
     # The reserved share is at least two slots. Each job ahead of the last one has at most one
     # due task per patience that has passed.
-    ahead = low_jobs * (3 + 1)
+    tasks_ahead = low_jobs * (3 + 1)
     # Urgent jobs wait all the time: a burst, to which each task yields for one patience.
-    bound = 2 * patience + run_s * math.ceil(ahead / 2) + 2 * run_s + 2 * step
+    bound = 2 * patience + run_s * math.ceil(tasks_ahead / 2) + 2 * run_s + 2 * step
     while now < NOW + 4 * patience + bound:
-        for end, uid in list(running):
+        for end, uid in list(in_progress):
             if end <= now:
-                running.remove((end, uid))
-                if uid in low:
+                in_progress.remove((end, uid))
+                if uid in low_ranked:
                     done[uid] += 1
         waiting = [
             job(
@@ -339,7 +346,7 @@
                 open_task_count=50,
                 weight=1 / slots,
             )
-            for uid, ready in low.items()
+            for uid, ready in low_ranked.items()
             if ready <= now
         ]
         waiting += [
@@ -347,38 +354,47 @@
             for n in range(urgent, urgent + 3)
         ]
         urgent += 3
-        holding = [
-            AssignedTasks(rank, low[uid], done[uid], served_task_count[uid] - done[uid], 1 / slots)
-            for uid in low
+        assigned = [
+            AssignedTasks(
+                rank, low_ranked[uid], done[uid], served_task_count[uid] - done[uid], 1 / slots
+            )
+            for uid in low_ranked
             if served_task_count[uid] > done[uid]
         ]
-        free = slots - len(running)
+        free = slots - len(in_progress)
         for uid, max_tasks, _ in policy.order(
-            waiting, holding, {"red": TeamHeadroom(1e6, 0.0)}, now
+            waiting, assigned, {"red": TeamHeadroom(1e6, 0.0)}, now
         ):
             for _ in range(min(free, 50 if max_tasks is None else max_tasks)):
-                running.append((now + run_s, uid))
+                in_progress.append((now + run_s, uid))
                 free -= 1
-                if uid in low:
+                if uid in low_ranked:
                     served_task_count[uid] += 1
                     started.setdefault(uid, now)
-        of_low = sum(uid in low for _, uid in running)
-        assert of_low <= CEILING * slots + 1e-6
+        low_ranked_running = sum(uid in low_ranked for _, uid in in_progress)
+        assert low_ranked_running <= CEILING * slots + 1e-6
         now += step
-    for uid, ready in low.items():
+    for uid, ready in low_ranked.items():
         assert started.get(uid, math.inf) - ready <= bound
 
 
 def test_each_of_20000_waiting_jobs_is_examined_once() -> None:
+    """The cost of a round must not grow with the square of the number of waiting jobs."""
+
     class Counting(Ageing):
-        looked = 0
+        examined = 0
 
         def tag(self, ready_at: float, rank: int, n: int) -> float:
-            Counting.looked += 1
+            Counting.examined += 1
             return super().tag(ready_at, rank, n)
 
     policy = Counting(
-        patience_s=P, factor=FACTOR, floor=FLOOR, ceiling=CEILING, hold_s=50.0, stop_after_s=1.0
+        patience_s=PATIENCE_S,
+        factor=FACTOR,
+        floor=FLOOR,
+        ceiling=CEILING,
+        hold_s=50.0,
+        stop_after_s=1.0,
     )
     rng = random.Random(1)
     waiting = [
@@ -390,16 +406,17 @@
     by_uid = {j.uid: j.rank for j in waiting}
     counted = sum(e.max_tasks or 0 for e in got if by_uid[e.uid] > 0)
     assert 100 <= counted <= 300
-    assert Counting.looked <= len(waiting) + 3 * first
+    assert Counting.examined <= len(waiting) + 3 * first
     assert len({e.uid for e in got}) == len(waiting)
 
 
 def test_capacity_reservations_alternate_with_equal_pauses() -> None:
+    """Capacity is reserved for `hold_s`, then not for as long, counted from the due time."""
     policy = ageing(hold_s=40.0)
 
     def hold(age: float) -> float:
         some = [job("wk-1", age=age), job("wk-2", rank=0)]
-        return policy.order(some, [], SPARE, NOW)[0].hold_s
+        return policy.order(some, [], HEADROOM, NOW)[0].hold_s
 
     due = policy.patience_s(2)
     assert [hold(due), hold(due + 30.0), hold(due + 40.0), hold(due + 79.0)] == [40.0, 10.0, 0, 0]
@@ -409,7 +426,7 @@
 # -- preemption ----------------------------------------------------------------------------
 
 
-def running(**changes: object) -> RunningTasks:
+def running_tasks(**changes: object) -> RunningTasks:
     fields: dict[str, object] = {
         "team": "blue",
         "rank": 2,
@@ -424,21 +441,21 @@
 
 def test_urgent_jobs_preempt_less_urgent_tasks_not_protected_by_age() -> None:
     policy = ageing()
-    claim = PreemptionRequest("red", 1, False, 5.0)
-    assert policy.may_request_preemption(claim, 2)
-    assert policy.may_preempt(claim, running())
-    assert policy.may_preempt(claim, running(within_guarantee=True))
-    assert not policy.may_preempt(claim, running(is_protected_by_age=True))
-    assert not policy.may_preempt(claim, running(rank=1))
-    assert not policy.may_preempt(claim, running(left_s=0.5))
-    assert not policy.may_request_preemption(claim._replace(waited_s=0.5), 2)
-    assert not policy.may_request_preemption(claim._replace(rank=2), 3)
+    request = PreemptionRequest("red", 1, False, 5.0)
+    assert policy.may_request_preemption(request, 2)
+    assert policy.may_preempt(request, running_tasks())
+    assert policy.may_preempt(request, running_tasks(within_guarantee=True))
+    assert not policy.may_preempt(request, running_tasks(is_protected_by_age=True))
+    assert not policy.may_preempt(request, running_tasks(rank=1))
+    assert not policy.may_preempt(request, running_tasks(left_s=0.5))
+    assert not policy.may_request_preemption(request._replace(waited_s=0.5), 2)
+    assert not policy.may_request_preemption(request._replace(rank=2), 3)
     # A guarantee preempts nothing more urgent: the capacity would go back to that at once.
-    owed = PreemptionRequest("red", 2, True, 500.0)
-    team_over_guarantee = running(team_over_guarantee=True, recently_started=True)
-    assert policy.may_preempt(owed, team_over_guarantee)
-    assert not policy.may_preempt(owed, team_over_guarantee._replace(rank=1))
-    assert not policy.may_preempt(owed, team_over_guarantee._replace(team="red"))
+    guarantee_request = PreemptionRequest("red", 2, True, 500.0)
+    over_guarantee = running_tasks(team_over_guarantee=True, recently_started=True)
+    assert policy.may_preempt(guarantee_request, over_guarantee)
+    assert not policy.may_preempt(guarantee_request, over_guarantee._replace(rank=1))
+    assert not policy.may_preempt(guarantee_request, over_guarantee._replace(team="red"))
 
 
 def test_job_is_protected_by_age_up_to_its_due_tasks() -> None:
@@ -455,12 +472,12 @@
 
 @given(jobs_strategy)
 def test_guarantee_first_order(drawn: list[tuple]) -> None:
-    waiting = waiting_of(drawn)
+    waiting = waiting_jobs(drawn)
     expected = sorted(
         waiting,
         key=lambda j: (not j.within_guarantee, j.rank, j.latest_finish, j.submitted_at, j.uid),
     )
-    got = GuaranteeFirst().order(waiting, [], SPARE, NOW)
+    got = GuaranteeFirst().order(waiting, [], HEADROOM, NOW)
     assert got == [QueueEntry(j.uid) for j in expected]
 
 
@@ -469,7 +486,7 @@
     urgent = PreemptionRequest("red", 0, False, 0.0)
     assert policy.may_request_preemption(urgent, 2)
     assert not policy.may_request_preemption(urgent, 1)
-    assert policy.may_preempt(urgent, running(rank=2))
-    assert not policy.may_preempt(urgent, running(rank=1))
-    assert not policy.may_preempt(urgent, running(rank=3, within_guarantee=True))
+    assert policy.may_preempt(urgent, running_tasks(rank=2))
+    assert not policy.may_preempt(urgent, running_tasks(rank=1))
+    assert not policy.may_preempt(urgent, running_tasks(rank=3, within_guarantee=True))
     assert not policy.preempts_long_running
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -19,9 +19,9 @@
     """Settings of `count` controllers with the property `rebuilding` on."""
     return [
         msgspec.structs.replace(
-            each, properties=msgspec.structs.replace(each.properties, rebuilding="on")
+            controller, properties=msgspec.structs.replace(controller.properties, rebuilding="on")
         )
-        for each in some_controllers(tmp_path, count)
+        for controller in some_controllers(tmp_path, count)
     ]
 
 
@@ -34,26 +34,28 @@
 }
 
 
-def lose(world: World, kind: str) -> None:
+def lose_data(world: World, kind: str) -> None:
     LOSSES[kind](world.state)
 
 
 # The last day guards against this fault: between two reads, an owner placed tasks of a cancelled
 # job, which the reset service showed as not cancelled, and its team exceeded its limit.
-DAYS = [(kind, 3, 2, ends) for kind in LOSSES for ends in ((), (0, 1))] + [("back 20 s", 5, 11, ())]
+DAYS = [(kind, 3, 2, crashed) for kind in LOSSES for crashed in ((), (0, 1))] + [
+    ("back 20 s", 5, 11, ())
+]
 
 
-@pytest.mark.parametrize(("kind", "count", "seed", "ends"), DAYS)
+@pytest.mark.parametrize(("kind", "count", "seed", "crashed"), DAYS)
 def test_one_surviving_controller_restores_everything(
-    tmp_path: Path, kind: str, count: int, seed: int, ends: tuple[int, ...]
+    tmp_path: Path, kind: str, count: int, seed: int, crashed: tuple[int, ...]
 ) -> None:
     """As long as one controller survives the loss, no rule is broken and all jobs finish."""
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(62.0)
-        lose(world, kind)
-        world.crash(*ends)
+        lose_data(world, kind)
+        world.crash(*crashed)
 
     world = play(rebuilding(tmp_path, count), seed, MIX, script, 220.0)
     assert world.checker.broken == []
@@ -66,7 +68,7 @@
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(62.0)
-        lose(world, "back 20 s")
+        lose_data(world, "back 20 s")
         await trio.sleep(0.6)
         world.crash(0, 1, 2, 3)
         await trio.sleep(8.0)
@@ -91,7 +93,7 @@
         world.disks.update(enumerate(disks))
         world.crash(0, 1, 2)
         await trio.sleep(62.0)
-        lose(world, kind)
+        lose_data(world, kind)
         world.crash(0, 1, 2)
         newest = max(disks[0].files)
         disks[0].files[f"9{newest[1:]}"] = disks[0].files[newest][:-7]
@@ -99,9 +101,10 @@
 
     settings = [
         msgspec.structs.replace(
-            each, properties=msgspec.structs.replace(each.properties, snapshots_every_s=2.0)
+            controller,
+            properties=msgspec.structs.replace(controller.properties, snapshots_every_s=2.0),
         )
-        for each in rebuilding(tmp_path)
+        for controller in rebuilding(tmp_path)
     ]
     world = play(settings, 13, MIX, script, 220.0)
     assert world.checker.broken == []
@@ -113,12 +116,12 @@
     """All controllers crash, there is no snapshot, and the service has the job but not its
     assignments. The running tasks must go on where they are; none may start twice or take the team
     over its limit."""
-    ran: list[int] = []
+    running_before: list[int] = []
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(40.0)
-        ran.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
+        running_before.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
         assignments = [k for k in world.state.data if k.startswith("r/j/") and k.count("/") == 3]
         for key in assignments:
             del world.state.data[key]
@@ -128,7 +131,7 @@
     world = play(rebuilding(tmp_path), 3, jobs, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    assert ran == [6]
+    assert running_before == [6]
     assert world.checker.starts == 6  # no task was started again
 
 
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -31,10 +31,10 @@
     ),
     max_leaves=6,
 )
-KNOWN = st.builds(KnownRecord, VALUES, st.integers(0, 255), st.integers(0, 2**36))
-KEPT = st.builds(
+KNOWN_RECORDS = st.builds(KnownRecord, VALUES, st.integers(0, 255), st.integers(0, 2**36))
+KNOWN_STATES = st.builds(
     KnownState,
-    st.dictionaries(st.text(max_size=12), KNOWN, max_size=250),
+    st.dictionaries(st.text(max_size=12), KNOWN_RECORDS, max_size=250),
     st.dictionaries(
         st.text(max_size=9),
         st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9)),
@@ -45,11 +45,11 @@
 HEADER = SnapshotHeader("f1", "node-0", 1_700_000_000.25, 2, 77)
 
 
-@given(KEPT)
+@given(KNOWN_STATES)
 def test_round_trip(known_state: KnownState) -> None:
-    pieces = list(encode_snapshot(HEADER, known_state))
-    assert len(pieces) >= 4 + len(known_state.records) // 100
-    assert decoded(b"".join(pieces), "f1") == (HEADER, known_state)
+    chunks = list(encode_snapshot(HEADER, known_state))
+    assert len(chunks) >= 4 + len(known_state.records) // 100
+    assert decoded(b"".join(chunks), "f1") == (HEADER, known_state)
 
 
 def test_unusable_files_are_refused_with_the_reason() -> None:
