--- a/tests/test_era_model.py
+++ b/tests/test_era_model.py
@@ -4,7 +4,7 @@
 The model has a state service that is reset to any earlier revision or emptied, up to twice; two
 controllers, each with a shard and a worker, the second of which may restart; one job of one task;
 and a user who submits, cancels and polls it. A step is a read (which finds any contradiction, as
-`Noticing` does), a transaction, or a command with its answer."""
+`LossDetector` does), a transaction, or a command with its answer."""
 
 from collections.abc import Iterator
 from functools import lru_cache
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -367,7 +367,7 @@
     assert record(5.0)["s"] != RECOVERED
     epoch("history", {"a": True}, ["a", "b"])
     assert record(19.0) is None
-    assert record(20.0)["s"] != RECOVERED  # b is live but has not restored for four terms
+    assert record(20.0)["s"] != RECOVERED  # b is live but has not restored for four controller leases
     epoch("records", {"a": True, "b": False}, ["a", "b"])
     assert record(5.0)["c"]
     epoch("records", {"a": False, "b": False}, ["a", "b"])
