--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -24,7 +24,7 @@
     value_bytes,
 )
 from ryegauge.protocol.jobs import PRIORITIES, parse_job
-from ryegauge.rebuilding.records import KnownRecord, KnownState, record_age
+from ryegauge.rebuilding.records import KnownRecord, KnownState, epoch_and_version
 
 # Upper bound for the size of a transaction; the state service accepts 64 KiB.
 MAX_TXN_BYTES = 40_000
@@ -192,9 +192,9 @@
         )
 
 
-def _assignment_age(assignment: Assignment, replica: StateReplica) -> tuple[int, int]:
-    """Epoch and version of an assignment, see `record_age`."""
-    return record_age(assignment.version, assignment.origin, replica)
+def _assignment_epoch_and_version(assignment: Assignment, replica: StateReplica) -> tuple[int, int]:
+    """Epoch and version of an assignment, see `epoch_and_version`."""
+    return epoch_and_version(assignment.version, assignment.origin, replica)
 
 
 def merged_assignments(
@@ -207,7 +207,8 @@
         shard: assignment
         for shard, assignment in old.items()
         if shard not in job.assignments
-        or _assignment_age(assignment, replica) > _assignment_age(job.assignments[shard], replica)
+        or _assignment_epoch_and_version(assignment, replica)
+        > _assignment_epoch_and_version(job.assignments[shard], replica)
     }
     held = Ranges()
     for shard, assignment in job.assignments.items():
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -22,8 +22,9 @@
 
 
 class KnownRecord(NamedTuple):
-    """A record's value with its age: epochs are compared first, then versions. The version is 0
-    for records that never change, whose versions the replica does not keep."""
+    """A record's value with its epoch and version; of two records the one with the higher epoch,
+    then the higher version, is newer. The version is 0 for records that never change, whose
+    versions the replica does not keep."""
 
     value: Any
     epoch: int
@@ -81,7 +82,7 @@
     return newer
 
 
-def record_age(
+def epoch_and_version(
     version: int, origin: tuple[int, int] | None, replica: StateReplica
 ) -> tuple[int, int]:
     """Returns epoch and version of a record in the replica. `origin` is that of a restored record,
@@ -96,10 +97,11 @@
     """Records of a job, its assignments and its overflow pages, by key."""
     uid = job.spec.uid
     record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
-    yield job_key(uid), KnownRecord(record, *record_age(job.version, None, replica))
+    yield job_key(uid), KnownRecord(record, *epoch_and_version(job.version, None, replica))
     for shard, assignment in job.assignments.items():
         known = KnownRecord(
-            assignment.to_record(), *record_age(assignment.version, assignment.origin, replica)
+            assignment.to_record(),
+            *epoch_and_version(assignment.version, assignment.origin, replica),
         )
         yield assignment_key(uid, shard), known
     for (shard, number), tasks in job.overflow_pages.items():
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -241,7 +241,7 @@
     service.write(Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING})]))
     if by_version_alone:
         monkeypatch.setattr(
-            merging, "_assignment_age", lambda assignment, _: (0, assignment.version)
+            merging, "_assignment_epoch_and_version", lambda assignment, _: (0, assignment.version)
         )
     for at in (2, 4):
         known_state = copy_known_state(Service(history.at[at], at).replica(), True)
@@ -367,7 +367,8 @@
     assert record(5.0)["s"] != RECOVERED
     epoch("history", {"a": True}, ["a", "b"])
     assert record(19.0) is None
-    assert record(20.0)["s"] != RECOVERED  # b is live but has not restored for four controller leases
+    # b is live but has not restored for four controller leases.
+    assert record(20.0)["s"] != RECOVERED
     epoch("records", {"a": True, "b": False}, ["a", "b"])
     assert record(5.0)["c"]
     epoch("records", {"a": False, "b": False}, ["a", "b"])
