--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -1,114 +1,125 @@
-"""What a policy is asked with and what it says. Times are seconds of the time of day."""
+"""The interface of scheduling policies and the values they work on. Points in time are Unix times
+in seconds; names that end in `_s` are durations in seconds."""
 
 from collections.abc import Sequence
 from typing import NamedTuple, Protocol
 
 
 class WaitingJob(NamedTuple):
-    """A job with open tasks that wait for nothing but room."""
+    """A job with open tasks that wait for nothing but capacity."""
 
     uid: str
     team: str
-    rank: int  # of its priority or of any job that needs it; the most urgent is 0
-    finish: float  # latest finish
+    # Index of its priority, or of the most urgent job that needs it; 0 is the most urgent.
+    rank: int
+    latest_finish: float  # latest finish that still meets its deadline
     submitted_at: float
     ready_at: float  # when the last job that it needs was done, else its submission
-    within_guarantee: bool  # fits into its team's guarantee with the team's earlier jobs
-    open_task_count: int  # tasks neither done nor held by a part
-    served: int  # tasks done or held by a part
-    # The largest share of the fleet's CPUs, memory or cards that one task takes.
+    within_guarantee: bool  # fits into its team's guarantee together with the team's earlier jobs
+    open_task_count: int  # number of tasks neither done nor assigned to a shard
+    served_task_count: int  # number of tasks done or assigned to a shard
+    # The largest share of the fleet's CPUs, memory or GPUs that one task takes.
     weight: float
-    cpus: float  # of one task, as `gpus`
+    cpus: float  # per task, as `gpus`
     gpus: float
-    whole: bool = False  # all of its tasks start together
-    standing: bool = False
-    zoned: bool = False  # where a task may run depends on where the others are
+    starts_together: bool = False  # all of its tasks start together
+    standing: bool = False  # a service: its tasks never end by themselves
+    zone_dependent: bool = False  # where a task may run depends on where the others run
 
 
 class AssignedTasks(NamedTuple):
-    """Tasks of one job that parts hold: running, or on their way."""
+    """The tasks of one job that are assigned to shards, running or about to start."""
 
-    rank: int
+    rank: int  # as in WaitingJob, also `ready_at` and `weight`
     ready_at: float
-    done: int
-    held: int
+    done_count: int  # number of the job's tasks that are done
+    assigned_count: int  # number of its tasks that are assigned
     weight: float
 
 
 class QueueEntry(NamedTuple):
-    """A job's turn. The same job may come twice: for some of its tasks, then the rest."""
+    """A position in the order of jobs. A job may have two: one for some of its tasks and a later
+    one for the rest."""
 
     uid: str
-    most: int | None = None  # tasks at most in this turn; None: all that are open
-    # If it finds no room, some may be held free for it for so long; 0: none.
+    max_tasks: int | None = None  # maximum number of tasks at this position; None: all open ones
+    # For how long capacity may be reserved for it if there is none now; 0: not at all.
     hold_s: float = 0.0
 
 
 class PreemptionRequest(NamedTuple):
-    """A job that found no room, as far as it may ask for others to be stopped."""
+    """A job that found no capacity, on whose behalf others might be preempted."""
 
     team: str
     rank: int
-    # Within its team's guarantee, and has waited for longer than boots explain.
+    # Within its team's guarantee, and has waited for longer than booting a machine takes.
     guaranteed: bool
     waited_s: float
 
 
 class RunningTasks(NamedTuple):
-    """Tasks of one job on one machine that might be stopped for others."""
+    """Tasks of one job on one machine that might be preempted."""
 
     team: str
     rank: int
-    within_guarantee: bool
-    beyond: bool  # its team uses more than its guarantee
-    recent: bool  # has just begun, and has slack for another run on a new machine
+    within_guarantee: bool  # the job is within its team's guarantee
+    team_over_guarantee: bool  # the team uses more than its guarantee
+    recently_started: bool  # has just begun, and can still meet its deadline on a new machine
     elapsed_s: float
-    left_s: float
-    is_protected_by_age: bool = False  # was given its room for its age
+    left_s: float  # expected time until it ends
+    is_protected_by_age: bool = False  # was given its capacity because of its age
 
 
 class TeamHeadroom(NamedTuple):
-    """What a team may still use."""
+    """What a team may still use within its limits."""
 
     cpus: float
     gpus: float
 
     def fits(self, job: WaitingJob, count: int) -> bool:
+        """Whether `count` more tasks of the job are within the limits."""
         return job.cpus * count <= self.cpus + 1e-6 and job.gpus * count <= self.gpus + 1e-6
 
-    def less(self, job: WaitingJob, count: int) -> "TeamHeadroom":
+    def minus(self, job: WaitingJob, count: int) -> "TeamHeadroom":
+        """What is left after `count` more tasks of the job."""
         return TeamHeadroom(self.cpus - job.cpus * count, self.gpus - job.gpus * count)
 
 
 class Policy(Protocol):
-    # Whether work that is well under way may be stopped too.
+    """Decides the order of jobs and which running tasks may be preempted."""
+
+    # Whether tasks may be preempted that have run for a while; otherwise only recent ones.
     preempts_long_running: bool
-    # Pause between stops for others, in the longest ordinary pauses between reports.
+    # Minimum time between preemptions, in multiples of the longest regular gap between reports.
     preemption_pause_reports: float
-    # Whether `Holding` and `Waiting.weight` are looked at, and ends are recorded.
+    # Whether the policy uses `AssignedTasks` and `WaitingJob.weight`. If so, the times at which
+    # tasks end are recorded.
     uses_ageing: bool
 
     def order(
         self,
         waiting: Sequence[WaitingJob],
-        holding: Sequence[AssignedTasks],
+        assigned: Sequence[AssignedTasks],
         headroom: dict[str, TeamHeadroom],
         now: float,
     ) -> list[QueueEntry]:
-        """Turns, the first goes first. `spare` is by team and is left as it is."""
+        """Returns the order in which the jobs get capacity, the first one first. `headroom` maps
+        team names to what they may still use; it is not modified. `now` is a Unix time."""
         ...
 
-    def may_request_preemption(self, claim: PreemptionRequest, lowest: int) -> bool:
-        """Whether a job may have others stopped at all; `lowest` is the rank of the least
-        urgent job there is."""
+    def may_request_preemption(self, request: PreemptionRequest, least_urgent_rank: int) -> bool:
+        """Whether a job may have others preempted at all. `least_urgent_rank` is the rank of the
+        least urgent live job."""
         ...
 
-    def may_preempt(self, claim: PreemptionRequest, running: RunningTasks) -> bool: ...
+    def may_preempt(self, request: PreemptionRequest, running: RunningTasks) -> bool:
+        """Whether these tasks may be preempted for this job."""
+        ...
 
     def preemption_key(self, running: RunningTasks) -> tuple[float, ...]:
-        """The lowest is stopped first."""
+        """Sort key of tasks that may be preempted: the lowest is preempted first."""
         ...
 
-    def is_protected_by_age(self, holding: AssignedTasks, now: float) -> bool:
-        """Whether a job holds no more than its age gives it a right to."""
+    def is_protected_by_age(self, assigned: AssignedTasks, now: float) -> bool:
+        """Whether a job holds no more tasks than its age entitles it to."""
         ...
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -1,4 +1,4 @@
-"""What one controller knew of the state service before a loss, as records."""
+"""The records that one controller knew before a loss in the state service."""
 
 # kind: decisions
 
@@ -22,8 +22,9 @@
 
 
 class KnownRecord(NamedTuple):
-    """A record, and how new it is: by era, then by version. Version 0: of a record that never
-    changes, its version was not kept."""
+    """A record's value with its epoch and version; of two records the one with the higher epoch,
+    then the higher version, is newer. The version is 0 for records that never change, whose
+    versions the replica does not keep."""
 
     value: Any
     epoch: int
@@ -31,36 +32,41 @@
 
 
 class KnownState(NamedTuple):
-    """`lived`: whether the controller itself saw that something was lost, so that it knows
-    all that it had to do with before."""
+    """Records, and outcomes with task counts of jobs that have left the replica.
+
+    `saw_loss` is true if this controller detected the loss itself. It then knows everything that it
+    took part in before the loss."""
 
     records: dict[str, KnownRecord]
     final_outcomes: dict[str, tuple[Outcome, int]]
     saw_loss: bool
 
-    def over(self, older: "KnownState | None") -> "KnownState":
-        """With what an older one has beside it: of an earlier era, when there were two losses
-        in a row, or of a snapshot. The newer record counts; what is over stays so."""
+    def with_older(self, older: "KnownState | None") -> "KnownState":
+        """Returns this state completed by an older one: from an earlier epoch, if two losses
+        followed each other, or from a snapshot. The newer record wins. Records of jobs with a
+        known outcome are dropped."""
         if older is None:
             return self
         final_outcomes = {**older.final_outcomes, **self.final_outcomes}
         records = dict(older.records)
         for key, known in self.records.items():
-            records[key] = _both(known, records[key]) if key in records else known
-        left = {
+            records[key] = _combine(known, records[key]) if key in records else known
+        remaining = {
             key: known
             for key, known in records.items()
             if not (key.startswith(("r/j/", "r/s/")) and key.split("/")[2] in final_outcomes)
         }
-        return KnownState(left, final_outcomes, self.saw_loss)
+        return KnownState(remaining, final_outcomes, self.saw_loss)
 
 
-def _both(one: KnownRecord, two: KnownRecord) -> KnownRecord:
-    """The newer of two records, with what never goes back of the other: the mark of a
-    cancellation, tasks that are done. (Found by the model: after a second loss, the book that
-    the first one had left hid a cancellation which had not been put back.)"""
+def _combine(first: KnownRecord, second: KnownRecord) -> KnownRecord:
+    """Returns the newer of two records, with the facts of the older one that are never undone:
+    a cancellation and done tasks. Without them, after a second loss, the incomplete replica left
+    by the first one would hide a cancellation that had not been restored yet."""
     newer, older = (
-        (one, two) if (one.epoch, one.version) >= (two.epoch, two.version) else (two, one)
+        (first, second)
+        if (first.epoch, first.version) >= (second.epoch, second.version)
+        else (second, first)
     )
     if not isinstance(newer.value, dict) or not isinstance(older.value, dict):
         return newer
@@ -76,38 +82,44 @@
     return newer
 
 
-def stamp(version: int, origin: tuple[int, int] | None, replica: StateReplica) -> tuple[int, int]:
-    """How new a standing record is, by era and version. One that neither was put back nor
-    written in this era is taken for one of the era before."""
+def epoch_and_version(
+    version: int, origin: tuple[int, int] | None, replica: StateReplica
+) -> tuple[int, int]:
+    """Returns epoch and version of a record in the replica. `origin` is that of a restored record,
+    from before the loss. A record that was neither restored nor written in this epoch counts as
+    one of the epoch before."""
     if origin is not None:
         return origin
     return (replica.epoch if version > replica.epoch_start else max(0, replica.epoch - 1)), version
 
 
-def _of_job(job: Job, replica: StateReplica) -> Iterator[tuple[str, KnownRecord]]:
+def _job_records(job: Job, replica: StateReplica) -> Iterator[tuple[str, KnownRecord]]:
+    """Records of a job, its assignments and its overflow pages, by key."""
     uid = job.spec.uid
     record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
-    yield job_key(uid), KnownRecord(record, *stamp(job.version, None, replica))
+    yield job_key(uid), KnownRecord(record, *epoch_and_version(job.version, None, replica))
     for shard, assignment in job.assignments.items():
         known = KnownRecord(
-            assignment.to_record(), *stamp(assignment.version, assignment.origin, replica)
+            assignment.to_record(),
+            *epoch_and_version(assignment.version, assignment.origin, replica),
         )
         yield assignment_key(uid, shard), known
     for (shard, number), tasks in job.overflow_pages.items():
         yield overflow_page_key(uid, shard, number), KnownRecord({"d": tasks.flat()}, 0, 0)
 
 
-# Records that are nobody's after a loss: roles, enrolments, the era itself.
-FLEETING = ("r/p/", "r/l", "r/n/", "r/e")
+# Keys that are not restored: roles, enrolments and the epoch itself are void after a loss.
+NOT_RESTORED_PREFIXES = ("r/p/", "r/l", "r/n/", "r/e")
 
 
-def keep(
+def copy_known_state(
     replica: StateReplica, saw_loss: bool, written: Mapping[int, Iterable[Put]] | None = None
 ) -> KnownState:
-    """All that the book holds but roles, and what is `written` but not read yet, by revision."""
+    """Copies everything in the replica except roles, and the `written` records, by revision, that
+    were confirmed to this controller and not read yet. `saw_loss` is passed on to the result."""
     records: dict[str, KnownRecord] = {}
     for job in replica.jobs.values():
-        records.update(_of_job(job, replica))
+        records.update(_job_records(job, replica))
     for uid, digest, number, names in replica.pieces():
         records[needs_piece_key(uid, digest, number)] = KnownRecord(
             {"n": list(names)}, replica.epoch, 0
@@ -123,6 +135,8 @@
         for put in puts:
             if put.key.startswith("f/"):
                 final_outcomes[put.key[2:]] = (put.value["st"], put.value["d"])
-            elif put.key.startswith("r/") and not put.key.startswith((*FLEETING, "r/k/")):
+            elif put.key.startswith("r/") and not put.key.startswith(
+                (*NOT_RESTORED_PREFIXES, "r/k/")
+            ):
                 records[put.key] = KnownRecord(put.value, replica.epoch, revision)
     return KnownState(records, final_outcomes, saw_loss)
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -1,5 +1,5 @@
-"""What several controllers put back after a loss, against a slow plain model that knows what
-the state service had at each revision."""
+"""Restores by several controllers after a loss, compared with a simple reference model that keeps
+the state service's data at each revision; adoption of unrecorded tasks; stages of an epoch."""
 
 from typing import Any
 
@@ -21,17 +21,22 @@
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.rebuilding import merging
 from ryegauge.rebuilding.adopting import UnrecordedTask, adoption_writes
-from ryegauge.rebuilding.merging import Limits, grouped, restore_writes
-from ryegauge.rebuilding.records import keep
-from ryegauge.rebuilding.stages import complete, first_record, is_turn_to_restore, next_record
+from ryegauge.rebuilding.merging import RestoreLimits, group_writes, restore_writes
+from ryegauge.rebuilding.records import copy_known_state
+from ryegauge.rebuilding.stages import (
+    all_confirmed_restored,
+    first_epoch_record,
+    is_turn_to_restore,
+    next_epoch_record,
+)
 
 SHARDS = 2
 TASKS = 4
-LIMITS = Limits(4, 1024)
+LIMITS = RestoreLimits(4, 1024)
 
 
 class Service:
-    """Keys, values and versions; nothing else."""
+    """A minimal state service: keys, values and versions, and guarded transactions."""
 
     def __init__(self, data: dict[str, tuple[Any, int]], revision: int) -> None:
         self.data, self.revision = dict(data), revision
@@ -64,12 +69,12 @@
     return f"wk-{n:06d}"
 
 
-def share(assigned: set[int], done: set[int]) -> dict[str, Any]:
+def assignment_record(assigned: set[int], done: set[int]) -> dict[str, Any]:
     return {"t": {"": Ranges.of(assigned).flat()} if assigned else {}, "d": Ranges.of(done).flat()}
 
 
 class History:
-    """A plain model of what happens to three jobs, and the service at each revision."""
+    """Reference model: random steps of up to three jobs, with the service's data after each."""
 
     def __init__(self) -> None:
         self.service = Service({}, 0)
@@ -101,17 +106,28 @@
             return
         held = self._held(n)
         mine, done = held[shard]
-        over = bool(known[0].get("x")) or sum(len(d) for _, d in held.values()) == TASKS
+        ended = bool(known[0].get("x")) or sum(len(d) for _, d in held.values()) == TASKS
         taken = set().union(*(t | d for t, d in held.values()))
-        if kind == 0 and not over and task not in taken:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine | {task}, done))])
+        if kind == 0 and not ended and task not in taken:
+            self._commit(
+                [Put(assignment_key(uid(n), shard), assignment_record(mine | {task}, done))]
+            )
         elif kind == 1 and task in mine:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine - {task}, done | {task}))])
+            self._commit(
+                [
+                    Put(
+                        assignment_key(uid(n), shard),
+                        assignment_record(mine - {task}, done | {task}),
+                    )
+                ]
+            )
         elif kind == 2 and task in mine:
-            self._commit([Put(assignment_key(uid(n), shard), share(mine - {task}, done))])
-        elif kind == 3 and not over:
+            self._commit(
+                [Put(assignment_key(uid(n), shard), assignment_record(mine - {task}, done))]
+            )
+        elif kind == 3 and not ended:
             self._commit([Put(key, {**known[0], "x": True})])
-        elif kind == 4 and over and not any(t for t, _ in held.values()):
+        elif kind == 4 and ended and not any(t for t, _ in held.values()):
             status = "cancelled" if known[0].get("x") else "done"
             count = sum(len(d) for _, d in held.values())
             self._commit(
@@ -123,8 +139,8 @@
             )
 
 
-def told(replica: StateReplica, service: Service, n: int) -> tuple[str, int] | None:
-    """What a user would be told of a job's end."""
+def outcome_of(replica: StateReplica, service: Service, n: int) -> tuple[str, int] | None:
+    """The outcome that a user is told, with the number of done tasks; None before the end."""
     name = uid(n)
     if name in replica.jobs:
         job = replica.jobs[name]
@@ -143,59 +159,65 @@
 
 
 @given(steps=STEPS, data=st.data())
-def test_whoever_puts_back_in_whatever_order(steps: list[tuple[int, ...]], data: Any) -> None:
-    """The service went back to some revision or to nothing, or lost single records; any of
-    the controllers that had read it up to others put back what they know, in any order, and
-    some of them are cut off in the middle and begin again. The result is what the one who had
-    read most knew."""
+def test_restores_in_any_order_yield_the_newest_known_state(
+    steps: list[tuple[int, ...]], data: Any
+) -> None:
+    """The service is reset to an earlier revision, emptied, or loses single records. Controllers
+    that had read up to different revisions restore what they know in any order, and some are
+    interrupted and start again. The result must be what the one that had read most knew."""
     history = History()
     for step in steps:
         history.step(*step)
     last = len(history.at) - 1
-    went_back = data.draw(st.booleans(), label="went back, or lost records")
-    revision = data.draw(st.integers(0, last), label="revision") if went_back else last
-    stands = dict(history.at[revision])
-    if not went_back:
-        drops = data.draw(st.sets(st.sampled_from(sorted(stands) or ["-"])), label="lost")
-        stands = {k: v for k, v in stands.items() if k not in drops or k.startswith("f/")}
+    was_reset = data.draw(st.booleans(), label="reset, else records are lost")
+    revision = data.draw(st.integers(0, last), label="revision") if was_reset else last
+    service_data = dict(history.at[revision])
+    if not was_reset:
+        dropped_keys = data.draw(
+            st.sets(st.sampled_from(sorted(service_data) or ["-"])), label="lost"
+        )
+        service_data = {
+            k: v for k, v in service_data.items() if k not in dropped_keys or k.startswith("f/")
+        }
     read = data.draw(st.lists(st.integers(revision, last), min_size=1, max_size=3), label="read")
     replicas = []
-    for upto in read:
+    for last_read in read:
         replica = StateReplica()
         replica.max_final_outcomes = 100
-        # One change after the other, as a controller sees them: so it knows what left.
-        for at in range(1, upto + 1):
+        # One revision after the other, as a controller reads them, so that it also knows the
+        # jobs that were archived.
+        for at in range(1, last_read + 1):
             before, after = history.at[at - 1], history.at[at]
             events = [Event(k, None, at) for k in before if k not in after]
             events += [Event(k, *after[k]) for k in after if before.get(k) != after[k]]
             replica.apply([e for e in events if e.key.startswith("r/")], at)
         replicas.append(replica)
-    service = Service(stands, revision)
+    service = Service(service_data, revision)
     assert service.write(
         Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING, "k": "history"})])
     )
     for n in data.draw(st.permutations(range(len(replicas))), label="order"):
-        known_state = keep(replicas[n], True)
+        known_state = copy_known_state(replicas[n], True)
         for turn in range(30):
             writes = restore_writes(known_state, service.replica(), LIMITS, f"node-{n}")
             if not writes:
                 break
-            for together in grouped(writes, LIMITS):
-                # Changes to keys of one transaction are not more than it takes.
-                assert len(together.changes) <= LIMITS.ops
+            for transaction in group_writes(writes, LIMITS):
+                # No transaction has more changes than the service accepts.
+                assert len(transaction.changes) <= LIMITS.max_changes
                 if turn == 0 and data.draw(st.booleans(), label="ends here"):
                     break
-                if not service.write(together):
+                if not service.write(transaction):
                     for write in writes:
                         service.write(write)
         else:
-            pytest.fail("never done")
+            pytest.fail("the restore does not end")
     result = service.replica()
     truth = Service(history.at[max(read)], max(read))
     expected = truth.replica()
     for n in range(3):
-        end = told(expected, truth, n)
-        assert told(result, service, n) == end
+        end = outcome_of(expected, truth, n)
+        assert outcome_of(result, service, n) == end
         if (job := expected.jobs.get(uid(n))) is not None and (end is None or job.assigned_count):
             got = result.jobs[uid(n)]
             assert got.done_count == job.done_count
@@ -206,20 +228,23 @@
 
 
 @pytest.mark.parametrize("by_version_alone", [False, True])
-def test_the_older_book_comes_first(
+def test_restoring_an_older_replica_first_loses_no_task(
     by_version_alone: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What it puts back has a high version and is old all the same: by the version alone, a
-    task would be in no share, and given away while it runs."""
+    """The controller with the older replica restores first, so its old assignment gets a high
+    version. If versions alone decided, the newer assignment would be dropped, and a running task
+    would be in no assignment and be started a second time."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 0, 0), (0, 0, 0, 1), (0, 0, 0, 2)]:
         history.step(*step)
     service = Service({}, 50)
     service.write(Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING})]))
     if by_version_alone:
-        monkeypatch.setattr(merging, "_stamp", lambda share, replica: (0, share.version))
+        monkeypatch.setattr(
+            merging, "_assignment_epoch_and_version", lambda assignment, _: (0, assignment.version)
+        )
     for at in (2, 4):
-        known_state = keep(Service(history.at[at], at).replica(), True)
+        known_state = copy_known_state(Service(history.at[at], at).replica(), True)
         for _ in range(5):
             for write in restore_writes(known_state, service.replica(), LIMITS, f"node-{at}"):
                 service.write(write)
@@ -227,20 +252,20 @@
     assert (held == Ranges.of([0, 1, 2])) == (not by_version_alone)
 
 
-def test_two_losses_in_a_row_keep_what_was_not_put_back() -> None:
-    """A second loss while the first was being put back: what the first book had still counts,
-    and the era is above both."""
+def test_second_loss_during_the_restore_keeps_unrestored_records() -> None:
+    """A second loss during the restore after the first. The records known before the first one
+    must still be restored, in an epoch after both."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 0, 0), (1, 0, 0, 0), (0, 0, 0, 1), (0, 1, 0, 0)]:
         history.step(*step)
-    first = keep(history.service.replica(), True)
+    first = copy_known_state(history.service.replica(), True)
     empty = Service({}, 0)
     empty.write(Transaction({}, [Put(EPOCH_KEY, {"e": 1, "s": RESTORING})]))
-    half = restore_writes(first, empty.replica(), LIMITS, "a")[:1]
-    assert all(empty.write(write) for write in half)
-    second = keep(empty.replica(), True).over(first)
+    first_writes = restore_writes(first, empty.replica(), LIMITS, "a")[:1]
+    assert all(empty.write(write) for write in first_writes)
+    second = copy_known_state(empty.replica(), True).with_older(first)
     lost = Service({}, 0)
-    record = first_record(None, 1, "history", "a")
+    record = first_epoch_record(None, 1, "history", "a")
     assert record is not None
     assert record["e"] == 2
     lost.write(Transaction({}, [Put(EPOCH_KEY, record)]))
@@ -251,17 +276,19 @@
     assert set(replica.jobs) == {uid(0), uid(1)}
     assert replica.jobs[uid(0)].done_count == 1
     assert replica.jobs[uid(0)].assignments[0].tasks == Ranges.of([1])
-    # Whoever finds an era above the one that it knows begins none.
-    assert first_record(record, 1, "history", "b") is None
+    # A controller that finds a later epoch than the one it knows begins none.
+    assert first_epoch_record(record, 1, "history", "b") is None
     with pytest.raises(OverflowError):
-        first_record(None, 255, "history", "b")
+        first_epoch_record(None, 255, "history", "b")
 
 
-def test_what_does_not_fit_any_more_keeps_nothing_waiting() -> None:
+def test_oversized_record_does_not_block_the_restore() -> None:
+    """A record larger than the present limit is skipped; the service would refuse it every time,
+    and the records after it would never be restored."""
     history = History()
     history.step(0, 0, 0, 0)
     history.step(1, 0, 0, 0)
-    known_state = keep(history.service.replica(), True)
+    known_state = copy_known_state(history.service.replica(), True)
     key = job_key(uid(0))
     large = {
         **known_state.records[key].value,
@@ -277,7 +304,8 @@
     assert list(service.replica().jobs) == [uid(1)]
 
 
-def test_tasks_that_run_are_taken_in_once() -> None:
+def test_unrecorded_task_is_adopted_once() -> None:
+    """Two shards that report the same unrecorded task must not both adopt it."""
     history = History()
     for step in [(0, 0, 0, 0), (0, 0, 1, 3)]:
         history.step(*step)
@@ -293,13 +321,15 @@
     (mine,) = adoption_writes(replica, 0, SHARDS, unrecorded)
     (theirs,) = adoption_writes(replica, 1, SHARDS, unrecorded[:1])
     assert service.write(mine)
-    assert not service.write(theirs)  # its shares are others by now
+    assert not service.write(theirs)  # the assignments that guard it have changed
     job = service.replica().jobs[uid(0)]
-    assert job.assignments[0].tasks == Ranges.of([0])  # 3 is the other part's
+    assert job.assignments[0].tasks == Ranges.of([0])  # task 3 is held by the other shard
     assert job.assignments[0].done == Ranges.of([1])
 
 
-def test_an_era_ends_when_all_that_live_have_put_back() -> None:
+def test_epoch_stages_wait_for_live_controllers() -> None:
+    """When controllers restore, how long the others are waited for, and when the epoch may say
+    that nothing is missing."""
     replica = StateReplica()
     names = ["a", "b", "c"]
 
@@ -312,10 +342,10 @@
         return replica
 
     def record(begun_s: float) -> Any:
-        return next_record(replica, names, begun_s, 0.0, 15.0, 5.0)
+        return next_epoch_record(replica, names, begun_s, 0.0, 15.0, 5.0)
 
     epoch("history", {"a": True, "b": True}, ["a", "b", "c"])
-    assert record(10.0) is None  # one that lives has not
+    assert record(10.0) is None  # c is live and has not restored
     turns = [is_turn_to_restore(replica, names, name, 1.0, 5.0) for name in names]
     assert turns == [True, True, True]
     epoch("history", {}, ["a", "c"])
@@ -332,12 +362,13 @@
     epoch("history", {"a": True, "b": True, "c": True}, names)
     assert record(0.5) == {"e": 1, "k": "history", "v": 10, "s": RECOVERED, "c": True}
     epoch("history", {"a": True, "b": True}, ["a", "b"])
-    assert not complete(replica, names)
-    assert record(4.0) is None  # the third may be about to come
+    assert not all_confirmed_restored(replica, names)
+    assert record(4.0) is None  # c may still enroll
     assert record(5.0)["s"] != RECOVERED
     epoch("history", {"a": True}, ["a", "b"])
     assert record(19.0) is None
-    assert record(20.0)["s"] != RECOVERED  # the second is there, and does nothing for four terms
+    # b is live but has not restored for four controller leases.
+    assert record(20.0)["s"] != RECOVERED
     epoch("records", {"a": True, "b": False}, ["a", "b"])
     assert record(5.0)["c"]
     epoch("records", {"a": False, "b": False}, ["a", "b"])
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -1,4 +1,4 @@
-"""Days on which the state service loses data, with controllers that go on or end as well."""
+"""Simulated days on which the state service loses data, and some controllers may crash too."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -16,11 +16,12 @@
 
 
 def rebuilding(tmp_path: Path, count: int = 3) -> list[Settings]:
+    """Settings of `count` controllers with the property `rebuilding` on."""
     return [
         msgspec.structs.replace(
-            each, properties=msgspec.structs.replace(each.properties, rebuilding="on")
+            controller, properties=msgspec.structs.replace(controller.properties, rebuilding="on")
         )
-        for each in some_controllers(tmp_path, count)
+        for controller in some_controllers(tmp_path, count)
     ]
 
 
@@ -33,37 +34,41 @@
 }
 
 
-def lose(world: World, kind: str) -> None:
+def lose_data(world: World, kind: str) -> None:
     LOSSES[kind](world.state)
 
 
-# The last was found by a longer look: between two reads an owner placed tasks of a cancelled job,
-# which the service had as it was before, and its team went over its limit.
-DAYS = [(kind, 3, 2, ends) for kind in LOSSES for ends in ((), (0, 1))] + [("back 20 s", 5, 11, ())]
+# The last day guards against this fault: between two reads, an owner placed tasks of a cancelled
+# job, which the reset service showed as not cancelled, and its team exceeded its limit.
+DAYS = [(kind, 3, 2, crashed) for kind in LOSSES for crashed in ((), (0, 1))] + [
+    ("back 20 s", 5, 11, ())
+]
 
 
-@pytest.mark.parametrize(("kind", "count", "seed", "ends"), DAYS)
-def test_one_that_lives_is_enough(
-    tmp_path: Path, kind: str, count: int, seed: int, ends: tuple[int, ...]
+@pytest.mark.parametrize(("kind", "count", "seed", "crashed"), DAYS)
+def test_one_surviving_controller_restores_everything(
+    tmp_path: Path, kind: str, count: int, seed: int, crashed: tuple[int, ...]
 ) -> None:
+    """As long as one controller survives the loss, no rule is broken and all jobs finish."""
+
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(62.0)
-        lose(world, kind)
-        world.crash(*ends)
+        lose_data(world, kind)
+        world.crash(*crashed)
 
     world = play(rebuilding(tmp_path, count), seed, MIX, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
 
-def test_it_goes_on_where_it_was(tmp_path: Path) -> None:
-    """Most controllers end while they put back; then the service goes back once more."""
+def test_restore_resumes_after_crashes_and_further_losses(tmp_path: Path) -> None:
+    """Most controllers crash during the restore; then the service is reset twice more."""
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(62.0)
-        lose(world, "back 20 s")
+        lose_data(world, "back 20 s")
         await trio.sleep(0.6)
         world.crash(0, 1, 2, 3)
         await trio.sleep(8.0)
@@ -78,8 +83,9 @@
 
 
 @pytest.mark.parametrize("kind", ["back 20 s", "all", "records"])
-def test_snapshots_are_enough_when_all_end(tmp_path: Path, kind: str) -> None:
-    """Fresh ones, and beside them one that is cut off and one of another fleet."""
+def test_snapshots_restore_after_all_controllers_crashed(tmp_path: Path, kind: str) -> None:
+    """All controllers crash with the loss and have recent snapshots, besides a truncated one and
+    one that is no snapshot."""
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
@@ -87,7 +93,7 @@
         world.disks.update(enumerate(disks))
         world.crash(0, 1, 2)
         await trio.sleep(62.0)
-        lose(world, kind)
+        lose_data(world, kind)
         world.crash(0, 1, 2)
         newest = max(disks[0].files)
         disks[0].files[f"9{newest[1:]}"] = disks[0].files[newest][:-7]
@@ -95,9 +101,10 @@
 
     settings = [
         msgspec.structs.replace(
-            each, properties=msgspec.structs.replace(each.properties, snapshots_every_s=2.0)
+            controller,
+            properties=msgspec.structs.replace(controller.properties, snapshots_every_s=2.0),
         )
-        for each in rebuilding(tmp_path)
+        for controller in rebuilding(tmp_path)
     ]
     world = play(settings, 13, MIX, script, 220.0)
     assert world.checker.broken == []
@@ -105,15 +112,16 @@
     assert all(3 <= len(disk.files) <= 5 for disk in world.disks.values())
 
 
-def test_tasks_that_run_are_adopted_if_nothing_else_is_left(tmp_path: Path) -> None:
-    """All end, no snapshot, and the service has the job but not the share: its tasks go on
-    where they are, and nothing runs twice or beyond the team's limit."""
-    ran: list[int] = []
+def test_running_tasks_are_adopted_if_no_copy_of_their_records_is_left(tmp_path: Path) -> None:
+    """All controllers crash, there is no snapshot, and the service has the job but not its
+    assignments. The running tasks must go on where they are; none may start twice or take the team
+    over its limit."""
+    running_before: list[int] = []
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(40.0)
-        ran.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
+        running_before.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
         assignments = [k for k in world.state.data if k.startswith("r/j/") and k.count("/") == 3]
         for key in assignments:
             del world.state.data[key]
@@ -123,13 +131,14 @@
     world = play(rebuilding(tmp_path), 3, jobs, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    assert ran == [6]
-    assert world.checker.starts == 6  # none began anew
+    assert running_before == [6]
+    assert world.checker.starts == 6  # no task was started again
 
 
-def test_what_nobody_knows_is_not_said_to_be_unknown(tmp_path: Path) -> None:
-    """Everything is lost, with all who knew: 503 from the moment that a worker shows it, no 404
-    for a job that was accepted, and the log says so."""
+def test_unrestorable_jobs_are_not_answered_404(tmp_path: Path) -> None:
+    """The service loses everything and all controllers crash. Once a worker's report shows the
+    loss, questions must be answered 503: a 404 would deny a job that was accepted. The epoch's
+    record says that not everything could be restored."""
 
     async def script(world: World) -> None:
         await trio.sleep(30.0)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: what was written is read, anything else is named and passed over."""
+"""Snapshots: the file format, what a snapshot says about a loss, and the commands."""
 
 import re
 from pathlib import Path
@@ -31,10 +31,10 @@
     ),
     max_leaves=6,
 )
-KNOWN = st.builds(KnownRecord, VALUES, st.integers(0, 255), st.integers(0, 2**36))
-KEPT = st.builds(
+KNOWN_RECORDS = st.builds(KnownRecord, VALUES, st.integers(0, 255), st.integers(0, 2**36))
+KNOWN_STATES = st.builds(
     KnownState,
-    st.dictionaries(st.text(max_size=12), KNOWN, max_size=250),
+    st.dictionaries(st.text(max_size=12), KNOWN_RECORDS, max_size=250),
     st.dictionaries(
         st.text(max_size=9),
         st.tuples(st.sampled_from(["done", "cancelled"]), st.integers(0, 9)),
@@ -45,14 +45,15 @@
 HEADER = SnapshotHeader("f1", "node-0", 1_700_000_000.25, 2, 77)
 
 
-@given(KEPT)
+@given(KNOWN_STATES)
 def test_round_trip(known_state: KnownState) -> None:
-    pieces = list(encode_snapshot(HEADER, known_state))
-    assert len(pieces) >= 4 + len(known_state.records) // 100
-    assert decoded(b"".join(pieces), "f1") == (HEADER, known_state)
+    chunks = list(encode_snapshot(HEADER, known_state))
+    assert len(chunks) >= 4 + len(known_state.records) // 100
+    assert decoded(b"".join(chunks), "f1") == (HEADER, known_state)
 
 
-def test_whatever_is_not_as_written_is_named() -> None:
+def test_unusable_files_are_refused_with_the_reason() -> None:
+    """A truncated, corrupted or foreign file is refused with the reason."""
     known_state = KnownState({"r/j/a": KnownRecord({"at": 1}, 0, 5)}, {"b": ("done", 3)}, False)
     data = b"".join(encode_snapshot(HEADER, known_state))
     for at in range(len(data)):
@@ -80,7 +81,8 @@
     return replica
 
 
-def test_only_what_is_older_than_the_snapshot_proves_a_loss() -> None:
+def test_only_a_service_behind_the_snapshot_shows_a_loss() -> None:
+    """A snapshot shows a loss only if the service is behind it: in epoch, revision or version."""
     record = KnownRecord(job_record(parse_job(job_body("wk-000001")), 1.0, False), 0, 5)
     share = KnownRecord({"t": {"": [0, 2]}, "d": []}, 0, 7)
     known_state = KnownState(
@@ -92,16 +94,16 @@
     both = {"r/j/wk-000001": 5, "r/j/wk-000001/0": 7}
     assert evidence_of_loss(snapshot, replica_of(both, 7)) == ""
     assert evidence_of_loss(snapshot, replica_of({**both, "r/j/wk-000001/0": 9}, 9)) == ""
-    assert "revision 7, after 6" in evidence_of_loss(snapshot, replica_of(both, 6))
+    assert "revision 7, the state service of 6" in evidence_of_loss(snapshot, replica_of(both, 6))
     assert "wk-000001/0" in evidence_of_loss(snapshot, replica_of({"r/j/wk-000001": 5}, 9))
-    assert "era 2" in evidence_of_loss(snapshot._replace(header=HEADER), replica_of(both, 99))
-    # That a job is not there proves nothing until it is looked for among those that left.
+    assert "of epoch 2" in evidence_of_loss(snapshot._replace(header=HEADER), replica_of(both, 99))
+    # A missing job may have been archived: its outcome has to be looked up first.
     assert evidence_of_loss(snapshot, replica_of({}, 9)) == ""
     assert list(snapshots.missing_jobs(snapshot, replica_of({}, 9))) == ["wk-000001", "wk-2"]
     assert list(snapshots.missing_jobs(snapshot, replica_of(both, 9))) == ["wk-2"]
 
 
-def test_the_newest_are_kept() -> None:
+def test_newest_snapshots_are_kept() -> None:
     names = [
         snapshots.snapshot_name(HEADER._replace(at=at))
         for at in (5.0, 100.0, 20.0, 1_700_000_000.0)
@@ -109,7 +111,7 @@
     assert snapshots.snapshots_to_delete([*names, "other"], 3) == [names[0]]
 
 
-def test_the_command(tmp_path: Path) -> None:
+def test_snapshot_commands(tmp_path: Path) -> None:
     config = tmp_path / "settings.toml"
     config.write_text(settings_text())
     header = HEADER._replace(fleet=snapshots.fleet_of(load(config)))
@@ -127,7 +129,7 @@
     assert code == 0
     first, second = out.splitlines()
     assert re.search(r"good: .*node-0, era 2, revision 77, 1 jobs in 1 records, 1 outc", first)
-    assert "cut off" in second
+    assert "truncated" in second
     assert run("check", str(good))[0] == 0
     assert run("check", str(good), str(bad))[0] == 1
     assert run("check", str(tmp_path / "none"))[0] == 1
