--- a/ryegauge/protocol/__init__.py
+++ b/ryegauge/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is said on the wire; its names end here."""
+"""Messages of users, workers, the cloud and peer controllers, and their names on the wire."""
--- a/ryegauge/protocol/cloud.py
+++ b/ryegauge/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's catalogue and machine list."""
+"""Answers of the cloud's API: machine types, machines and rentals."""
 
 from typing import Any, Literal, TypeVar
 
@@ -22,6 +22,8 @@
         "zones": "districts",
     },
 ):
+    """A type of machine in the cloud's catalogue; prices are per hour, `boot_s` is nominal."""
+
     name: str
     cpus: float
     memory_gb: float
@@ -34,6 +36,7 @@
     spot_price: float | None = None
 
     def price_of(self, spot: bool) -> float:
+        """Returns the hourly price; on-demand where the type has no spot price."""
         return self.spot_price if spot and self.spot_price is not None else self.price
 
 
@@ -50,6 +53,8 @@
         "age_s": "heldS",
     },
 ):
+    """One machine in the cloud's list; `age_s` counts from its rental."""
+
     name: str
     type: str
     zone: str
@@ -60,15 +65,21 @@
 
 
 class Catalog(msgspec.Struct, frozen=True, rename={"types": "builds"}):
+    """Answer of `GET /catalog`."""
+
     types: list[MachineType]
 
 
 class MachinePage(msgspec.Struct, frozen=True, rename={"machines": "hosts", "more": "hasNext"}):
+    """Answer of `GET /hosts`: one page of the machine list; `more` if others follow."""
+
     machines: list[ListedMachine]
     more: bool = False
 
 
 class Rented(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
+    """Answer to a rental: the names of the new machines."""
+
     machines: list[str]
 
 
@@ -76,6 +87,7 @@
 
 
 def parse(raw: Any, kind: type[T]) -> T:
+    """Returns a decoded body as a message of this type; raises Malformed if it is none."""
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
--- a/ryegauge/protocol/jobs.py
+++ b/ryegauge/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""What users send and are told: jobs, checked on arrival."""
+"""Jobs as users submit them, and their validation."""
 
 import math
 import re
@@ -8,7 +8,7 @@
 
 from ryegauge.transport.http import Malformed
 
-MAX_TASKS = 100_000
+MAX_TASKS = 100_000  # per job
 _UID = re.compile(r"wk-[0-9]{1,32}\Z")
 
 Kind = Literal["sweep", "gang", "standing"]
@@ -16,6 +16,8 @@
 PRIORITIES: tuple[Priority, ...] = ("critical", "high", "normal", "best_effort")
 
 
+# A submitted job. There is no docstring, since the job's JSON schema would show it as its
+# `description`.
 class JobSpec(
     msgspec.Struct,
     frozen=True,
@@ -60,21 +62,22 @@
     types: list[str] | None = None
     zone: str | None = None
     deadline_s: float | None = None
-    # Jobs that have to be done before any task of this one starts; None: there are none.
+    # Jobs that have to be done before any task of this one starts; None if there are none.
     needs: tuple[str, ...] | None = None
 
     def to_wire(self) -> dict[str, Any]:
-        """The record kept in the state service: nulls are left out."""
+        """Returns the job as its record in the state service has it, without nulls."""
         record: dict[str, Any] = msgspec.to_builtins(self)
         return {key: value for key, value in record.items() if value is not None}
 
 
 def valid_uid(uid: object) -> bool:
+    """Returns whether this is a job's name: `wk-` and 1 to 32 digits."""
     return isinstance(uid, str) and _UID.match(uid) is not None
 
 
 def parse_job(raw: Any) -> JobSpec:
-    """The job in a submission; raises Malformed naming the field at fault."""
+    """Returns the job in a decoded submission; raises Malformed naming the invalid field."""
     if not isinstance(raw, dict):
         raise Malformed("expected a map")
     try:
@@ -102,5 +105,5 @@
         return spec
     if not all(valid_uid(uid) for uid in spec.needs):
         raise Malformed("awaits: expected a list of job names, each wk- and digits")
-    # Names that are repeated count once.
+    # Repeated names count once.
     return msgspec.structs.replace(spec, needs=tuple(dict.fromkeys(spec.needs)) or None)
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -1,6 +1,7 @@
-"""What controllers tell each other: CBOR lists, each led by its tag.
+"""Messages between controllers: CBOR lists that begin with a tag.
 
-These are hints and views; whatever safety rests on is in the state service.
+The messages carry hints and views only. Everything that safety depends on is in the state
+service. A receiver ignores elements that it does not know, so fields are only ever appended.
 """
 
 from typing import Any
@@ -11,162 +12,174 @@
 
 
 class MachineView(msgspec.Struct, frozen=True, array_like=True):
-    """One machine as its part's owner sees it."""
+    """One machine as the owner of its part sees it."""
 
     name: str
     type: str
     zone: str
     spot: bool
-    # May be given new tasks: reports in time, no notice, not being returned.
+    # Accepts new tasks: reports in time, has no notice and is not being retired.
     open: bool
-    # Nothing is on it or may be on it.
+    # No task is on it, and none can be.
     empty: bool
-    # Seconds since its last report.
+    # Time since its last report.
     silent_s: float
     notice: bool
     retiring: bool
     images: list[str]
-    # (uid, task indices as ranges, seconds that the longest still needs)
+    # (uid, task indices as ranges, remaining run time of the longest task in seconds)
     tasks: list[tuple[str, list[int], float]]
 
 
 class RunSample(msgspec.Struct, frozen=True, array_like=True):
-    """Completed run times of a class of jobs, against their estimates."""
+    """Completed run times of a class of jobs, relative to their estimates."""
 
     job_class: str
     count: int
     log_ratio_sum: float
-    # Versions before the one that looks at the spread neither send nor read it.
+    # Not sent or read by versions that ignore the spread of run times.
     log_ratio_squares: float = 0.0
 
 
 class PartView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
     """A part as its owner sees it: the machines that have changed since the view
-    numbered `base`, or all of them (as far as one message holds) if that is 0."""
+    numbered `base`, or all of them (as far as one message holds them) if `base` is 0."""
 
     node: str
     part: int
     token: int
-    # The revision of the state service that this view has taken in.
+    # Revision of the state service that this view includes.
     ledger: int
     machines: list[MachineView]
     samples: list[RunSample] = []
     seq: int = 1
     base: int = 0
-    # Machines of earlier views that the owner no longer knows.
+    # Machines of earlier views that the owner no longer has.
     gone: list[str] = []
-    # (uid, tasks that are on no machine any more, by the owner's book still held by the
-    # part). Versions before pipelines neither send nor read it.
+    # (uid, number of tasks that are on no machine any more but that the owner's job book
+    # still assigns to the part). Not sent or read by versions before pipelines.
     leaving: list[tuple[str, int]] = []
-    # Machines of others that reported to this controller of late and were sent on: (name,
-    # seconds ago). Versions before failure detection neither send nor read it.
+    # Machines of other owners that recently reported to this controller and were redirected:
+    # (name, seconds ago). Not sent or read by versions before failure detection.
     overheard: list[tuple[str, float]] = []
-    # Of the machines in this view that are silent, since the last word of each: (name,
-    # seconds in which the owner stood still itself, attempts to ask the worker as (by whom,
-    # outcome, seconds ago)).
+    # Per silent machine of this view, what happened since its last report: (name, seconds
+    # for which the owner itself was stalled, probes as (prober, outcome, seconds ago)).
     silences: list[tuple[str, float, list[tuple[str, str, float]]]] = []
-    # Jobs taken for mistaken: (uid, machines on which their tasks failed, how often). Versions
-    # before these are told from bad machines neither send nor read it.
+    # Failing jobs, whose tasks fail on good machines too: (uid, machines on which they failed,
+    # number of failures). Not sent or read by versions that do not tell these jobs from bad
+    # machines.
     failing: list[tuple[str, int, int]] = []
 
 
 class Probe(msgspec.Struct, frozen=True, array_like=True, tag="probe"):
-    """Ask the workers at these addresses for their reports, and say what became of it.
-    Versions before failure detection answer 400, which says nothing."""
+    """Asks a peer to probe the workers at these addresses for their reports, and to return the
+    outcomes. Versions before failure detection answer 400, which is no evidence either way."""
 
     addresses: list[str]
 
 
 class ProbeAnswer(msgspec.Struct, frozen=True, array_like=True, tag="probed"):
+    """Answers a Probe."""
+
     node: str
-    outcomes: list[str]  # one for each address; empty: not asked
+    outcomes: list[str]  # one per address; empty string: not probed
 
 
 class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """Workers of your parts reported here: (machine, part, seconds ago). Versions before
-    failure detection answer 400."""
+    """Tells an owner that workers of its parts reported to the sender: (machine, part, seconds
+    ago). Versions before failure detection answer 400."""
 
     node: str
     machines: list[tuple[str, int, float]]
 
 
 class Poke(msgspec.Struct, frozen=True, array_like=True, tag="poke"):
-    """Something was written up to this revision; read it soon."""
+    """Announces that the sender has written to the state service, up to this revision; the
+    receiver should read the changes soon."""
 
     ledger: int
 
 
 class PartOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
-    """The leader's answer to a PartView."""
+    """The leader's answer to a PartView: what the owner of the part is to do."""
 
     ledger: int
-    # Take no new tasks onto these: they are to be returned once empty.
+    # Machines that get no new tasks and are released once they are empty.
     retire: list[str]
-    # Released with certainty: nothing is on them any more.
+    # Machines that are certainly released: no task is on them any more.
     gone: list[str]
-    # Stop some of a job's tasks on a machine and hand them back: (machine, uid, tasks).
+    # Tasks to evict from a machine: (machine, uid, number of tasks).
     evict: list[tuple[str, str, int]] = []
-    # The changes could not be taken in: send everything.
+    # The changes could not be applied: the next view has to be a full one.
     resync: bool = False
-    # Machines of the part that the cloud lists as running and the owner does not show: (name,
-    # address). It asks them. Versions before failure detection neither send nor read them.
+    # Machines of the part that the cloud lists as running and that are missing in the owner's
+    # view: (name, address). The owner probes them. Not sent or read by versions before failure
+    # detection.
     unheard: list[tuple[str, str]] = []
-    # Jobs that are held back, by the evidence of all parts. Versions before that neither send
-    # nor read it.
+    # Failing jobs, by the evidence of all parts: they are in retry backoff. Not sent or read by
+    # versions without that backoff.
     mistaken: list[str] = []
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
-    """During an outage of the state service: will you keep from taking my roles?"""
+    """Asks, during an outage of the state service, for the promise not to take over the
+    sender's roles."""
 
     node: str
     incarnation: str
-    # Cancellations that the sender knows and its book does not show yet.
+    # Cancellations that the sender knows and that its job book does not contain yet.
     cancelled: list[str]
-    # The sender's book is complete up to this revision. Versions before cancellations were
-    # named by revision do not say so, and are named all that there are.
+    # The sender's job book is complete up to this revision. Older versions do not send it; they
+    # are answered with all cancellations.
     ledger: int = 0
 
 
 class PromiseAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
-    """Given only by a controller that gets no answer from the state service either."""
+    """Answers a Promise. The promise is given only by a controller that gets no answer from the
+    state service either."""
 
     given: bool
     incarnation: str
     cancelled: list[str]
-    # Whether these are all the cancellations that the asker's book may lack, of those that the
-    # sender's users may have been told. Versions before named only some: theirs do not count.
+    # Whether `cancelled` contains every cancellation that the asker's job book may lack and that
+    # the sender may have confirmed to a user. Older versions send only some and not this field,
+    # so their promises do not count.
     whole: bool = False
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """A controller has started: promises of its predecessor no longer count."""
+    """Announces that a controller has started: promises to earlier incarnations of it are void."""
 
     node: str
     incarnation: str
 
 
 class HelloAnswer(msgspec.Struct, frozen=True, array_like=True, tag="welcome"):
+    """Answers a Hello."""
+
     node: str
-    # Whether the sender has known the book for a while, and can tell whether records are
-    # missing. Versions before rebuilding do not say so.
+    # Whether the sender has had the job book for long enough to tell if records are missing.
+    # Not sent by versions before rebuilding.
     lived: bool = False
 
 
 class Audit(msgspec.Struct, frozen=True, array_like=True, tag="audit"):
-    """Do all records that you know still stand in the state service? Asked by a controller
-    that has just started. Versions before rebuilding answer 400, which says nothing."""
+    """Asks, from a controller that has just started, whether all records that the receiver knows
+    still exist in the state service. Versions before rebuilding answer 400, which is no evidence
+    either way."""
 
     node: str
 
 
 class AuditAnswer(msgspec.Struct, frozen=True, array_like=True, tag="audited"):
+    """Answers an Audit."""
+
     node: str
     good: bool
 
 
 class Relay(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
-    """A request to the state service, for a controller that it refuses alone."""
+    """Asks a peer to pass on a request to the state service, which refuses only the sender."""
 
     method: str
     target: str
@@ -174,7 +187,9 @@
 
 
 class RelayAnswer(msgspec.Struct, frozen=True, array_like=True, tag="relayed"):
-    status: int
+    """Answers a Relay with what the state service answered."""
+
+    status: int  # 0: the peer got no answer, so the request may have been executed
     body: Any
 
 
@@ -197,6 +212,7 @@
 
 
 def parse_message(raw: Any) -> Message:
+    """Returns the message in a decoded body; raises Malformed if there is none."""
     try:
         message: Message = msgspec.convert(raw, Message)
     except msgspec.ValidationError as error:
@@ -205,5 +221,6 @@
 
 
 def to_wire(message: Message) -> list[Any]:
+    """Returns the message as a list for CBOR: its tag, then its fields."""
     result: list[Any] = msgspec.to_builtins(message)
     return result
--- a/ryegauge/protocol/workers.py
+++ b/ryegauge/protocol/workers.py
@@ -1,4 +1,4 @@
-"""Workers' reports and the commands that they are given."""
+"""Workers' reports, and the commands in the answers to them."""
 
 from typing import Any, Literal, NamedTuple
 
@@ -11,6 +11,7 @@
 
 
 def task_key(name: str) -> TaskKey:
+    """Parses a task's name on the wire, `JOB/NUMBER`; raises Malformed."""
     uid, _, index = name.rpartition("/")
     if not uid or not index.isdigit():
         raise Malformed(f"piece: expected JOB/NUMBER, got {name!r}")
@@ -18,6 +19,7 @@
 
 
 def task_name(key: TaskKey) -> str:
+    """Returns a task's name on the wire, `JOB/NUMBER`."""
     return f"{key[0]}/{key[1]}"
 
 
@@ -26,6 +28,8 @@
     frozen=True,
     rename={"task": "piece", "attempt": "try", "state": "status", "why": "cause"},
 ):
+    """State of one attempt of a task on the reporting machine."""
+
     task: str
     attempt: int
     state: TaskState
@@ -49,6 +53,11 @@
         "tasks": "pieces",
     },
 ):
+    """A worker's report: its machine, and all attempts that it holds.
+
+    `session` and `seq` order the reports of a machine, `token` is the highest that the worker
+    has seen, and `notice_s` is the time left until the cloud reclaims the machine, if announced."""
+
     machine: str
     type: str
     zone: str
@@ -62,6 +71,7 @@
 
 
 def parse_report(raw: Any) -> Report:
+    """Returns the report in a decoded body; raises Malformed naming the invalid field."""
     try:
         return msgspec.convert(raw, Report)
     except msgspec.ValidationError as error:
@@ -69,17 +79,23 @@
 
 
 class Run(NamedTuple):
+    """Start an attempt of a task."""
+
     task: TaskKey
     attempt: int
 
 
 class Kill(NamedTuple):
+    """Stop an attempt; it has `grace_s` seconds to save its state."""
+
     task: TaskKey
     attempt: int
     grace_s: float
 
 
 class Forget(NamedTuple):
+    """Stop reporting an attempt that has ended: its end is recorded."""
+
     task: TaskKey
     attempt: int
 
@@ -88,6 +104,7 @@
 
 
 def report_reply(token: int, commands: list[Command]) -> dict[str, Any]:
+    """Returns the body of the answer to a report: the owner's token and its commands."""
     orders: list[dict[str, Any]] = []
     for command in commands:
         order: dict[str, Any] = {"piece": task_name(command.task), "try": command.attempt}
--- a/ryegauge/transport/__init__.py
+++ b/ryegauge/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP over trio streams, and CBOR bodies."""
+"""HTTP over trio streams, with CBOR bodies."""
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 with CBOR bodies: h11 over trio streams, for servers and clients."""
+"""HTTP/1.1 servers and clients with CBOR bodies: h11 over trio streams."""
 
 import errno
 import io
@@ -18,31 +18,33 @@
 
 BODY_LIMIT = 64 * 1024
 CHUNK = 16 * 1024
-# Connections are few once less than one in so many is left.
+# Idle connections are reclaimed once fewer than one in this many connections is free.
 FEW_LEFT = 4
 
 
 class Malformed(Exception):
-    """A body that is not the CBOR that the protocol allows."""
+    """A message that is not valid CBOR, or not what the protocol allows."""
 
 
 class Unreachable(Exception):
-    """No usable answer came; whether the request was executed is unknown."""
+    """There is no usable response; whether the request was executed is unknown."""
 
 
 class Refused(Unreachable):
-    """The host answers; nobody listens at the port."""
+    """The host is up, but nothing listens at the port."""
 
 
 class Reset(Unreachable):
-    """The connection stood and ended without an answer that can be read."""
+    """The connection was established and ended without a readable response."""
 
 
 class NoAnswer(Unreachable):
-    """The connection stood, and nothing came in time."""
+    """The connection was established, but no response arrived in time."""
 
 
 class Reply(NamedTuple):
+    """A handler's response. Bodies of bytes are sent as text, all others as CBOR."""
+
     status: int
     body: Any = None
     retry_after_s: float | None = None
@@ -52,19 +54,28 @@
 
 
 class Caller(Protocol):
-    """Whatever requests can be made with: a Client, or a stand-in."""
+    """Interface of Client, which the simulated network implements too."""
 
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
-    ) -> tuple[int, Any, float | None]: ...
+    ) -> tuple[int, Any, float | None]:
+        """Returns (status, body, Retry-After in seconds). Raises Unreachable."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes idle connections."""
+        ...
 
 
 class Network(Protocol):
-    """Where calls go to and come from. Real sockets, or a simulation of them."""
+    """Creates clients and servers, on real sockets or on a simulated network.
 
-    def client(self, address: str, *, max_connections: int, idle_s: float) -> Caller: ...
+    Controllers of older versions run on the emulator's network as well, so the parameters of
+    `client` and `serve` keep their names."""
+
+    def client(self, address: str, *, max_connections: int, idle_s: float) -> Caller:
+        """Returns a client for an address, HOST:PORT, without connecting."""
+        ...
 
     async def serve(
         self,
@@ -77,12 +88,17 @@
         listening: Callable[[], None] = ...,
         first: Callable[[str], bool] = ...,
     ) -> None:
-        """`listening` is called once the address is ours; `first` tells by its target whose
-        connections are kept when there are too many."""
+        """Serves an address, HOST:PORT, until cancelled.
+
+        `listening` is called once the address is bound. `first` tells by a request's target
+        whether its connection takes precedence when few connections are left. A connection is
+        closed after `idle_s` without a request, or if receiving a request or sending a response
+        takes longer than `request_s`."""
         ...
 
 
 def split_address(text: str) -> tuple[str, int]:
+    """Splits HOST:PORT; raises ValueError if it is none."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"expected HOST:PORT, got {text!r}")
@@ -90,7 +106,10 @@
 
 
 class TcpNetwork:
+    """The Network of real TCP sockets."""
+
     def client(self, address: str, *, max_connections: int, idle_s: float) -> "Client":
+        """See Network.client."""
         host, port = split_address(address)
         return Client(host, port, max_connections=max_connections, idle_s=idle_s)
 
@@ -105,6 +124,7 @@
         listening: Callable[[], None] = lambda: None,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
+        """See Network.serve."""
         server = Server(
             handler,
             max_connections=max_connections,
@@ -116,10 +136,11 @@
 
 
 def decode(data: bytes) -> Any:
+    """Returns the one CBOR value in `data`; raises Malformed."""
     stream = io.BytesIO(data)
     try:
         value = cbor2.CBORDecoder(stream).decode()
-    except Exception as error:  # the decoder lets several kinds through on hostile input
+    except Exception as error:  # on hostile input the decoder raises exceptions of many types
         raise Malformed(str(error)) from None
     if stream.tell() != len(data) and stream.read(1):
         raise Malformed("more follows the first value")
@@ -130,24 +151,23 @@
 
 
 async def answer(handler: Handler, method: str, target: str, body: bytes) -> Reply:
-    """What a handler says, or what its failure means to the caller."""
+    """Calls a handler; its exceptions become 400 (Malformed) or 503 (all others)."""
     try:
         return await handler(method, target, body)
     except Malformed as error:
         return Reply(400, {"error": str(error)})
     except Exception:
-        log.exception("a request failed")
+        log.exception("internal error while handling a request")
         return Reply(503, {"error": "internal error"}, 2.0)
 
 
 class Server:
-    """Serves one address; a broken or slow connection costs only itself.
+    """Serves one address; a broken or slow connection affects no other.
 
-    When few connections are left, those whose requests do not go first are asked to close
-    after each answer, and when none is left, the one of them that has been idle for longest
-    makes way. (Left alone with a fleet of 984 machines, a controller had its sockets full of
-    users' idle connections, and workers that found it were turned away until their leases had
-    run out.)"""
+    When few connections are left, those without precedence are closed after each response, and
+    when none is left, the one of them that has been idle for longest is closed for a new one.
+    Without this rule, idle connections of users filled up the only controller that was left
+    for 984 machines, and it rejected workers until their leases had expired."""
 
     def __init__(
         self,
@@ -162,20 +182,23 @@
         self._free = max_connections
         self._few = max_connections // FEW_LEFT
         self._first = first
-        self._idle: dict[trio.abc.Stream, trio.CancelScope] = {}  # idle for longest first
+        self._idle: dict[trio.abc.Stream, trio.CancelScope] = {}  # longest idle first
         self._idle_s = idle_s
         self._request_s = request_s
 
     async def serve(
         self, host: str, port: int, listening: Callable[[], None] = lambda: None
     ) -> None:
+        """Serves until cancelled; `listening` is called once the address is bound.
+
+        Raises OSError if the address cannot be bound."""
         listeners = await self._listen(host, port)
         listening()
         await trio.serve_listeners(self._connection, listeners)
 
     async def _listen(self, host: str, port: int) -> list[trio.SocketListener]:
-        """A process that ended may be back within a fraction of a second, before its port is
-        free: that is waited for, within bounds, instead of ending again and again."""
+        """Retries for up to `request_s` while the port is in use: a process that is restarted
+        within a fraction of a second finds the port of its predecessor still taken."""
         until = trio.current_time() + self._request_s
         while True:
             try:
@@ -187,7 +210,7 @@
 
     async def _connection(self, stream: trio.SocketStream) -> None:
         if self._free <= 0 and not self._make_way():
-            # Sockets are kept for the controller's own calls: a flood is shed here.
+            # Sheds connections above the limit, which leaves sockets for the controller's calls.
             await trio.aclose_forcefully(stream)
             return
         self._free -= 1
@@ -196,7 +219,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             pass
         except Exception:
-            log.exception("a connection ended by an internal error")
+            log.exception("internal error: connection closed")
         finally:
             self._free += 1
             await trio.aclose_forcefully(stream)
@@ -209,8 +232,8 @@
         return False
 
     async def _requests(self, stream: trio.SocketStream) -> None:
-        # One scope for all that a connection is waited for, with a deadline that moves: a scope
-        # for each read and each answer was a tenth of what a check-in cost.
+        # One scope with a moving deadline covers all reads and writes of the connection: separate
+        # scopes accounted for a tenth of the processor time of a check-in.
         with trio.CancelScope() as patience:
             await self._answer_all(stream, patience)
 
@@ -221,7 +244,7 @@
             request: h11.Request | None = None
             body: bytes | None = None
             patience.deadline = trio.current_time() + self._idle_s
-            # Apart from the other scope, so that making way never cuts a request short.
+            # A scope of its own, cancelled only while idle, so that no request is interrupted.
             waiting = None if first else trio.CancelScope()
             if waiting is not None:
                 self._idle[stream] = waiting
@@ -284,7 +307,7 @@
 def _head(
     status: int, length: int, plain: bool, retry_after_s: float | None, close: bool
 ) -> h11.Response:
-    """The same few over and over: most answers to check-ins have the same length."""
+    """Cached, since most responses to check-ins have the same length."""
     headers = [("content-length", str(length))]
     if length:
         kind = "text/plain; version=0.0.4; charset=utf-8" if plain else "application/cbor"
@@ -299,7 +322,7 @@
 async def _send(
     conn: h11.Connection, stream: trio.SocketStream, reply: Reply, close: bool = False
 ) -> None:
-    # Octets go out as they are: no message between components is binary.
+    # Bodies of bytes are plain text: no message between components is a CBOR byte string.
     plain = isinstance(reply.body, bytes)
     body = b"" if reply.body is None else reply.body if plain else encode(reply.body)
     out = conn.send(_head(reply.status, len(body), plain, reply.retry_after_s, close)) or b""
@@ -310,7 +333,9 @@
 
 
 class Client:
-    """A pool of connections to one address. Every call has a deadline."""
+    """A pool of connections to one address. Every request has a deadline.
+
+    `idle_s` is how long an unused connection is kept."""
 
     def __init__(self, host: str, port: int, *, max_connections: int, idle_s: float) -> None:
         self._host, self._port = host, port
@@ -322,8 +347,8 @@
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
     ) -> tuple[int, Any, float | None]:
-        """Returns (status, body, Retry-After). Raises Unreachable."""
-        stood: list[bool] = []  # once there is a connection
+        """Returns (status, body, Retry-After in seconds). Raises Unreachable."""
+        stood: list[bool] = []  # not empty once there is a connection
         try:
             with trio.fail_after(timeout_s):
                 async with self._slots:
@@ -341,7 +366,7 @@
             raise Unreachable(str(error)) from None
 
     def close(self) -> None:
-        """Closes what is idle; calls under way keep their connection."""
+        """Closes idle connections; requests in progress keep theirs."""
         while self._idle:
             self._idle.popleft()[0].socket.close()
 
@@ -354,7 +379,7 @@
         if self._idle:
             stream, conn, _ = self._idle.pop()
         else:
-            # The connection is opened by IP number, without look-ups or racing.
+            # Addresses are IP addresses: no name resolution, no racing of several addresses.
             sock = trio.socket.socket()
             try:
                 sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
