--- a/run.py
+++ b/run.py
@@ -1,8 +1,8 @@
-"""Entry point of the deployed service: `python3 run.py --config FILE` serves, with
-`--properties FILE` before it if wanted.
+"""Entry point of the deployed service: `python3 run.py [--properties FILE] --config FILE` runs a
+controller.
 
-Any other first argument is handed to the command line as it is, so that
-`python3 run.py status ...` works from a checkout as well.
+All other arguments go to the command line, so that `python3 run.py status ...` works from a
+checkout too.
 """
 
 import sys
@@ -19,8 +19,8 @@
         and 2 * len(options) == len(arguments)
         and (options.keys() <= {"--config", "--properties"})
     ):
-        # The libraries bring their compiled files; ours are made by the build, so that
-        # a start does not compile them: workers' leases run out meanwhile.
+        # The libraries come with compiled files, and the build makes those of ryegauge, so that
+        # no time is lost compiling at a start: workers' leases expire meanwhile.
         import cbor2  # noqa: F401
         import h11  # noqa: F401
         import msgspec  # noqa: F401
--- a/ryegauge/config.py
+++ b/ryegauge/config.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML) and the operators' properties, both checked."""
+"""Loads and validates the settings file (TOML) and the operators' properties file."""
 
 import math
 import os
@@ -17,18 +17,20 @@
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
-# A value that a job's record fits into with names of ordinary length.
+# Bytes. A job's record with names of ordinary length fits into a value of this size.
 LEAST_VALUE = 950
 
-# Steady clocks of two machines drift apart by at most this much (protocol).
+# Monotonic clocks of two machines drift apart by at most this share (given by the protocol).
 CLOCK_DRIFT = 0.0005
 
 
 class ConfigError(Exception):
-    """A settings or properties file that cannot be used; says which key and why."""
+    """A settings or properties file is unusable; the message names the key and the reason."""
 
 
 class Team(msgspec.Struct, frozen=True):
+    """A team of users: guaranteed and maximum use of CPUs and GPUs."""
+
     name: str
     cpus: NonNegative = 0.0
     cpus_max: NonNegative = 0.0
@@ -37,17 +39,21 @@
 
     @property
     def most_cpus(self) -> float:
-        """What its tasks may use at any time. 0 in the settings means that there is no such
-        limit: guests are named with zeros and have their jobs accepted. (Taken for a limit of
-        nothing, 587 of 872 submissions of a recorded day were answered 422.)"""
+        """CPUs that the team's tasks may use at any time; infinite if the settings say 0.
+
+        Guest teams have zeros in the settings, and their jobs have to be accepted: with 0 as the
+        limit, 587 of 872 submissions of a recorded day were answered with 422."""
         return self.cpus_max or math.inf
 
     @property
     def most_gpus(self) -> float:
+        """GPUs that the team's tasks may use at any time; infinite if the settings say 0."""
         return self.gpus_max or math.inf
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
+    """A service level objective for a class of jobs."""
+
     kind: str
     share: float = 0.0
     job_class: str = ""
@@ -56,13 +62,16 @@
 
 
 class Workers(msgspec.Struct, frozen=True):
+    """How often workers report, how long they keep tasks without an answer, and within what time
+    the tasks of a cancelled job must have ended."""
+
     report_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class NextState(msgspec.Struct, frozen=True):
-    """Limits that the state service will have from some moment that nobody announces."""
+    """Limits that the state service will switch to at an unannounced time."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -71,6 +80,9 @@
 
 
 class State(msgspec.Struct, frozen=True):
+    """Limits of the state service: requests and writes per second, KiB per value, and changes per
+    transaction."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -79,7 +91,7 @@
 
     @property
     def safe(self) -> "State":
-        """The smaller of the present and the coming limits: within both at any time."""
+        """The smaller of the current and the next limits, which are safe at any time."""
         if self.next is None:
             return self
         names = ("rps", "write_rps", "value_kb", "txn_ops")
@@ -89,26 +101,33 @@
 
     @property
     def value_bytes(self) -> int:
-        """What a value may take, with something to spare for how the service counts."""
+        """Largest value to write, 5% below the limit since the service may count differently."""
         return int(0.95 * 1024 * self.value_kb)
 
     @property
     def conditions(self) -> int:
+        """How many conditions a transaction may have."""
         return 4 * self.txn_ops
 
 
 class Cloud(msgspec.Struct, frozen=True):
+    """Limits of the cloud's API; its machine list may be outdated by `list_lag_s`."""
+
     rps: Positive
     list_lag_s: NonNegative = 0.0
 
 
 class Quota(msgspec.Struct, frozen=True):
+    """What a controller may use of its machine."""
+
     core_share: Positive = 1.0
     memory_mb: Positive = 256.0
     max_connections: Count = 1000
 
 
 class Shared(msgspec.Struct, frozen=True):
+    """Settings that all controllers share; `nodes` is the number of controllers and of parts."""
+
     nodes: Count
     zones: list[str]
     teams: list[Team]
@@ -121,60 +140,66 @@
 
 
 class Peer(msgspec.Struct, frozen=True):
+    """Another controller, and the zone that it is in."""
+
     node_name: str
     peer_addr: str
     area: str = ""
 
 
 class Outside(msgspec.Struct, frozen=True):
+    """Addresses of the services that a controller calls."""
+
     cloud: str
     state: str
 
 
 class Properties(msgspec.Struct, frozen=True):
-    """The operators' own settings; docs/operations/ explains each."""
+    """The operators' properties; docs/operations/ explains each."""
 
     takeback_threshold: Share = 0.6
     takeback_window_s: Positive = 30.0
-    # How long a machine may stand idle, as a multiple of its nominal boot time.
+    # How long a machine is kept idle, as a multiple of its nominal boot time.
     idle_boots: NonNegative = 0.5
-    # How long a task waits for a busy machine rather than have one rented, likewise.
+    # How long a task waits for a busy machine before one is rented, also in boot times.
     patience_boots: NonNegative = 0.5
-    # What deleting a machine costs at least; an idle one is kept that long.
+    # Minimum time billed for a machine; an idle machine is kept at least that long.
     paid_period_s: NonNegative = 60.0
-    # How much is rented ahead for tasks on machines that are most likely lost, before that is
-    # sure: CPUs, as a share of the running fleet's. docs/operations/recovery.md.
+    # Limit on capacity that is rented in advance for tasks on machines that are probably but not
+    # certainly lost, as a share of the running fleet's CPUs; docs/operations/recovery.md.
     ahead_share: Share = 0.5
-    # In which order jobs get room; docs/operations/priorities.md.
+    # In which order jobs get capacity; docs/operations/priorities.md.
     ordering: Literal["settled", "ageing", "strict"] = "settled"
-    # How long the first task of a critical job waits before its age counts, in leases,
-    # and by how much longer that is with each step down in priority.
+    # How long the first task of a critical job waits before its age counts, in leases, and the
+    # factor on that for each step down in priority.
     ageing_patience_leases: Positive = 10.0
     ageing_rank_factor: Annotated[float, msgspec.Meta(ge=1)] = 2.0
-    # Share of the fleet reserved for aged work: at least, and at most.
+    # Minimum and maximum share of the fleet that is reserved for aged work.
     ageing_floor: Share = 0.05
     ageing_ceiling: Share = 0.1
-    # How long room is held free for an aged task that fits nowhere, in leases.
+    # How long capacity is reserved for an aged task that fits on no machine, in leases.
     ageing_hold_leases: NonNegative = 10.0
-    # How long urgent work waits before lower work is stopped for it, in reports.
+    # How long urgent work waits before work of lower priority is preempted, in reports.
     ageing_stop_reports: NonNegative = 1.0
-    # Whether to notice that the state service has lost data, and to put it back;
+    # Whether to detect that the state service has lost data, and to restore it;
     # docs/operations/rebuilding.md.
     rebuilding: Literal["off", "on"] = "off"
-    # Where snapshots are kept, a directory of this machine; none are taken if it is empty.
+    # Local directory for snapshots; empty: none are taken.
     snapshots_directory: str = ""
     snapshots_every_s: Positive = 30.0
-    # The file that names the queues to be served; none are if it is empty.
+    # File with the bindings of the queues to serve; empty: no queues are served.
     queues_file: str = ""
-    # HOST:PORT where a Prometheus server may ask for figures of the queues; "": nowhere.
+    # HOST:PORT where Prometheus can scrape the metrics of the queues; empty: not served.
     metrics_listen: str = ""
 
 
-# Properties that are not numbers.
+# Properties that are text; all others are numbers.
 TEXTS = ("ordering", "rebuilding", "snapshots_directory", "queues_file", "metrics_listen")
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The settings of one controller; addresses are HOST:PORT, `area` is its zone."""
+
     node_name: str
     area: str
     listen: str
@@ -186,40 +211,44 @@
 
     @property
     def node_names(self) -> list[str]:
+        """The names of all controllers, this one included, sorted."""
         return sorted({self.node_name, *(peer.node_name for peer in self.known)})
 
     @property
     def state_limits(self) -> State:
+        """The limits of the state service that are safe at any time."""
         return self.settings.state.safe
 
     @property
     def report_gap_s(self) -> float:
-        """The longest ordinary pause between a worker's reports."""
+        """The longest ordinary interval between two reports of a worker."""
         return self.settings.workers.report_s * 1.25
 
     @property
     def sure_lease_s(self) -> float:
-        """A worker's lease has run out, for certain, this long after its report came in."""
+        """Time after the arrival of a worker's report by which the worker's lease has certainly
+        expired."""
         return self.settings.workers.lease_s * (1 + 4 * CLOCK_DRIFT) + 0.1
 
     @property
     def term_s(self) -> float:
-        """How long authority lasts past the renewal that obtained it.
+        """How long a controller's authority lasts after the renewal that it is based on.
 
-        A controller that nobody can reach may go on answering its workers for a
-        term, and they keep their tasks for a lease after that; both together,
-        with the reports around them and drift, must fit into `cancel_s`.
+        An isolated controller may go on answering its workers for a term, and the workers keep
+        their tasks for a lease after that. Both together, with the reports before and after
+        and clock drift, must fit into `cancel_s`.
         """
         w = self.settings.workers
         spare = w.cancel_s * (1 - 4 * CLOCK_DRIFT) - w.lease_s - 2 * self.report_gap_s
-        # Half a lease: the tasks of a controller that ends outlive its term, so that
-        # another can take them over.
+        # At most half a lease: the tasks of a controller that stops outlive its term, so another
+        # controller can take them over.
         return min(0.5 * w.lease_s, 0.9 * spare)
 
 
 def read_toml(path: str | Path, kind: type[T], without: str = "") -> T:
-    """What a TOML file holds, checked; raises ConfigError with the place at fault. The
-    table `without` is left out."""
+    """Reads a TOML file as a value of type `kind`, ignoring the top-level table `without`.
+
+    Raises ConfigError naming the invalid key."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -234,7 +263,9 @@
 
 
 def load(path: str | Path, properties: str | Path | None = None) -> Settings:
-    """Reads and checks the settings; raises ConfigError with the key at fault."""
+    """Loads and validates the settings; raises ConfigError naming the invalid key.
+
+    The properties come from the file `properties`, or else from that in RYEGAUGE_PROPERTIES."""
     settings = read_toml(path, Settings, without="properties")
     _check(settings, str(path))
     properties = properties or os.environ.get("RYEGAUGE_PROPERTIES")
@@ -264,7 +295,7 @@
             )
     limits = settings.state_limits
     if settings.settings.nodes + 1 > limits.conditions:
-        # A cancellation names a condition for the job and for each part's share of it.
+        # A cancellation needs one condition for the job and one for each part's share of it.
         raise ConfigError(
             f"{path}: settings.state.txn_ops: {limits.txn_ops} allows {limits.conditions} "
             f"conditions; expected at least one more than settings.nodes "
@@ -278,14 +309,16 @@
     w = settings.settings.workers
     if settings.term_s < 2 * w.report_s or settings.term_s < 0.1:
         raise ConfigError(
-            f"{path}: settings.workers.cancel_s: {w.cancel_s:g} leaves no room for a term of "
-            f"authority; expected more than lease_s ({w.lease_s:g}) and five reports "
+            f"{path}: settings.workers.cancel_s: {w.cancel_s:g} is too short for a controller's "
+            f"term; expected more than lease_s ({w.lease_s:g}) and five reports "
             f"({w.report_s:g} each) together"
         )
 
 
 def load_properties(path: str | Path) -> Properties:
-    """Java-style properties: `takeback.threshold = 0.3` and so on."""
+    """Loads and validates a Java properties file, with lines like `takeback.threshold = 0.3`.
+
+    Raises ConfigError naming the invalid key."""
     import javaproperties
 
     try:
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -1,5 +1,7 @@
-"""Running a controller until it is killed; kept free of what only the command line needs,
-since a controller that starts again races against its workers' leases."""
+"""Runs a controller until it is killed.
+
+Imports nothing that only the command line needs: a restarted controller has to be up before its
+workers' leases expire."""
 
 import logging
 import os
@@ -16,6 +18,7 @@
 
 
 def fail(message: str, code: int) -> NoReturn:
+    """Prints an error to stderr and exits with this code."""
     print(f"ryegauge: {message}", file=sys.stderr)
     sys.exit(code)
 
@@ -32,7 +35,7 @@
 
 
 def _leaves(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """The exceptions in groups of groups."""
+    """Returns the exceptions in a group, nested groups included."""
     return [
         leaf
         for error in group.exceptions
@@ -40,12 +43,14 @@
     ]
 
 
-# New objects after which circles among the young, the older and the old are looked for.
+# Thresholds of the cyclic garbage collector's generations, see gc.set_threshold.
 GARBAGE = (10_000, 20, 50)
 
 
 def serve(config: str, properties: str | None = None) -> None:
-    """Exit code 2: the settings cannot be used; 1: the addresses cannot be listened on."""
+    """Runs a controller with this settings file and, if given, this properties file.
+
+    Exits with 2 if the settings are unusable and with 1 if an address cannot be bound."""
     _log_to_stderr()
     try:
         settings = load(config, properties)
@@ -55,8 +60,8 @@
     import random
     import time
 
-    # Few objects here refer to each other in circles, and looking for those takes time: a
-    # hundredth of it on the bench's days (351 and 345 s to 346 and 343 s).
+    # Few objects here form reference cycles, and the default thresholds cost about 1% of the run
+    # time (benchmark days: 351 and 345 s, with these thresholds 346 and 343 s).
     gc.set_threshold(*GARBAGE)
     front = None
     if settings.properties.queues_file:
