--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The plain settings that most tests share, and hypothesis without surprises."""
+"""Settings and jobs that most tests use, and a reproducible hypothesis profile."""
 
 import os
 from pathlib import Path
@@ -9,8 +9,8 @@
 
 from ryegauge.config import Settings, load
 
-# Days in simulated time take the order of sets as it comes; in the processes that run the tests
-# it is the same every time. Another order for a longer look: PYTHONHASHSEED=7 pytest
+# Simulated days depend on the iteration order of sets, which is the same in each run with a fixed
+# hash seed. To try another order: PYTHONHASHSEED=7 pytest
 os.environ.setdefault("PYTHONHASHSEED", "0")
 
 hypothesis_settings.register_profile("ci", derandomize=True, deadline=None, database=None)
@@ -18,6 +18,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
+    """Loads the plugin that handles the tests listed in KNOWN-RED.txt."""
     plugin = known_red.Plugin(Path(__file__).parent.parent)
     plugin.pytest_configure(config)
     config.pluginmanager.register(plugin)
@@ -63,7 +64,9 @@
 
 
 def settings_text(n: int = 0, count: int = 3, areas: str = "a") -> str:
-    """Controllers are in the zones that `areas` names, one letter each, in turn."""
+    """Returns the settings file of controller `n` of `count`.
+
+    Controllers are spread in turn over the zones in `areas`, one letter each."""
     text = SETTINGS.format(name=f"node-{n}", n=n + 1, count=count, area=areas[n % len(areas)])
     known = "".join(
         f'[[known]]\nnode_name = "node-{i}"\narea = "{areas[i % len(areas)]}"\n'
@@ -76,12 +79,14 @@
 
 @pytest.fixture
 def settings(tmp_path: Path) -> Settings:
+    """The settings of the first of three controllers."""
     path = tmp_path / "settings.toml"
     path.write_text(settings_text())
     return load(path)
 
 
 def job_body(uid: str = "wk-000001", **changes: object) -> dict[str, object]:
+    """Returns the body of a submission with these fields changed."""
     body: dict[str, object] = {
         "uid": uid,
         "duty": "clean",
--- a/tests/days.py
+++ b/tests/days.py
@@ -1,5 +1,4 @@
-"""Days of the simulated world as the tests describe them: jobs by their changes against a
-plain one, and a script of troubles."""
+"""Simulated days for tests: jobs given as changes to a default job, and a script of faults."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -15,7 +14,7 @@
 
 
 class Day(World):
-    """A world that remembers all that was written to its state service."""
+    """A simulated world that records all writes to its state service."""
 
     def __init__(
         self, settings: list[Settings], seed: int, fleet: tuple[FleetType, ...] = SMALL_FLEET
@@ -25,7 +24,7 @@
         self.state.on_write.append(lambda key, value: self.written.append((key, value)))
 
     def run_s(self, task: str, spec: dict[str, Any]) -> float:
-        """Tasks of a job that says `apart` end so much later, one after the other."""
+        """Returns a task's run time; each further task of a job runs `apart` seconds longer."""
         return super().run_s(task, spec) + int(task.rpartition("/")[2]) * spec.get("apart", 0.0)
 
 
@@ -37,7 +36,9 @@
     seconds: float,
     fleet: tuple[FleetType, ...] = SMALL_FLEET,
 ) -> Day:
-    """One day in simulated time, the same every time."""
+    """Runs `seconds` of simulated time, reproducibly for a seed.
+
+    A job's entry changes fields of the default job; entries of OF_USERS control its user."""
     worlds: list[Day] = []
 
     async def main() -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings and properties: a bad file is refused with the key at fault."""
+"""Settings and properties: an invalid file is rejected with the name of the invalid key."""
 
 from pathlib import Path
 
@@ -55,8 +55,8 @@
 
 
 def test_authority_and_leases_fit_into_a_cancellation(tmp_path: Path) -> None:
-    """A controller that hears of nothing answers workers for a term; their tasks then
-    last for a lease: both, with the reports around them, must end within cancel_s."""
+    """An isolated controller answers its workers for a term, and their tasks go on for a lease
+    after that: both, with the reports before and after, must fit into cancel_s."""
     path = tmp_path / "s.toml"
     path.write_text(settings_text())
     settings = load(path)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The server against broken, slow and greedy connections, in memory."""
+"""The HTTP server against broken, slow and idle connections, on in-memory streams."""
 
 import h11
 import msgspec
@@ -18,7 +18,8 @@
 
 
 def talk(*chunks: bytes | float, request_s: float = 5.0) -> list[tuple[int, bytes]]:
-    """Sends bytes (numbers are pauses) on one connection; returns the answers."""
+    """Sends chunks on one connection (numbers are pauses in seconds); returns the responses as
+    (status, body)."""
     answers: list[tuple[int, bytes]] = []
 
     async def main() -> None:
@@ -34,7 +35,7 @@
                 try:
                     event = conn.next_event()
                 except h11.RemoteProtocolError:
-                    return  # closed instead of an answer
+                    return  # the server closed the connection without a response
                 if event is h11.NEED_DATA:
                     conn.receive_data(await ours.receive_some())
                 elif isinstance(event, h11.Response):
@@ -101,8 +102,8 @@
 
 
 def test_workers_find_a_connection_beside_idle_users() -> None:
-    """A controller that was left alone turned workers away, since its sockets were full of
-    users' idle connections; their leases ran out."""
+    """Idle connections of users must not keep workers out: on the only controller left they took
+    all sockets, workers were rejected, and their leases expired."""
 
     async def main() -> None:
         server = Server(
@@ -112,7 +113,7 @@
         served: dict[str, int] = {}
 
         async def client(name: str, target: str, every_s: float) -> None:
-            """Asks again and again; comes again when it is closed."""
+            """Sends requests every `every_s`; reconnects when the connection is closed."""
             while True:
                 ours, theirs = trio.testing.memory_stream_pair()
                 nursery.start_soon(server._connection, theirs)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,5 +1,5 @@
-"""Old and new versions on each other's data: records and messages of the version before
-pipelines are read, and what is written now is what that version accepts."""
+"""Compatibility with the version in production, the one before pipelines: its records and
+messages are read, and it accepts all that is written and sent now."""
 
 import json
 import re
@@ -22,7 +22,7 @@
 
 NUMBER = (int, float)
 FLAT = [int]
-# Field: (required, type or the types of what it holds).
+# Field -> (required, type). A list has its elements' type, {"": type} is a map with any keys.
 JOB = {
     "uid": (True, str),
     "duty": (True, str),
@@ -46,7 +46,7 @@
     "dueS": (False, NUMBER),
 }
 OWNER = {"o": (True, str), "i": (True, str)}
-# What production reads under each key, and cannot do without; other fields are passed over.
+# Fields that production reads in the record under each key; it ignores all others.
 KEYS: dict[str, dict[str, tuple[bool, Any]]] = {
     r"r/n/[^/]+": {"i": (True, str)},
     r"r/p/\d+": OWNER,
@@ -63,9 +63,9 @@
     r"r/j/wk-\d+/\d+": {"t": (True, {"": FLAT}), "d": (True, FLAT)},
     r"f/wk-\d+": {"st": (True, str), "d": (True, int)},
 }
-# Keys that production passes over: it knows neither their second part nor their meaning.
+# Keys that production ignores: it does not know their second part.
 PASSED_OVER = r"r/[^npljc]/.+"
-# What production reads of each message, by place.
+# Types of the elements that production reads in each message, by position after the tag.
 MESSAGES: dict[str, list[Any]] = {
     "poke": [int],
     "part": [str, int, int, int, list, list, int, int, list],
@@ -80,6 +80,7 @@
 
 
 def fits(value: Any, kind: Any) -> bool:
+    """Returns whether a value has a type, as KEYS and MESSAGES describe them."""
     if kind is object:
         return True
     if isinstance(kind, dict) and set(kind) == {""}:
@@ -95,7 +96,7 @@
 
 
 def accepted(key: str, value: Any) -> bool:
-    """By the plain description: whether production can read this record."""
+    """Returns whether production can read this record, by the description in KEYS."""
     for pattern, fields in KEYS.items():
         if re.fullmatch(pattern, key):
             return fits(value, fields)
@@ -103,6 +104,7 @@
 
 
 def accepted_message(wire: list[Any]) -> bool:
+    """Returns whether production can read this message, by the description in MESSAGES."""
     kinds = MESSAGES.get(wire[0])
     return (
         kinds is not None
@@ -143,7 +145,7 @@
 
 
 def test_what_is_written_on_a_day_of_pipelines_is_accepted(tmp_path: Path) -> None:
-    """Archived jobs included; of each key all that was written."""
+    """All versions of all records are checked, those of archived jobs included."""
     settings = []
     for n in range(3):
         path = tmp_path / f"{n}.toml"
@@ -182,7 +184,7 @@
 
 
 def begins_with(new: Any, old: Any) -> bool:
-    """A list has what it had, and may have more behind that, at any depth."""
+    """Returns whether two values are equal but for elements appended to lists, at any depth."""
     if isinstance(old, list):
         return len(new) >= len(old) and all(map(begins_with, new, old))
     return bool(new == old)
@@ -195,7 +197,8 @@
 
 
 def test_production_passes_over_fields_and_elements_that_it_does_not_know() -> None:
-    """Its structs are as here, of the same library: array-like, unknown fields allowed."""
+    """Production uses the same library with the same kind of structs: array-like, with unknown
+    elements ignored."""
 
     class Old(msgspec.Struct, array_like=True, tag="x", frozen=True):
         a: int
