--- a/ryegauge/config.py
+++ b/ryegauge/config.py
@@ -126,7 +126,7 @@
 
 
 class Shared(msgspec.Struct, frozen=True):
-    """Settings that all controllers share; `nodes` is the number of controllers and of parts."""
+    """Settings that all controllers share; `nodes` is the number of controllers and of shards."""
 
     nodes: Count
     zones: list[str]
@@ -232,16 +232,16 @@
 
     @property
     def term_s(self) -> float:
-        """How long a controller's authority lasts after the renewal that it is based on.
+        """How long a controller's lease lasts after its renewal.
 
-        An isolated controller may go on answering its workers for a term, and the workers keep
-        their tasks for a lease after that. Both together, with the reports before and after
-        and clock drift, must fit into `cancel_s`.
+        An isolated controller may go on answering its workers until its lease expires, and the
+        workers keep their tasks for a worker's lease after that. Both together, with the reports
+        before and after and clock drift, must fit into `cancel_s`.
         """
         w = self.settings.workers
         spare = w.cancel_s * (1 - 4 * CLOCK_DRIFT) - w.lease_s - 2 * self.report_gap_s
-        # At most half a lease: the tasks of a controller that stops outlive its term, so another
-        # controller can take them over.
+        # At most half a worker's lease: the tasks of a controller that stops outlive its lease, so
+        # another controller can take them over.
         return min(0.5 * w.lease_s, 0.9 * spare)
 
 
@@ -295,7 +295,7 @@
             )
     limits = settings.state_limits
     if settings.settings.nodes + 1 > limits.conditions:
-        # A cancellation needs one condition for the job and one for each part's share of it.
+        # A cancellation needs one condition for the job and one for each shard's assignment.
         raise ConfigError(
             f"{path}: settings.state.txn_ops: {limits.txn_ops} allows {limits.conditions} "
             f"conditions; expected at least one more than settings.nodes "
@@ -310,7 +310,7 @@
     if settings.term_s < 2 * w.report_s or settings.term_s < 0.1:
         raise ConfigError(
             f"{path}: settings.workers.cancel_s: {w.cancel_s:g} is too short for a controller's "
-            f"term; expected more than lease_s ({w.lease_s:g}) and five reports "
+            f"lease; expected more than lease_s ({w.lease_s:g}) and five reports "
             f"({w.report_s:g} each) together"
         )
 
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -12,7 +12,7 @@
 
 
 class MachineView(msgspec.Struct, frozen=True, array_like=True):
-    """One machine as the owner of its part sees it."""
+    """One machine as the owner of its shard sees it."""
 
     name: str
     type: str
@@ -42,7 +42,7 @@
 
 
 class PartView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
-    """A part as its owner sees it: the machines that have changed since the view
+    """A shard as its owner sees it: the machines that have changed since the view
     numbered `base`, or all of them (as far as one message holds them) if `base` is 0."""
 
     node: str
@@ -56,8 +56,8 @@
     base: int = 0
     # Machines of earlier views that the owner no longer has.
     gone: list[str] = []
-    # (uid, number of tasks that are on no machine any more but that the owner's job book
-    # still assigns to the part). Not sent or read by versions before pipelines.
+    # (uid, number of tasks that are on no machine any more but that the owner's replica still
+    # shows as assigned to the shard). Not sent or read by versions before pipelines.
     leaving: list[tuple[str, int]] = []
     # Machines of other owners that recently reported to this controller and were redirected:
     # (name, seconds ago). Not sent or read by versions before failure detection.
@@ -86,7 +86,7 @@
 
 
 class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
-    """Tells an owner that workers of its parts reported to the sender: (machine, part, seconds
+    """Tells an owner that workers of its shards reported to the sender: (machine, shard, seconds
     ago). Versions before failure detection answer 400."""
 
     node: str
@@ -101,7 +101,7 @@
 
 
 class PartOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
-    """The leader's answer to a PartView: what the owner of the part is to do."""
+    """The leader's answer to a view: what the owner of the shard is to do."""
 
     ledger: int
     # Machines that get no new tasks and are released once they are empty.
@@ -112,43 +112,44 @@
     evict: list[tuple[str, str, int]] = []
     # The changes could not be applied: the next view has to be a full one.
     resync: bool = False
-    # Machines of the part that the cloud lists as running and that are missing in the owner's
+    # Machines of the shard that the cloud lists as running and that are missing in the owner's
     # view: (name, address). The owner probes them. Not sent or read by versions before failure
     # detection.
     unheard: list[tuple[str, str]] = []
-    # Failing jobs, by the evidence of all parts: they are in retry backoff. Not sent or read by
+    # Failing jobs, by the evidence of all shards: they are in retry backoff. Not sent or read by
     # versions without that backoff.
     mistaken: list[str] = []
 
 
 class Promise(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
-    """Asks, during an outage of the state service, for the promise not to take over the
-    sender's roles."""
+    """Asks, during an outage of the state service, to extend the sender's lease: the receiver
+    promises not to take over the sender's roles meanwhile."""
 
     node: str
     incarnation: str
-    # Cancellations that the sender knows and that its job book does not contain yet.
+    # Cancellations that the sender knows and that its replica does not contain yet.
     cancelled: list[str]
-    # The sender's job book is complete up to this revision. Older versions do not send it; they
+    # The sender's replica is complete up to this revision. Older versions do not send it; they
     # are answered with all cancellations.
     ledger: int = 0
 
 
 class PromiseAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
-    """Answers a Promise. The promise is given only by a controller that gets no answer from the
-    state service either."""
+    """Answers a request for a lease extension, which only a controller grants that gets no answer
+    from the state service either."""
 
     given: bool
     incarnation: str
     cancelled: list[str]
-    # Whether `cancelled` contains every cancellation that the asker's job book may lack and that
+    # Whether `cancelled` contains every cancellation that the asker's replica may lack and that
     # the sender may have confirmed to a user. Older versions send only some and not this field,
-    # so their promises do not count.
+    # so extensions that they grant do not count.
     whole: bool = False
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
-    """Announces that a controller has started: promises to earlier incarnations of it are void."""
+    """Announces that a controller has started: extensions that its earlier incarnations granted
+    are void."""
 
     node: str
     incarnation: str
@@ -158,8 +159,8 @@
     """Answers a Hello."""
 
     node: str
-    # Whether the sender has had the job book for long enough to tell if records are missing.
-    # Not sent by versions before rebuilding.
+    # Whether the sender has had its replica for long enough to tell if records are missing. Not
+    # sent by versions before rebuilding.
     lived: bool = False
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -55,8 +55,9 @@
 
 
 def test_authority_and_leases_fit_into_a_cancellation(tmp_path: Path) -> None:
-    """An isolated controller answers its workers for a term, and their tasks go on for a lease
-    after that: both, with the reports before and after, must fit into cancel_s."""
+    """An isolated controller answers its workers until its lease expires, and their tasks go on
+    for a worker's lease after that: both, with the reports before and after, must fit into
+    cancel_s."""
     path = tmp_path / "s.toml"
     path.write_text(settings_text())
     settings = load(path)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -63,7 +63,7 @@
     r"r/j/wk-\d+/\d+": {"t": (True, {"": FLAT}), "d": (True, FLAT)},
     r"f/wk-\d+": {"st": (True, str), "d": (True, int)},
 }
-# Keys that production ignores: it does not know their second part.
+# Keys that production ignores: it does not know their second segment.
 PASSED_OVER = r"r/[^npljc]/.+"
 # Types of the elements that production reads in each message, by position after the tag.
 MESSAGES: dict[str, list[Any]] = {
