--- a/ryegauge/config.py
+++ b/ryegauge/config.py
@@ -15,7 +15,7 @@
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
-Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Assignment = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 # Bytes. A job's record with names of ordinary length fits into a value of this size.
 LEAST_VALUE = 950
@@ -38,7 +38,7 @@
     gpus_max: NonNegative = 0.0
 
     @property
-    def most_cpus(self) -> float:
+    def cpu_limit(self) -> float:
         """CPUs that the team's tasks may use at any time; infinite if the settings say 0.
 
         Guest teams have zeros in the settings, and their jobs have to be accepted: with 0 as the
@@ -46,7 +46,7 @@
         return self.cpus_max or math.inf
 
     @property
-    def most_gpus(self) -> float:
+    def gpu_limit(self) -> float:
         """GPUs that the team's tasks may use at any time; infinite if the settings say 0."""
         return self.gpus_max or math.inf
 
@@ -105,7 +105,7 @@
         return int(0.95 * 1024 * self.value_kb)
 
     @property
-    def conditions(self) -> int:
+    def max_conditions(self) -> int:
         """How many conditions a transaction may have."""
         return 4 * self.txn_ops
 
@@ -157,7 +157,7 @@
 class Properties(msgspec.Struct, frozen=True):
     """The operators' properties; docs/operations/ explains each."""
 
-    takeback_threshold: Share = 0.6
+    takeback_threshold: Assignment = 0.6
     takeback_window_s: Positive = 30.0
     # How long a machine is kept idle, as a multiple of its nominal boot time.
     idle_boots: NonNegative = 0.5
@@ -167,7 +167,7 @@
     paid_period_s: NonNegative = 60.0
     # Limit on capacity that is rented in advance for tasks on machines that are probably but not
     # certainly lost, as a share of the running fleet's CPUs; docs/operations/recovery.md.
-    ahead_share: Share = 0.5
+    ahead_share: Assignment = 0.5
     # In which order jobs get capacity; docs/operations/priorities.md.
     ordering: Literal["settled", "ageing", "strict"] = "settled"
     # How long the first task of a critical job waits before its age counts, in leases, and the
@@ -175,8 +175,8 @@
     ageing_patience_leases: Positive = 10.0
     ageing_rank_factor: Annotated[float, msgspec.Meta(ge=1)] = 2.0
     # Minimum and maximum share of the fleet that is reserved for aged work.
-    ageing_floor: Share = 0.05
-    ageing_ceiling: Share = 0.1
+    ageing_floor: Assignment = 0.05
+    ageing_ceiling: Assignment = 0.1
     # How long capacity is reserved for an aged task that fits on no machine, in leases.
     ageing_hold_leases: NonNegative = 10.0
     # How long urgent work waits before work of lower priority is preempted, in reports.
@@ -225,13 +225,13 @@
         return self.settings.workers.report_s * 1.25
 
     @property
-    def sure_lease_s(self) -> float:
+    def max_lease_s(self) -> float:
         """Time after the arrival of a worker's report by which the worker's lease has certainly
         expired."""
         return self.settings.workers.lease_s * (1 + 4 * CLOCK_DRIFT) + 0.1
 
     @property
-    def term_s(self) -> float:
+    def controller_lease_s(self) -> float:
         """How long a controller's lease lasts after its renewal.
 
         An isolated controller may go on answering its workers until its lease expires, and the
@@ -289,15 +289,15 @@
         except ValueError as error:
             raise ConfigError(f"{path}: {key}: {error}") from None
     for team in settings.settings.teams:
-        if team.cpus > team.most_cpus or team.gpus > team.most_gpus:
+        if team.cpus > team.cpu_limit or team.gpus > team.gpu_limit:
             raise ConfigError(
                 f"{path}: settings.teams ({team.name}): the guarantee must not exceed the maximum"
             )
     limits = settings.state_limits
-    if settings.settings.nodes + 1 > limits.conditions:
+    if settings.settings.nodes + 1 > limits.max_conditions:
         # A cancellation needs one condition for the job and one for each shard's assignment.
         raise ConfigError(
-            f"{path}: settings.state.txn_ops: {limits.txn_ops} allows {limits.conditions} "
+            f"{path}: settings.state.txn_ops: {limits.txn_ops} allows {limits.max_conditions} "
             f"conditions; expected at least one more than settings.nodes "
             f"({settings.settings.nodes})"
         )
@@ -307,7 +307,7 @@
             f"expected at least {LEAST_VALUE / 1024:g}"
         )
     w = settings.settings.workers
-    if settings.term_s < 2 * w.report_s or settings.term_s < 0.1:
+    if settings.controller_lease_s < 2 * w.report_s or settings.controller_lease_s < 0.1:
         raise ConfigError(
             f"{path}: settings.workers.cancel_s: {w.cancel_s:g} is too short for a controller's "
             f"lease; expected more than lease_s ({w.lease_s:g}) and five reports "
--- a/ryegauge/protocol/cloud.py
+++ b/ryegauge/protocol/cloud.py
@@ -35,7 +35,7 @@
     fetch_gb_per_s: float = 1.0
     spot_price: float | None = None
 
-    def price_of(self, spot: bool) -> float:
+    def hourly_price(self, spot: bool) -> float:
         """Returns the hourly price; on-demand where the type has no spot price."""
         return self.spot_price if spot and self.spot_price is not None else self.price
 
@@ -77,7 +77,7 @@
     more: bool = False
 
 
-class Rented(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
+class RentalReply(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
     """Answer to a rental: the names of the new machines."""
 
     machines: list[str]
@@ -86,7 +86,7 @@
 T = TypeVar("T")
 
 
-def parse(raw: Any, kind: type[T]) -> T:
+def parse_reply(raw: Any, kind: type[T]) -> T:
     """Returns a decoded body as a message of this type; raises Malformed if it is none."""
     try:
         return msgspec.convert(raw, kind)
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -41,15 +41,15 @@
     log_ratio_squares: float = 0.0
 
 
-class PartView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
+class ShardView(msgspec.Struct, frozen=True, array_like=True, tag="part"):
     """A shard as its owner sees it: the machines that have changed since the view
     numbered `base`, or all of them (as far as one message holds them) if `base` is 0."""
 
     node: str
-    part: int
+    shard: int
     token: int
     # Revision of the state service that this view includes.
-    ledger: int
+    state_revision: int
     machines: list[MachineView]
     samples: list[RunSample] = []
     seq: int = 1
@@ -58,10 +58,10 @@
     gone: list[str] = []
     # (uid, number of tasks that are on no machine any more but that the owner's replica still
     # shows as assigned to the shard). Not sent or read by versions before pipelines.
-    leaving: list[tuple[str, int]] = []
+    pending_removal: list[tuple[str, int]] = []
     # Machines of other owners that recently reported to this controller and were redirected:
     # (name, seconds ago). Not sent or read by versions before failure detection.
-    overheard: list[tuple[str, float]] = []
+    foreign_reports: list[tuple[str, float]] = []
     # Per silent machine of this view, what happened since its last report: (name, seconds
     # for which the owner itself was stalled, probes as (prober, outcome, seconds ago)).
     silences: list[tuple[str, float, list[tuple[str, str, float]]]] = []
@@ -71,7 +71,7 @@
     failing: list[tuple[str, int, int]] = []
 
 
-class Probe(msgspec.Struct, frozen=True, array_like=True, tag="probe"):
+class ProbeRequest(msgspec.Struct, frozen=True, array_like=True, tag="probe"):
     """Asks a peer to probe the workers at these addresses for their reports, and to return the
     outcomes. Versions before failure detection answer 400, which is no evidence either way."""
 
@@ -85,7 +85,7 @@
     outcomes: list[str]  # one per address; empty string: not probed
 
 
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
+class ForeignReportNotice(msgspec.Struct, frozen=True, array_like=True, tag="elsewhere"):
     """Tells an owner that workers of its shards reported to the sender: (machine, shard, seconds
     ago). Versions before failure detection answer 400."""
 
@@ -93,17 +93,17 @@
     machines: list[tuple[str, int, float]]
 
 
-class Poke(msgspec.Struct, frozen=True, array_like=True, tag="poke"):
+class ChangeNotice(msgspec.Struct, frozen=True, array_like=True, tag="poke"):
     """Announces that the sender has written to the state service, up to this revision; the
     receiver should read the changes soon."""
 
-    ledger: int
+    state_revision: int
 
 
-class PartOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
+class ShardOrders(msgspec.Struct, frozen=True, array_like=True, tag="orders"):
     """The leader's answer to a view: what the owner of the shard is to do."""
 
-    ledger: int
+    state_revision: int
     # Machines that get no new tasks and are released once they are empty.
     retire: list[str]
     # Machines that are certainly released: no task is on them any more.
@@ -115,13 +115,13 @@
     # Machines of the shard that the cloud lists as running and that are missing in the owner's
     # view: (name, address). The owner probes them. Not sent or read by versions before failure
     # detection.
-    unheard: list[tuple[str, str]] = []
+    unreported: list[tuple[str, str]] = []
     # Failing jobs, by the evidence of all shards: they are in retry backoff. Not sent or read by
     # versions without that backoff.
-    mistaken: list[str] = []
+    failing_jobs: list[str] = []
 
 
-class Promise(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
+class LeaseExtensionRequest(msgspec.Struct, frozen=True, array_like=True, tag="vow"):
     """Asks, during an outage of the state service, to extend the sender's lease: the receiver
     promises not to take over the sender's roles meanwhile."""
 
@@ -131,20 +131,20 @@
     cancelled: list[str]
     # The sender's replica is complete up to this revision. Older versions do not send it; they
     # are answered with all cancellations.
-    ledger: int = 0
+    state_revision: int = 0
 
 
-class PromiseAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
+class LeaseExtensionAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
     """Answers a request for a lease extension, which only a controller grants that gets no answer
     from the state service either."""
 
-    given: bool
+    granted: bool
     incarnation: str
     cancelled: list[str]
     # Whether `cancelled` contains every cancellation that the asker's replica may lack and that
     # the sender may have confirmed to a user. Older versions send only some and not this field,
     # so extensions that they grant do not count.
-    whole: bool = False
+    complete: bool = False
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
@@ -161,10 +161,10 @@
     node: str
     # Whether the sender has had its replica for long enough to tell if records are missing. Not
     # sent by versions before rebuilding.
-    lived: bool = False
+    can_vouch: bool = False
 
 
-class Audit(msgspec.Struct, frozen=True, array_like=True, tag="audit"):
+class AuditRequest(msgspec.Struct, frozen=True, array_like=True, tag="audit"):
     """Asks, from a controller that has just started, whether all records that the receiver knows
     still exist in the state service. Versions before rebuilding answer 400, which is no evidence
     either way."""
@@ -176,10 +176,10 @@
     """Answers an Audit."""
 
     node: str
-    good: bool
+    intact: bool
 
 
-class Relay(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
+class RelayRequest(msgspec.Struct, frozen=True, array_like=True, tag="relay"):
     """Asks a peer to pass on a request to the state service, which refuses only the sender."""
 
     method: str
@@ -195,19 +195,19 @@
 
 
 Message = (
-    PartView
-    | Poke
-    | PartOrders
-    | Promise
-    | PromiseAnswer
+    ShardView
+    | ChangeNotice
+    | ShardOrders
+    | LeaseExtensionRequest
+    | LeaseExtensionAnswer
     | Hello
     | HelloAnswer
-    | Relay
+    | RelayRequest
     | RelayAnswer
-    | Probe
+    | ProbeRequest
     | ProbeAnswer
-    | Elsewhere
-    | Audit
+    | ForeignReportNotice
+    | AuditRequest
     | AuditAnswer
 )
 
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024
+MAX_BODY_BYTES = 64 * 1024
 CHUNK = 16 * 1024
 # Idle connections are reclaimed once fewer than one in this many connections is free.
 FEW_LEFT = 4
@@ -30,15 +30,15 @@
     """There is no usable response; whether the request was executed is unknown."""
 
 
-class Refused(Unreachable):
+class ConnectionRefused(Unreachable):
     """The host is up, but nothing listens at the port."""
 
 
-class Reset(Unreachable):
+class ConnectionReset(Unreachable):
     """The connection was established and ended without a readable response."""
 
 
-class NoAnswer(Unreachable):
+class ResponseTimeout(Unreachable):
     """The connection was established, but no response arrived in time."""
 
 
@@ -53,7 +53,7 @@
 Handler = Callable[[str, str, bytes], Awaitable[Reply]]
 
 
-class Caller(Protocol):
+class HttpClient(Protocol):
     """Interface of Client, which the simulated network implements too."""
 
     async def request(
@@ -73,7 +73,7 @@
     Controllers of older versions run on the emulator's network as well, so the parameters of
     `client` and `serve` keep their names."""
 
-    def client(self, address: str, *, max_connections: int, idle_s: float) -> Caller:
+    def client(self, address: str, *, max_connections: int, idle_s: float) -> HttpClient:
         """Returns a client for an address, HOST:PORT, without connecting."""
         ...
 
@@ -291,7 +291,7 @@
                 patience.deadline = trio.current_time() + self._request_s
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > BODY_LIMIT:
+                if size > MAX_BODY_BYTES:
                     return request, None
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
@@ -354,14 +354,14 @@
                 async with self._slots:
                     return await self._exchange(method, target, body, stood)
         except trio.TooSlowError as error:
-            kind = NoAnswer if stood else Unreachable
+            kind = ResponseTimeout if stood else Unreachable
             raise kind(type(error).__name__) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
-            raise Reset(type(error).__name__) from None
+            raise ConnectionReset(type(error).__name__) from None
         except ConnectionRefusedError as error:
-            raise Refused(str(error)) from None
+            raise ConnectionRefused(str(error)) from None
         except (ConnectionResetError, h11.RemoteProtocolError, Malformed) as error:
-            raise Reset(str(error)) from None
+            raise ConnectionReset(str(error)) from None
         except OSError as error:
             raise Unreachable(str(error)) from None
 
