--- a/ryegauge/config.py
+++ b/ryegauge/config.py
@@ -15,10 +15,10 @@
 Positive = Annotated[float, msgspec.Meta(gt=0)]
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
-Assignment = Annotated[float, msgspec.Meta(ge=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 # Bytes. A job's record with names of ordinary length fits into a value of this size.
-LEAST_VALUE = 950
+MIN_VALUE_BYTES = 950
 
 # Monotonic clocks of two machines drift apart by at most this share (given by the protocol).
 CLOCK_DRIFT = 0.0005
@@ -90,14 +90,14 @@
     next: NextState | None = None
 
     @property
-    def safe(self) -> "State":
+    def safe_limits(self) -> "State":
         """The smaller of the current and the next limits, which are safe at any time."""
         if self.next is None:
             return self
         names = ("rps", "write_rps", "value_kb", "txn_ops")
-        coming = {n: v for n in names if (v := getattr(self.next, n)) is not None}
-        least = {n: min(v, getattr(self, n)) for n, v in coming.items()}
-        return msgspec.structs.replace(self, next=None, **least)
+        next_limits = {n: v for n in names if (v := getattr(self.next, n)) is not None}
+        smaller_limits = {n: min(v, getattr(self, n)) for n, v in next_limits.items()}
+        return msgspec.structs.replace(self, next=None, **smaller_limits)
 
     @property
     def value_bytes(self) -> int:
@@ -125,7 +125,7 @@
     max_connections: Count = 1000
 
 
-class Shared(msgspec.Struct, frozen=True):
+class SharedSettings(msgspec.Struct, frozen=True):
     """Settings that all controllers share; `nodes` is the number of controllers and of shards."""
 
     nodes: Count
@@ -147,7 +147,7 @@
     area: str = ""
 
 
-class Outside(msgspec.Struct, frozen=True):
+class ExternalServices(msgspec.Struct, frozen=True):
     """Addresses of the services that a controller calls."""
 
     cloud: str
@@ -157,7 +157,7 @@
 class Properties(msgspec.Struct, frozen=True):
     """The operators' properties; docs/operations/ explains each."""
 
-    takeback_threshold: Assignment = 0.6
+    takeback_threshold: Fraction = 0.6
     takeback_window_s: Positive = 30.0
     # How long a machine is kept idle, as a multiple of its nominal boot time.
     idle_boots: NonNegative = 0.5
@@ -167,7 +167,7 @@
     paid_period_s: NonNegative = 60.0
     # Limit on capacity that is rented in advance for tasks on machines that are probably but not
     # certainly lost, as a share of the running fleet's CPUs; docs/operations/recovery.md.
-    ahead_share: Assignment = 0.5
+    ahead_share: Fraction = 0.5
     # In which order jobs get capacity; docs/operations/priorities.md.
     ordering: Literal["settled", "ageing", "strict"] = "settled"
     # How long the first task of a critical job waits before its age counts, in leases, and the
@@ -175,8 +175,8 @@
     ageing_patience_leases: Positive = 10.0
     ageing_rank_factor: Annotated[float, msgspec.Meta(ge=1)] = 2.0
     # Minimum and maximum share of the fleet that is reserved for aged work.
-    ageing_floor: Assignment = 0.05
-    ageing_ceiling: Assignment = 0.1
+    ageing_floor: Fraction = 0.05
+    ageing_ceiling: Fraction = 0.1
     # How long capacity is reserved for an aged task that fits on no machine, in leases.
     ageing_hold_leases: NonNegative = 10.0
     # How long urgent work waits before work of lower priority is preempted, in reports.
@@ -194,7 +194,7 @@
 
 
 # Properties that are text; all others are numbers.
-TEXTS = ("ordering", "rebuilding", "snapshots_directory", "queues_file", "metrics_listen")
+TEXT_PROPERTIES = ("ordering", "rebuilding", "snapshots_directory", "queues_file", "metrics_listen")
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -204,8 +204,8 @@
     area: str
     listen: str
     mesh_addr: str
-    outside: Outside
-    settings: Shared
+    outside: ExternalServices
+    settings: SharedSettings
     known: list[Peer] = []
     properties: Properties = Properties()
 
@@ -217,7 +217,7 @@
     @property
     def state_limits(self) -> State:
         """The limits of the state service that are safe at any time."""
-        return self.settings.state.safe
+        return self.settings.state.safe_limits
 
     @property
     def report_gap_s(self) -> float:
@@ -238,15 +238,18 @@
         workers keep their tasks for a worker's lease after that. Both together, with the reports
         before and after and clock drift, must fit into `cancel_s`.
         """
-        w = self.settings.workers
-        spare = w.cancel_s * (1 - 4 * CLOCK_DRIFT) - w.lease_s - 2 * self.report_gap_s
+        workers = self.settings.workers
+        available_s = (
+            workers.cancel_s * (1 - 4 * CLOCK_DRIFT) - workers.lease_s - 2 * self.report_gap_s
+        )
         # At most half a worker's lease: the tasks of a controller that stops outlive its lease, so
         # another controller can take them over.
-        return min(0.5 * w.lease_s, 0.9 * spare)
+        return min(0.5 * workers.lease_s, 0.9 * available_s)
 
 
-def read_toml(path: str | Path, kind: type[T], without: str = "") -> T:
-    """Reads a TOML file as a value of type `kind`, ignoring the top-level table `without`.
+def read_toml(path: str | Path, type_: type[T], ignored_table: str = "") -> T:
+    """Reads a TOML file as a value of type `type_`, ignoring the top-level table
+    `ignored_table`.
 
     Raises ConfigError naming the invalid key."""
     try:
@@ -255,9 +258,9 @@
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: not TOML: {error}") from None
-    raw.pop(without, None)
+    raw.pop(ignored_table, None)
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, type_)
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: {error}") from None
 
@@ -266,15 +269,15 @@
     """Loads and validates the settings; raises ConfigError naming the invalid key.
 
     The properties come from the file `properties`, or else from that in RYEGAUGE_PROPERTIES."""
-    settings = read_toml(path, Settings, without="properties")
-    _check(settings, str(path))
+    settings = read_toml(path, Settings, ignored_table="properties")
+    _validate(settings, str(path))
     properties = properties or os.environ.get("RYEGAUGE_PROPERTIES")
     if properties:
         settings = msgspec.structs.replace(settings, properties=load_properties(properties))
     return settings
 
 
-def _check(settings: Settings, path: str) -> None:
+def _validate(settings: Settings, path: str) -> None:
     addresses = {
         "listen": settings.listen,
         "mesh_addr": settings.mesh_addr,
@@ -301,17 +304,17 @@
             f"conditions; expected at least one more than settings.nodes "
             f"({settings.settings.nodes})"
         )
-    if limits.value_bytes < LEAST_VALUE:
+    if limits.value_bytes < MIN_VALUE_BYTES:
         raise ConfigError(
             f"{path}: settings.state.value_kb: {limits.value_kb:g}; "
-            f"expected at least {LEAST_VALUE / 1024:g}"
+            f"expected at least {MIN_VALUE_BYTES / 1024:g}"
         )
-    w = settings.settings.workers
-    if settings.controller_lease_s < 2 * w.report_s or settings.controller_lease_s < 0.1:
+    workers = settings.settings.workers
+    if settings.controller_lease_s < 2 * workers.report_s or settings.controller_lease_s < 0.1:
         raise ConfigError(
-            f"{path}: settings.workers.cancel_s: {w.cancel_s:g} is too short for a controller's "
-            f"lease; expected more than lease_s ({w.lease_s:g}) and five reports "
-            f"({w.report_s:g} each) together"
+            f"{path}: settings.workers.cancel_s: {workers.cancel_s:g} is too short for a "
+            f"controller's lease; expected more than lease_s ({workers.lease_s:g}) and five "
+            f"reports ({workers.report_s:g} each) together"
         )
 
 
@@ -323,29 +326,31 @@
 
     try:
         with open(path, encoding="utf-8") as file:
-            pairs = javaproperties.load(file)
+            entries = javaproperties.load(file)
     except OSError as error:
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
     except (ValueError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: not a properties file: {error}") from None
-    known = {name.replace("_", "."): name for name in Properties.__struct_fields__}
+    names_by_key = {name.replace("_", "."): name for name in Properties.__struct_fields__}
     values: dict[str, Any] = {}
-    for key, text in pairs.items():
-        if key not in known:
-            raise ConfigError(f"{path}: {key}: unknown; expected one of {', '.join(sorted(known))}")
-        if known[key] in TEXTS:
-            values[known[key]] = text
+    for key, text in entries.items():
+        if key not in names_by_key:
+            raise ConfigError(
+                f"{path}: {key}: unknown; expected one of {', '.join(sorted(names_by_key))}"
+            )
+        if names_by_key[key] in TEXT_PROPERTIES:
+            values[names_by_key[key]] = text
             continue
         try:
-            values[known[key]] = float(text)
+            values[names_by_key[key]] = float(text)
         except ValueError:
             raise ConfigError(f"{path}: {key}: expected a number, got {text!r}") from None
     try:
         properties = msgspec.convert(values, Properties)
     except msgspec.ValidationError as error:
         message = str(error)
-        for dotted, name in known.items():
-            message = message.replace(f"$.{name}", dotted)
+        for key, name in names_by_key.items():
+            message = message.replace(f"$.{name}", key)
         raise ConfigError(f"{path}: {message}") from None
     if properties.metrics_listen:
         try:
--- a/ryegauge/protocol/cloud.py
+++ b/ryegauge/protocol/cloud.py
@@ -83,12 +83,12 @@
     machines: list[str]
 
 
-T = TypeVar("T")
+StructT = TypeVar("StructT")
 
 
-def parse_reply(raw: Any, kind: type[T]) -> T:
+def parse_reply(raw: Any, struct_type: type[StructT]) -> StructT:
     """Returns a decoded body as a message of this type; raises Malformed if it is none."""
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, struct_type)
     except msgspec.ValidationError as error:
         raise Malformed(str(error)) from None
--- a/ryegauge/protocol/jobs.py
+++ b/ryegauge/protocol/jobs.py
@@ -9,7 +9,7 @@
 from ryegauge.transport.http import Malformed
 
 MAX_TASKS = 100_000  # per job
-_UID = re.compile(r"wk-[0-9]{1,32}\Z")
+_UID_PATTERN = re.compile(r"wk-[0-9]{1,32}\Z")
 
 Kind = Literal["sweep", "gang", "standing"]
 Priority = Literal["critical", "high", "normal", "best_effort"]
@@ -73,7 +73,7 @@
 
 def valid_uid(uid: object) -> bool:
     """Returns whether this is a job's name: `wk-` and 1 to 32 digits."""
-    return isinstance(uid, str) and _UID.match(uid) is not None
+    return isinstance(uid, str) and _UID_PATTERN.match(uid) is not None
 
 
 def parse_job(raw: Any) -> JobSpec:
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -79,7 +79,7 @@
 
 
 class ProbeAnswer(msgspec.Struct, frozen=True, array_like=True, tag="probed"):
-    """Answers a Probe."""
+    """Answers a ProbeRequest."""
 
     node: str
     outcomes: list[str]  # one per address; empty string: not probed
@@ -135,8 +135,8 @@
 
 
 class LeaseExtensionAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vowed"):
-    """Answers a request for a lease extension, which only a controller grants that gets no answer
-    from the state service either."""
+    """Answers a LeaseExtensionRequest. Only a controller that gets no answer from the state service
+    either grants the extension."""
 
     granted: bool
     incarnation: str
@@ -173,7 +173,7 @@
 
 
 class AuditAnswer(msgspec.Struct, frozen=True, array_like=True, tag="audited"):
-    """Answers an Audit."""
+    """Answers an AuditRequest."""
 
     node: str
     intact: bool
@@ -188,7 +188,7 @@
 
 
 class RelayAnswer(msgspec.Struct, frozen=True, array_like=True, tag="relayed"):
-    """Answers a Relay with what the state service answered."""
+    """Answers a RelayRequest with what the state service answered."""
 
     status: int  # 0: the peer got no answer, so the request may have been executed
     body: Any
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -14,7 +14,7 @@
 from ryegauge.coordination.node import Node
 from ryegauge.transport.http import TcpNetwork
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def fail(message: str, code: int) -> NoReturn:
@@ -25,26 +25,26 @@
 
 def _log_to_stderr() -> None:
     name = os.environ.get("LOG_LEVEL", "info").lower()
-    if name not in LEVELS:
-        fail(f"LOG_LEVEL: expected one of {', '.join(LEVELS)}, got {name!r}", 2)
+    if name not in LOG_LEVELS:
+        fail(f"LOG_LEVEL: expected one of {', '.join(LOG_LEVELS)}, got {name!r}", 2)
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS[name],
+        level=LOG_LEVELS[name],
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
 
 
-def _leaves(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+def _flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
     """Returns the exceptions in a group, nested groups included."""
     return [
         leaf
         for error in group.exceptions
-        for leaf in (_leaves(error) if isinstance(error, BaseExceptionGroup) else [error])
+        for leaf in (_flatten(error) if isinstance(error, BaseExceptionGroup) else [error])
     ]
 
 
 # Thresholds of the cyclic garbage collector's generations, see gc.set_threshold.
-GARBAGE = (10_000, 20, 50)
+GC_THRESHOLDS = (10_000, 20, 50)
 
 
 def serve(config: str, properties: str | None = None) -> None:
@@ -62,7 +62,7 @@
 
     # Few objects here form reference cycles, and the default thresholds cost about 1% of the run
     # time (benchmark days: 351 and 345 s, with these thresholds 346 and 343 s).
-    gc.set_threshold(*GARBAGE)
+    gc.set_threshold(*GC_THRESHOLDS)
     front = None
     if settings.properties.queues_file:
         try:
@@ -99,13 +99,13 @@
                 )
             await Node(settings, network, time.time, random.SystemRandom(), front, disk).run()
 
-    stopped: list[BaseException] = []
+    errors: list[BaseException] = []
     try:
         trio.run(run)
     except* (KeyboardInterrupt, OSError) as group:
-        stopped += _leaves(group)
-    if any(isinstance(error, KeyboardInterrupt) for error in stopped):
+        errors += _flatten(group)
+    if any(isinstance(error, KeyboardInterrupt) for error in errors):
         sys.exit(130)
-    if stopped:
-        why = str(stopped[0])
-        fail(f"cannot listen on {settings.listen} and {settings.mesh_addr}: {why}", 1)
+    if errors:
+        reason = str(errors[0])
+        fail(f"cannot listen on {settings.listen} and {settings.mesh_addr}: {reason}", 1)
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -17,9 +17,9 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 64 * 1024
-CHUNK = 16 * 1024
+READ_SIZE_BYTES = 16 * 1024
 # Idle connections are reclaimed once fewer than one in this many connections is free.
-FEW_LEFT = 4
+LOW_CONNECTIONS_DIVISOR = 4
 
 
 class Malformed(Exception):
@@ -50,6 +50,7 @@
     retry_after_s: float | None = None
 
 
+# (method, target, body) -> response.
 Handler = Callable[[str, str, bytes], Awaitable[Reply]]
 
 
@@ -179,10 +180,10 @@
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
         self._handler = handler
-        self._free = max_connections
-        self._few = max_connections // FEW_LEFT
-        self._first = first
-        self._idle: dict[trio.abc.Stream, trio.CancelScope] = {}  # longest idle first
+        self._free_connections = max_connections
+        self._low_threshold = max_connections // LOW_CONNECTIONS_DIVISOR
+        self._has_precedence = first
+        self._idle_connections: dict[trio.abc.Stream, trio.CancelScope] = {}  # longest idle first
         self._idle_s = idle_s
         self._request_s = request_s
 
@@ -194,87 +195,99 @@
         Raises OSError if the address cannot be bound."""
         listeners = await self._listen(host, port)
         listening()
-        await trio.serve_listeners(self._connection, listeners)
+        await trio.serve_listeners(self._handle_connection, listeners)
 
     async def _listen(self, host: str, port: int) -> list[trio.SocketListener]:
         """Retries for up to `request_s` while the port is in use: a process that is restarted
         within a fraction of a second finds the port of its predecessor still taken."""
-        until = trio.current_time() + self._request_s
+        retry_until = trio.current_time() + self._request_s
         while True:
             try:
                 return await trio.open_tcp_listeners(port, host=host, backlog=256)
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or trio.current_time() >= until:
+                if error.errno != errno.EADDRINUSE or trio.current_time() >= retry_until:
                     raise
             await trio.sleep(self._request_s / 100)
 
-    async def _connection(self, stream: trio.SocketStream) -> None:
-        if self._free <= 0 and not self._make_way():
+    async def _handle_connection(self, stream: trio.SocketStream) -> None:
+        if self._free_connections <= 0 and not self._close_longest_idle():
             # Sheds connections above the limit, which leaves sockets for the controller's calls.
             await trio.aclose_forcefully(stream)
             return
-        self._free -= 1
+        self._free_connections -= 1
         try:
-            await self._requests(stream)
+            await self._handle_requests(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             pass
         except Exception:
             log.exception("internal error: connection closed")
         finally:
-            self._free += 1
+            self._free_connections += 1
             await trio.aclose_forcefully(stream)
 
-    def _make_way(self) -> bool:
-        for stream, waiting in self._idle.items():
-            del self._idle[stream]
-            waiting.cancel()
+    def _close_longest_idle(self) -> bool:
+        """Returns whether there was an idle connection."""
+        for stream, idle_scope in self._idle_connections.items():
+            del self._idle_connections[stream]
+            idle_scope.cancel()
             return True
         return False
 
-    async def _requests(self, stream: trio.SocketStream) -> None:
+    async def _handle_requests(self, stream: trio.SocketStream) -> None:
         # One scope with a moving deadline covers all reads and writes of the connection: separate
         # scopes accounted for a tenth of the processor time of a check-in.
-        with trio.CancelScope() as patience:
-            await self._answer_all(stream, patience)
+        with trio.CancelScope() as deadline_scope:
+            await self._request_loop(stream, deadline_scope)
 
-    async def _answer_all(self, stream: trio.SocketStream, patience: trio.CancelScope) -> None:
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=CHUNK)
-        first = False
+    async def _request_loop(
+        self, stream: trio.SocketStream, deadline_scope: trio.CancelScope
+    ) -> None:
+        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=READ_SIZE_BYTES)
+        precedence = False
         while True:
             request: h11.Request | None = None
             body: bytes | None = None
-            patience.deadline = trio.current_time() + self._idle_s
+            deadline_scope.deadline = trio.current_time() + self._idle_s
             # A scope of its own, cancelled only while idle, so that no request is interrupted.
-            waiting = None if first else trio.CancelScope()
-            if waiting is not None:
-                self._idle[stream] = waiting
+            idle_scope = None if precedence else trio.CancelScope()
+            if idle_scope is not None:
+                self._idle_connections[stream] = idle_scope
             try:
-                with waiting or nullcontext():
-                    request, body = await self._read(conn, stream, patience)
+                with idle_scope or nullcontext():
+                    request, body = await self._read_request(conn, stream, deadline_scope)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                    patience.deadline = trio.current_time() + self._request_s
-                    await _send(conn, stream, Reply(error.error_status_hint, None), close=True)
+                    deadline_scope.deadline = trio.current_time() + self._request_s
+                    await _send_response(
+                        conn, stream, Reply(error.error_status_hint, None), close=True
+                    )
                 return
             finally:
-                self._idle.pop(stream, None)
+                self._idle_connections.pop(stream, None)
             if request is None:
                 return
             if body is None:
-                await _send(conn, stream, Reply(400, {"error": "body over 64 KiB"}), close=True)
+                await _send_response(
+                    conn, stream, Reply(400, {"error": "body over 64 KiB"}), close=True
+                )
                 return
-            patience.deadline = math.inf
+            deadline_scope.deadline = math.inf
             target = request.target.decode("ascii")
-            first = self._first(target)
+            precedence = self._has_precedence(target)
             reply = await answer(self._handler, request.method.decode("ascii"), target, body)
-            patience.deadline = trio.current_time() + self._request_s
-            await _send(conn, stream, reply, close=not first and self._free < self._few)
+            deadline_scope.deadline = trio.current_time() + self._request_s
+            await _send_response(
+                conn,
+                stream,
+                reply,
+                close=not precedence and self._free_connections < self._low_threshold,
+            )
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
 
-    async def _read(
-        self, conn: h11.Connection, stream: trio.SocketStream, patience: trio.CancelScope
+    async def _read_request(
+        self, conn: h11.Connection, stream: trio.SocketStream, deadline_scope: trio.CancelScope
     ) -> tuple[h11.Request | None, bytes | None]:
         request: h11.Request | None = None
         parts: list[bytes] = []
@@ -283,12 +296,12 @@
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 if conn.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await stream.send_all(conn.send(go_on) or b"")
-                conn.receive_data(await stream.receive_some(CHUNK))
+                    continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                    await stream.send_all(conn.send(continue_response) or b"")
+                conn.receive_data(await stream.receive_some(READ_SIZE_BYTES))
             elif isinstance(event, h11.Request):
                 request = event
-                patience.deadline = trio.current_time() + self._request_s
+                deadline_scope.deadline = trio.current_time() + self._request_s
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > MAX_BODY_BYTES:
@@ -300,18 +313,18 @@
                 return None, None
 
 
-_END = h11.EndOfMessage()
+_END_OF_MESSAGE = h11.EndOfMessage()
 
 
 @lru_cache(256)
-def _head(
-    status: int, length: int, plain: bool, retry_after_s: float | None, close: bool
+def _response_head(
+    status: int, length: int, is_text: bool, retry_after_s: float | None, close: bool
 ) -> h11.Response:
     """Cached, since most responses to check-ins have the same length."""
     headers = [("content-length", str(length))]
     if length:
-        kind = "text/plain; version=0.0.4; charset=utf-8" if plain else "application/cbor"
-        headers.append(("content-type", kind))
+        content_type = "text/plain; version=0.0.4; charset=utf-8" if is_text else "application/cbor"
+        headers.append(("content-type", content_type))
     if retry_after_s is not None:
         headers.append(("retry-after", str(max(1, math.ceil(retry_after_s)))))
     if close:
@@ -319,16 +332,19 @@
     return h11.Response(status_code=status, headers=headers)
 
 
-async def _send(
+async def _send_response(
     conn: h11.Connection, stream: trio.SocketStream, reply: Reply, close: bool = False
 ) -> None:
     # Bodies of bytes are plain text: no message between components is a CBOR byte string.
-    plain = isinstance(reply.body, bytes)
-    body = b"" if reply.body is None else reply.body if plain else encode(reply.body)
-    out = conn.send(_head(reply.status, len(body), plain, reply.retry_after_s, close)) or b""
+    is_text = isinstance(reply.body, bytes)
+    body = b"" if reply.body is None else reply.body if is_text else encode(reply.body)
+    out = (
+        conn.send(_response_head(reply.status, len(body), is_text, reply.retry_after_s, close))
+        or b""
+    )
     if body:
         out += conn.send(h11.Data(data=body)) or b""
-    out += conn.send(_END) or b""
+    out += conn.send(_END_OF_MESSAGE) or b""
     await stream.send_all(out)
 
 
@@ -339,23 +355,23 @@
 
     def __init__(self, host: str, port: int, *, max_connections: int, idle_s: float) -> None:
         self._host, self._port = host, port
-        self._header = [("host", f"{host}:{port}"), ("content-type", "application/cbor")]
-        self._idle: deque[tuple[trio.SocketStream, h11.Connection, float]] = deque()
-        self._slots = trio.CapacityLimiter(max_connections)
+        self._request_headers = [("host", f"{host}:{port}"), ("content-type", "application/cbor")]
+        self._idle_connections: deque[tuple[trio.SocketStream, h11.Connection, float]] = deque()
+        self._connection_limiter = trio.CapacityLimiter(max_connections)
         self._idle_s = idle_s
 
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
     ) -> tuple[int, Any, float | None]:
         """Returns (status, body, Retry-After in seconds). Raises Unreachable."""
-        stood: list[bool] = []  # not empty once there is a connection
+        established: list[bool] = []  # not empty once there is a connection
         try:
             with trio.fail_after(timeout_s):
-                async with self._slots:
-                    return await self._exchange(method, target, body, stood)
+                async with self._connection_limiter:
+                    return await self._exchange(method, target, body, established)
         except trio.TooSlowError as error:
-            kind = ResponseTimeout if stood else Unreachable
-            raise kind(type(error).__name__) from None
+            error_type = ResponseTimeout if established else Unreachable
+            raise error_type(type(error).__name__) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ConnectionReset(type(error).__name__) from None
         except ConnectionRefusedError as error:
@@ -367,17 +383,17 @@
 
     def close(self) -> None:
         """Closes idle connections; requests in progress keep theirs."""
-        while self._idle:
-            self._idle.popleft()[0].socket.close()
+        while self._idle_connections:
+            self._idle_connections.popleft()[0].socket.close()
 
     async def _exchange(
-        self, method: str, target: str, body: Any, stood: list[bool]
+        self, method: str, target: str, body: Any, established: list[bool]
     ) -> tuple[int, Any, float | None]:
         payload = b"" if body is None else encode(body)
-        while self._idle and self._idle[0][2] < trio.current_time():
-            await trio.aclose_forcefully(self._idle.popleft()[0])
-        if self._idle:
-            stream, conn, _ = self._idle.pop()
+        while self._idle_connections and self._idle_connections[0][2] < trio.current_time():
+            await trio.aclose_forcefully(self._idle_connections.popleft()[0])
+        if self._idle_connections:
+            stream, conn, _ = self._idle_connections.pop()
         else:
             # Addresses are IP addresses: no name resolution, no racing of several addresses.
             sock = trio.socket.socket()
@@ -388,13 +404,13 @@
                 sock.close()
                 raise
             stream, conn = trio.SocketStream(sock), h11.Connection(h11.CLIENT)
-        stood.append(True)
-        keep = False
+        established.append(True)
+        reusable = False
         try:
             request = h11.Request(
                 method=method,
                 target=target,
-                headers=[*self._header, ("content-length", str(len(payload)))],
+                headers=[*self._request_headers, ("content-length", str(len(payload)))],
             )
             out = conn.send(request) or b""
             if payload:
@@ -406,7 +422,7 @@
             while True:
                 event = conn.next_event()
                 if event is h11.NEED_DATA:
-                    conn.receive_data(await stream.receive_some(4 * CHUNK))
+                    conn.receive_data(await stream.receive_some(4 * READ_SIZE_BYTES))
                 elif isinstance(event, h11.Response):
                     response = event
                 elif isinstance(event, h11.Data):
@@ -420,11 +436,11 @@
             content = decode(data) if data else None
             if conn.our_state is h11.DONE and conn.their_state is h11.DONE:
                 conn.start_next_cycle()
-                self._idle.append((stream, conn, trio.current_time() + self._idle_s))
-                keep = True
+                self._idle_connections.append((stream, conn, trio.current_time() + self._idle_s))
+                reusable = True
             return response.status_code, content, _retry_after(response)
         finally:
-            if not keep:
+            if not reusable:
                 await trio.aclose_forcefully(stream)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,7 +24,7 @@
     config.pluginmanager.register(plugin)
 
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 node_name = "{name}"
 area = "{area}"
 listen = "10.0.0.{n}:8080"
@@ -67,7 +67,9 @@
     """Returns the settings file of controller `n` of `count`.
 
     Controllers are spread in turn over the zones in `areas`, one letter each."""
-    text = SETTINGS.format(name=f"node-{n}", n=n + 1, count=count, area=areas[n % len(areas)])
+    text = SETTINGS_TEMPLATE.format(
+        name=f"node-{n}", n=n + 1, count=count, area=areas[n % len(areas)]
+    )
     known = "".join(
         f'[[known]]\nnode_name = "node-{i}"\narea = "{areas[i % len(areas)]}"\n'
         f'peer_addr = "10.0.0.{i + 1}:8081"\n'
--- a/tests/days.py
+++ b/tests/days.py
@@ -10,7 +10,7 @@
 from ryegauge.emulator.fleet import SMALL_FLEET, FleetType
 from ryegauge.emulator.world import World, run_simulated
 
-OF_USERS = ("delay", "really", "broken", "late", "cancel_after")
+USER_OPTIONS = ("delay", "really", "broken", "late", "cancel_after")
 
 
 class Day(World):
@@ -47,9 +47,9 @@
         users = []
         for i, job in enumerate(jobs):
             changes = dict(job)
-            about = {name: changes.pop(name) for name in OF_USERS if name in changes}
+            user_options = {name: changes.pop(name) for name in USER_OPTIONS if name in changes}
             body = job_body(f"wk-{i + 1:06d}", **changes)
-            users.append(partial(world.user, body, **about))
+            users.append(partial(world.user, body, **user_options))
         await world.play(users, script, seconds)
 
     run_simulated(main, seed)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "named_key"),
     [
         ('listen = "10.0.0.1:8080"', 'listen = "nowhere"', "listen"),
         ("lease_s = 10.0", 'lease_s = "long"', "lease_s"),
@@ -27,22 +27,22 @@
         ("[settings]", "[settings", "TOML"),
     ],
 )
-def test_bad_settings_name_the_key(tmp_path: Path, old: str, new: str, says: str) -> None:
+def test_invalid_settings_name_the_key(tmp_path: Path, old: str, new: str, named_key: str) -> None:
     path = tmp_path / "s.toml"
     text = settings_text()
     assert old in text
     path.write_text(text.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=says):
+    with pytest.raises(ConfigError, match=named_key):
         load(path)
     result = CliRunner().invoke(main, ["serve", "--config", str(path)])
     assert result.exit_code == 2
-    assert says in result.output
+    assert named_key in result.output
 
 
-def test_the_smaller_of_present_and_coming_limits_counts(tmp_path: Path) -> None:
+def test_the_smaller_of_current_and_next_limits_applies(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
-    coming = "txn_ops = 12\n[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 99.0\n"
-    path.write_text(settings_text().replace("txn_ops = 12\n", coming))
+    next_limits = "txn_ops = 12\n[settings.state.next]\nvalue_kb = 2.0\nwrite_rps = 99.0\n"
+    path.write_text(settings_text().replace("txn_ops = 12\n", next_limits))
     limits = load(path).state_limits
     assert (limits.value_kb, limits.txn_ops, limits.write_rps) == (2.0, 12, 40.0)
     assert limits.value_bytes < 2048
@@ -70,11 +70,11 @@
     path.write_text("# ours\ntakeback.threshold = 0.5\nidle.boots: 2\n")
     assert load_properties(path).takeback_threshold == 0.5
     assert load_properties(path).idle_boots == 2
-    for text, says in [
+    for text, named_key in [
         ("takeback.threshold = 1.5", "takeback.threshold"),
         ("idle.boots = soon", "idle.boots"),
         ("idle.boost = 1", "idle.boost"),
     ]:
         path.write_text(text)
-        with pytest.raises(ConfigError, match=says):
+        with pytest.raises(ConfigError, match=named_key):
             load_properties(path)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,9 +8,9 @@
 
 from ryegauge.config import Peer, Settings
 from ryegauge.coordination.connection_limits import (
-    CLOUD,
+    MAX_CLOUD_CONNECTIONS,
     MAX_CONNECTIONS_PER_PEER,
-    STATE,
+    MAX_STATE_CONNECTIONS,
     divide_connections,
 )
 from ryegauge.transport.http import MAX_BODY_BYTES, Reply, Server, decode, encode
@@ -22,13 +22,13 @@
     return Reply(200, {"method": method, "body": decode(body) if body else None})
 
 
-def talk(*chunks: bytes | float, request_s: float = 5.0) -> list[tuple[int, bytes]]:
+def exchange(*chunks: bytes | float, request_s: float = 5.0) -> list[tuple[int, bytes]]:
     """Sends chunks on one connection (numbers are pauses in seconds); returns the responses as
     (status, body)."""
     answers: list[tuple[int, bytes]] = []
 
     async def main() -> None:
-        ours, theirs = trio.testing.memory_stream_pair()
+        client_end, server_end = trio.testing.memory_stream_pair()
         server = Server(_echo, max_connections=4, idle_s=30.0, request_s=request_s)
 
         async def read() -> None:
@@ -42,7 +42,7 @@
                 except h11.RemoteProtocolError:
                     return  # the server closed the connection without a response
                 if event is h11.NEED_DATA:
-                    conn.receive_data(await ours.receive_some())
+                    conn.receive_data(await client_end.receive_some())
                 elif isinstance(event, h11.Response):
                     status = event.status_code
                     answers.append((status, b""))
@@ -59,29 +59,29 @@
 
         with trio.move_on_after(100.0):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(server._connection, theirs)
+                nursery.start_soon(server._handle_connection, server_end)
                 nursery.start_soon(read)
                 for chunk in chunks:
                     if isinstance(chunk, float):
                         await trio.sleep(chunk)
                     else:
                         try:
-                            await ours.send_all(chunk)
+                            await client_end.send_all(chunk)
                         except trio.BrokenResourceError:
                             break
-        assert server._free == 4
+        assert server._free_connections == 4
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
     return answers
 
 
-def post(body: bytes, target: str = "/x") -> bytes:
+def post_request(body: bytes, target: str = "/x") -> bytes:
     head = f"POST {target} HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
 def test_a_connection_is_kept_for_further_requests() -> None:
-    answers = talk(post(encode([1])), 0.1, post(encode([2])))
+    answers = exchange(post_request(encode([1])), 0.1, post_request(encode([2])))
     assert [(s, decode(b)["body"]) for s, b in answers] == [(200, [1]), (200, [2])]
 
 
@@ -90,23 +90,23 @@
     [
         (b"nonsense\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\n" + b"x" * 40_000, 431),
-        (post(b"\xff\xff"), 400),
-        (post(b"x" * (MAX_BODY_BYTES + 1)), 400),
-        (post(b"", "/fail"), 503),
+        (post_request(b"\xff\xff"), 400),
+        (post_request(b"x" * (MAX_BODY_BYTES + 1)), 400),
+        (post_request(b"", "/fail"), 503),
         (b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: -4\r\n\r\n", 400),
     ],
 )
-def test_what_cannot_be_taken_costs_one_connection(chunk: bytes, status: int) -> None:
-    assert [s for s, _ in talk(chunk)] == [status]
+def test_an_invalid_request_affects_only_its_connection(chunk: bytes, status: int) -> None:
+    assert [s for s, _ in exchange(chunk)] == [status]
 
 
 def test_slow_and_half_open_connections_are_closed() -> None:
-    slow = post(encode("late"))
-    assert talk(slow[:20], 1.0, slow[20:30], 60.0, slow[30:]) == []
-    assert talk(60.0) == []
+    slow = post_request(encode("late"))
+    assert exchange(slow[:20], 1.0, slow[20:30], 60.0, slow[30:]) == []
+    assert exchange(60.0) == []
 
 
-def test_workers_find_a_connection_beside_idle_users() -> None:
+def test_idle_connections_of_users_do_not_keep_workers_out() -> None:
     """Idle connections of users must not keep workers out: on the only controller left they took
     all sockets, workers were rejected, and their leases expired."""
 
@@ -120,18 +120,20 @@
         async def client(name: str, target: str, every_s: float) -> None:
             """Sends requests every `every_s`; reconnects when the connection is closed."""
             while True:
-                ours, theirs = trio.testing.memory_stream_pair()
-                nursery.start_soon(server._connection, theirs)
+                client_end, server_end = trio.testing.memory_stream_pair()
+                nursery.start_soon(server._handle_connection, server_end)
                 conn = h11.Connection(h11.CLIENT)
                 try:
                     while conn.our_state is h11.IDLE:
                         out = conn.send(
                             h11.Request(method="GET", target=target, headers=[("host", "x")])
                         )
-                        await ours.send_all((out or b"") + (conn.send(h11.EndOfMessage()) or b""))
+                        await client_end.send_all(
+                            (out or b"") + (conn.send(h11.EndOfMessage()) or b"")
+                        )
                         while not isinstance(event := conn.next_event(), h11.EndOfMessage):
                             if event is h11.NEED_DATA:
-                                conn.receive_data(await ours.receive_some())
+                                conn.receive_data(await client_end.receive_some())
                             elif isinstance(event, h11.ConnectionClosed):
                                 raise trio.BrokenResourceError
                         served[name] = served.get(name, 0) + 1
@@ -157,25 +159,27 @@
         assert all(served[f"worker {n}"] == 20 for n in range(7))
         assert not [name for name in closed if name.startswith("worker")]
         assert sum(count for name, count in served.items() if name.startswith("user")) > 20
-        assert server._free == 8
+        assert server._free_connections == 8
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@pytest.mark.parametrize(("most", "peers"), [(1537, 4), (600, 4), (64, 2), (2064, 8)])
-def test_sockets_together_stay_within_what_there_is(
-    settings: Settings, most: int, peers: int
+@pytest.mark.parametrize(("socket_limit", "peers"), [(1537, 4), (600, 4), (64, 2), (2064, 8)])
+def test_connection_limits_together_stay_within_the_quota(
+    settings: Settings, socket_limit: int, peers: int
 ) -> None:
-    quota = msgspec.structs.replace(settings.settings.quota, max_connections=most)
+    quota = msgspec.structs.replace(settings.settings.quota, max_connections=socket_limit)
     known = [Peer(f"node-{n}", "a", f"10.0.0.{n}:8081") for n in range(peers)]
     got = divide_connections(
         msgspec.structs.replace(
             settings, known=known, settings=msgspec.structs.replace(settings.settings, quota=quota)
         )
     )
-    ours = STATE + CLOUD + MAX_CONNECTIONS_PER_PEER * peers
-    assert got.public >= most // 2
-    if most >= 600:
-        assert got.public + got.inbound_peers + 2 * got.commands + got.probes + ours < most
+    outgoing = MAX_STATE_CONNECTIONS + MAX_CLOUD_CONNECTIONS + MAX_CONNECTIONS_PER_PEER * peers
+    assert got.public >= socket_limit // 2
+    if socket_limit >= 600:
+        assert (
+            got.public + got.inbound_peers + 2 * got.commands + got.probes + outgoing < socket_limit
+        )
         assert got.inbound_peers >= MAX_CONNECTIONS_PER_PEER * peers
-        assert got.public > 0.7 * most
+        assert got.public > 0.7 * socket_limit
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -21,7 +21,7 @@
 DATA = json.loads((Path(__file__).parent / "data" / "production.json").read_text())
 
 NUMBER = (int, float)
-FLAT = [int]
+RANGES = [int]
 # Field -> (required, type). A list has its elements' type, {"": type} is a map with any keys.
 JOB = {
     "uid": (True, str),
@@ -60,11 +60,11 @@
         "districts": (True, [str]),
     },
     r"r/j/wk-\d+": {"s": (True, JOB), "at": (True, NUMBER), "x": (False, bool)},
-    r"r/j/wk-\d+/\d+": {"t": (True, {"": FLAT}), "d": (True, FLAT)},
+    r"r/j/wk-\d+/\d+": {"t": (True, {"": RANGES}), "d": (True, RANGES)},
     r"f/wk-\d+": {"st": (True, str), "d": (True, int)},
 }
 # Keys that production ignores: it does not know their second segment.
-PASSED_OVER = r"r/[^npljc]/.+"
+IGNORED_KEYS = r"r/[^npljc]/.+"
 # Types of the elements that production reads in each message, by position after the tag.
 MESSAGES: dict[str, list[Any]] = {
     "poke": [int],
@@ -79,28 +79,28 @@
 }
 
 
-def fits(value: Any, kind: Any) -> bool:
+def has_type(value: Any, kind: Any) -> bool:
     """Returns whether a value has a type, as KEYS and MESSAGES describe them."""
     if kind is object:
         return True
     if isinstance(kind, dict) and set(kind) == {""}:
-        return isinstance(value, dict) and all(fits(v, kind[""]) for v in value.values())
+        return isinstance(value, dict) and all(has_type(v, kind[""]) for v in value.values())
     if isinstance(kind, dict):
         return isinstance(value, dict) and all(
-            fits(value[name], of) if name in value else not required
-            for name, (required, of) in kind.items()
+            has_type(value[name], type_) if name in value else not required
+            for name, (required, type_) in kind.items()
         )
     if isinstance(kind, list):
-        return isinstance(value, list) and all(fits(v, kind[0]) for v in value)
+        return isinstance(value, list) and all(has_type(v, kind[0]) for v in value)
     return isinstance(value, kind)
 
 
-def accepted(key: str, value: Any) -> bool:
+def accepted_record(key: str, value: Any) -> bool:
     """Returns whether production can read this record, by the description in KEYS."""
     for pattern, fields in KEYS.items():
         if re.fullmatch(pattern, key):
-            return fits(value, fields)
-    return re.fullmatch(PASSED_OVER, key) is not None
+            return has_type(value, fields)
+    return re.fullmatch(IGNORED_KEYS, key) is not None
 
 
 def accepted_message(wire: list[Any]) -> bool:
@@ -109,16 +109,16 @@
     return (
         kinds is not None
         and len(wire) > len(kinds)
-        and all(fits(value, kind) for value, kind in zip(wire[1:], kinds, strict=False))
+        and all(has_type(value, kind) for value, kind in zip(wire[1:], kinds, strict=False))
     )
 
 
-def test_the_description_fits_production_itself() -> None:
-    assert all(accepted(key, value) for key, value in DATA["records"].items())
+def test_the_description_accepts_data_of_production() -> None:
+    assert all(accepted_record(key, value) for key, value in DATA["records"].items())
     assert all(accepted_message(wire) for wire in DATA["messages"])
     assert {wire[0] for wire in DATA["messages"]} == set(MESSAGES)
-    assert not accepted("r/j/wk-1/w", {"n": []})
-    assert not accepted("r/j/wk-1", {"s": {}, "at": 0.0})
+    assert not accepted_record("r/j/wk-1/w", {"n": []})
+    assert not accepted_record("r/j/wk-1", {"s": {}, "at": 0.0})
 
 
 def test_records_of_production_are_read() -> None:
@@ -140,25 +140,25 @@
             }
         elif re.fullmatch(r"r/j/wk-\d+", key):
             spec = parse_job(value["s"])
-            again = job_record(spec, value["at"], bool(value.get("x")))
-            assert again == value
+            record = job_record(spec, value["at"], bool(value.get("x")))
+            assert record == value
 
 
-def test_what_is_written_on_a_day_of_pipelines_is_accepted(tmp_path: Path) -> None:
+def test_production_accepts_what_a_day_of_pipelines_writes(tmp_path: Path) -> None:
     """All versions of all records are checked, those of archived jobs included."""
     settings = []
     for n in range(3):
         path = tmp_path / f"{n}.toml"
         path.write_text(settings_text(n))
-        one = load(path)
-        quota = msgspec.structs.replace(one.settings.quota, memory_mb=0.2)
+        loaded = load(path)
+        quota = msgspec.structs.replace(loaded.settings.quota, memory_mb=0.2)
         settings.append(
             msgspec.structs.replace(
-                one, settings=msgspec.structs.replace(one.settings, quota=quota)
+                loaded, settings=msgspec.structs.replace(loaded.settings, quota=quota)
             )
         )
 
-    async def quiet(world: World) -> None:
+    async def no_faults(world: World) -> None:
         return
 
     jobs = [
@@ -167,20 +167,20 @@
         {"pieces": 4, "delay": 1.0, "awaits": ["wk-000002"], "cancel_after": 3.0},
         {"pieces": 2, "delay": 60.0, "awaits": ["wk-000001", "wk-000003"]},
     ]
-    world = play(settings, 4, jobs, quiet, 110.0)
+    world = play(settings, 4, jobs, no_faults, 110.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     written = world.written
     assert {key.split("/")[1] for key, _ in written if key.startswith("r/")} >= set("npljc")
     assert any(key.startswith("f/") for key, _ in written)
-    assert [(key, value) for key, value in written if not accepted(key, value)] == []
+    assert [(key, value) for key, value in written if not accepted_record(key, value)] == []
 
 
 def test_messages_of_production_are_read() -> None:
     for wire in DATA["messages"]:
-        again = to_wire(parse_message(wire))
-        assert accepted_message(again)
-        assert begins_with(json.loads(json.dumps(again)), wire)
+        encoded = to_wire(parse_message(wire))
+        assert accepted_message(encoded)
+        assert begins_with(json.loads(json.dumps(encoded)), wire)
 
 
 def begins_with(new: Any, old: Any) -> bool:
@@ -191,12 +191,12 @@
 
 
 @pytest.mark.parametrize("wire", DATA["messages"])
-def test_elements_that_a_later_version_adds_are_passed_over(wire: list[Any]) -> None:
+def test_elements_that_a_later_version_adds_are_ignored(wire: list[Any]) -> None:
     message = parse_message(wire)
     assert parse_message([*to_wire(message), ["more"]]) == message
 
 
-def test_production_passes_over_fields_and_elements_that_it_does_not_know() -> None:
+def test_production_ignores_unknown_elements() -> None:
     """Production uses the same library with the same kind of structs: array-like, with unknown
     elements ignored."""
 
