--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -63,7 +63,7 @@
     # Few objects here form reference cycles, and the default thresholds cost about 1% of the run
     # time (benchmark days: 351 and 345 s, with these thresholds 346 and 343 s).
     gc.set_threshold(*GC_THRESHOLDS)
-    front = None
+    queue_front = None
     if settings.properties.queues_file:
         try:
             from ryegauge.queues import bindings
@@ -76,9 +76,9 @@
         except ConfigError as error:
             fail(str(error), 2)
         meters: dict[str, Meter] = {}
-        front = front_of(queues, random.SystemRandom(), meters=meters)
+        queue_front = front_of(queues, random.SystemRandom(), meters=meters)
 
-    disk = None
+    snapshot_directory = None
     if settings.properties.snapshots_directory:
         try:
             from ryegauge.coordination.snapshotting import Directory
@@ -86,18 +86,20 @@
             fail(f"snapshots need: pip install 'ryegauge[snapshots]' ({error})", 2)
         if not os.path.isdir(settings.properties.snapshots_directory):
             fail(f"snapshots.directory: no directory {settings.properties.snapshots_directory}", 2)
-        disk = Directory(settings.properties.snapshots_directory)
+        snapshot_directory = Directory(settings.properties.snapshots_directory)
 
     async def run() -> None:
         network = TcpNetwork()
         async with trio.open_nursery() as nursery:
-            if front is not None and settings.properties.metrics_listen:
+            if queue_front is not None and settings.properties.metrics_listen:
                 from ryegauge.queues import exporter
 
                 nursery.start_soon(
                     exporter.serve, network, settings.properties.metrics_listen, meters
                 )
-            await Node(settings, network, time.time, random.SystemRandom(), front, disk).run()
+            await Node(
+                settings, network, time.time, random.SystemRandom(), queue_front, snapshot_directory
+            ).run()
 
     errors: list[BaseException] = []
     try:
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -18,7 +18,8 @@
 
 MAX_BODY_BYTES = 64 * 1024
 READ_SIZE_BYTES = 16 * 1024
-# Idle connections are reclaimed once fewer than one in this many connections is free.
+# Connections without precedence are closed after each response while fewer than one in this
+# many is free.
 LOW_CONNECTIONS_DIVISOR = 4
 
 
@@ -183,7 +184,8 @@
         self._free_connections = max_connections
         self._low_threshold = max_connections // LOW_CONNECTIONS_DIVISOR
         self._has_precedence = first
-        self._idle_connections: dict[trio.abc.Stream, trio.CancelScope] = {}  # longest idle first
+        # Idle connections without precedence, longest idle first.
+        self._idle_connections: dict[trio.abc.Stream, trio.CancelScope] = {}
         self._idle_s = idle_s
         self._request_s = request_s
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -54,7 +54,7 @@
     assert load(path).node_name == "node-0"
 
 
-def test_authority_and_leases_fit_into_a_cancellation(tmp_path: Path) -> None:
+def test_the_leases_of_controllers_and_workers_fit_into_cancel_s(tmp_path: Path) -> None:
     """An isolated controller answers its workers until its lease expires, and their tasks go on
     for a worker's lease after that: both, with the reports before and after, must fit into
     cancel_s."""
@@ -65,7 +65,7 @@
     assert settings.controller_lease_s + w.lease_s + 2 * settings.report_gap_s < w.cancel_s
 
 
-def test_properties(tmp_path: Path) -> None:
+def test_properties_are_loaded_and_validated(tmp_path: Path) -> None:
     path = tmp_path / "p.properties"
     path.write_text("# ours\ntakeback.threshold = 0.5\nidle.boots: 2\n")
     assert load_properties(path).takeback_threshold == 0.5
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -17,6 +17,7 @@
 
 
 async def _echo(method: str, target: str, body: bytes) -> Reply:
+    """A handler that returns the request, and fails for one target."""
     if target == "/fail":
         raise RuntimeError("a bug")
     return Reply(200, {"method": method, "body": decode(body) if body else None})
@@ -76,6 +77,7 @@
 
 
 def post_request(body: bytes, target: str = "/x") -> bytes:
+    """Returns the bytes of a request."""
     head = f"POST {target} HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
