--- a/tests/days.py
+++ b/tests/days.py
@@ -38,7 +38,7 @@
 ) -> Day:
     """Runs `seconds` of simulated time, reproducibly for a seed.
 
-    A job's entry changes fields of the default job; those named in USER_OPTIONS control its user."""
+    A job's entries change fields of the default job; those in USER_OPTIONS control its user."""
     worlds: list[Day] = []
 
     async def main() -> None:
