--- a/ryegauge/protocol/cloud.py
+++ b/ryegauge/protocol/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's catalogue and machine list."""
+"""Answers of the cloud's API: machine types, machines and rentals."""
 
 from typing import Any, Literal, TypeVar
 
@@ -22,6 +22,8 @@
         "zones": "districts",
     },
 ):
+    """A type of machine in the cloud's catalogue; prices are per hour, `boot_s` is nominal."""
+
     name: str
     cpus: float
     memory_gb: float
@@ -34,6 +36,7 @@
     spot_price: float | None = None
 
     def hourly_price(self, spot: bool) -> float:
+        """Returns the hourly price; on-demand where the type has no spot price."""
         return self.spot_price if spot and self.spot_price is not None else self.price
 
 
@@ -50,6 +53,8 @@
         "age_s": "heldS",
     },
 ):
+    """One machine in the cloud's list; `age_s` counts from its rental."""
+
     name: str
     type: str
     zone: str
@@ -60,23 +65,30 @@
 
 
 class Catalog(msgspec.Struct, frozen=True, rename={"types": "builds"}):
+    """Answer of `GET /catalog`."""
+
     types: list[MachineType]
 
 
 class MachinePage(msgspec.Struct, frozen=True, rename={"machines": "hosts", "more": "hasNext"}):
+    """Answer of `GET /hosts`: one page of the machine list; `more` if others follow."""
+
     machines: list[ListedMachine]
     more: bool = False
 
 
 class RentalReply(msgspec.Struct, frozen=True, rename={"machines": "hosts"}):
+    """Answer to a rental: the names of the new machines."""
+
     machines: list[str]
 
 
-T = TypeVar("T")
+StructT = TypeVar("StructT")
 
 
-def parse_reply(raw: Any, kind: type[T]) -> T:
+def parse_reply(raw: Any, struct_type: type[StructT]) -> StructT:
+    """Returns a decoded body as a message of this type; raises Malformed if it is none."""
     try:
-        return msgspec.convert(raw, kind)
+        return msgspec.convert(raw, struct_type)
     except msgspec.ValidationError as error:
         raise Malformed(str(error)) from None
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -1,5 +1,7 @@
-"""Running a controller until it is killed; kept free of what only the command line needs,
-since a controller that starts again races against its workers' leases."""
+"""Runs a controller until it is killed.
+
+Imports nothing that only the command line needs: a restarted controller has to be up before its
+workers' leases expire."""
 
 import logging
 import os
@@ -12,40 +14,43 @@
 from ryegauge.coordination.node import Node
 from ryegauge.transport.http import TcpNetwork
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def fail(message: str, code: int) -> NoReturn:
+    """Prints an error to stderr and exits with this code."""
     print(f"ryegauge: {message}", file=sys.stderr)
     sys.exit(code)
 
 
 def _log_to_stderr() -> None:
     name = os.environ.get("LOG_LEVEL", "info").lower()
-    if name not in LEVELS:
-        fail(f"LOG_LEVEL: expected one of {', '.join(LEVELS)}, got {name!r}", 2)
+    if name not in LOG_LEVELS:
+        fail(f"LOG_LEVEL: expected one of {', '.join(LOG_LEVELS)}, got {name!r}", 2)
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS[name],
+        level=LOG_LEVELS[name],
         format="%(asctime)s %(levelname)s %(name)s: %(message)s",
     )
 
 
-def _leaves(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
-    """The exceptions in groups of groups."""
+def _flatten(group: BaseExceptionGroup[BaseException]) -> list[BaseException]:
+    """Returns the exceptions in a group, nested groups included."""
     return [
         leaf
         for error in group.exceptions
-        for leaf in (_leaves(error) if isinstance(error, BaseExceptionGroup) else [error])
+        for leaf in (_flatten(error) if isinstance(error, BaseExceptionGroup) else [error])
     ]
 
 
-# New objects after which circles among the young, the older and the old are looked for.
-GARBAGE = (10_000, 20, 50)
+# Thresholds of the cyclic garbage collector's generations, see gc.set_threshold.
+GC_THRESHOLDS = (10_000, 20, 50)
 
 
 def serve(config: str, properties: str | None = None) -> None:
-    """Exit code 2: the settings cannot be used; 1: the addresses cannot be listened on."""
+    """Runs a controller with this settings file and, if given, this properties file.
+
+    Exits with 2 if the settings are unusable and with 1 if an address cannot be bound."""
     _log_to_stderr()
     try:
         settings = load(config, properties)
@@ -55,10 +60,10 @@
     import random
     import time
 
-    # Few objects here refer to each other in circles, and looking for those takes time: a
-    # hundredth of it on the bench's days (351 and 345 s to 346 and 343 s).
-    gc.set_threshold(*GARBAGE)
-    front = None
+    # Few objects here form reference cycles, and the default thresholds cost about 1% of the run
+    # time (benchmark days: 351 and 345 s, with these thresholds 346 and 343 s).
+    gc.set_threshold(*GC_THRESHOLDS)
+    queue_front = None
     if settings.properties.queues_file:
         try:
             from ryegauge.queues import bindings
@@ -71,9 +76,9 @@
         except ConfigError as error:
             fail(str(error), 2)
         meters: dict[str, Meter] = {}
-        front = front_of(queues, random.SystemRandom(), meters=meters)
+        queue_front = front_of(queues, random.SystemRandom(), meters=meters)
 
-    disk = None
+    snapshot_directory = None
     if settings.properties.snapshots_directory:
         try:
             from ryegauge.coordination.snapshotting import Directory
@@ -81,26 +86,28 @@
             fail(f"snapshots need: pip install 'ryegauge[snapshots]' ({error})", 2)
         if not os.path.isdir(settings.properties.snapshots_directory):
             fail(f"snapshots.directory: no directory {settings.properties.snapshots_directory}", 2)
-        disk = Directory(settings.properties.snapshots_directory)
+        snapshot_directory = Directory(settings.properties.snapshots_directory)
 
     async def run() -> None:
         network = TcpNetwork()
         async with trio.open_nursery() as nursery:
-            if front is not None and settings.properties.metrics_listen:
+            if queue_front is not None and settings.properties.metrics_listen:
                 from ryegauge.queues import exporter
 
                 nursery.start_soon(
                     exporter.serve, network, settings.properties.metrics_listen, meters
                 )
-            await Node(settings, network, time.time, random.SystemRandom(), front, disk).run()
+            await Node(
+                settings, network, time.time, random.SystemRandom(), queue_front, snapshot_directory
+            ).run()
 
-    stopped: list[BaseException] = []
+    errors: list[BaseException] = []
     try:
         trio.run(run)
     except* (KeyboardInterrupt, OSError) as group:
-        stopped += _leaves(group)
-    if any(isinstance(error, KeyboardInterrupt) for error in stopped):
+        errors += _flatten(group)
+    if any(isinstance(error, KeyboardInterrupt) for error in errors):
         sys.exit(130)
-    if stopped:
-        why = str(stopped[0])
-        fail(f"cannot listen on {settings.listen} and {settings.mesh_addr}: {why}", 1)
+    if errors:
+        reason = str(errors[0])
+        fail(f"cannot listen on {settings.listen} and {settings.mesh_addr}: {reason}", 1)
--- a/ryegauge/transport/http.py
+++ b/ryegauge/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 with CBOR bodies: h11 over trio streams, for servers and clients."""
+"""HTTP/1.1 servers and clients with CBOR bodies: h11 over trio streams."""
 
 import errno
 import io
@@ -17,54 +17,67 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 64 * 1024
-CHUNK = 16 * 1024
-# Connections are few once less than one in so many is left.
-FEW_LEFT = 4
+READ_SIZE_BYTES = 16 * 1024
+# Connections without precedence are closed after each response while fewer than one in this
+# many is free.
+LOW_CONNECTIONS_DIVISOR = 4
 
 
 class Malformed(Exception):
-    """A body that is not the CBOR that the protocol allows."""
+    """A message that is not valid CBOR, or not what the protocol allows."""
 
 
 class Unreachable(Exception):
-    """No usable answer came; whether the request was executed is unknown."""
+    """There is no usable response; whether the request was executed is unknown."""
 
 
 class ConnectionRefused(Unreachable):
-    """The host answers; nobody listens at the port."""
+    """The host is up, but nothing listens at the port."""
 
 
 class ConnectionReset(Unreachable):
-    """The connection stood and ended without an answer that can be read."""
+    """The connection was established and ended without a readable response."""
 
 
 class ResponseTimeout(Unreachable):
-    """The connection stood, and nothing came in time."""
+    """The connection was established, but no response arrived in time."""
 
 
 class Reply(NamedTuple):
+    """A handler's response. Bodies of bytes are sent as text, all others as CBOR."""
+
     status: int
     body: Any = None
     retry_after_s: float | None = None
 
 
+# (method, target, body) -> response.
 Handler = Callable[[str, str, bytes], Awaitable[Reply]]
 
 
 class HttpClient(Protocol):
-    """Whatever requests can be made with: a Client, or a stand-in."""
+    """Interface of Client, which the simulated network implements too."""
 
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
-    ) -> tuple[int, Any, float | None]: ...
+    ) -> tuple[int, Any, float | None]:
+        """Returns (status, body, Retry-After in seconds). Raises Unreachable."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes idle connections."""
+        ...
 
 
 class Network(Protocol):
-    """Where calls go to and come from. Real sockets, or a simulation of them."""
+    """Creates clients and servers, on real sockets or on a simulated network.
+
+    Controllers of older versions run on the emulator's network as well, so the parameters of
+    `client` and `serve` keep their names."""
 
-    def client(self, address: str, *, max_connections: int, idle_s: float) -> HttpClient: ...
+    def client(self, address: str, *, max_connections: int, idle_s: float) -> HttpClient:
+        """Returns a client for an address, HOST:PORT, without connecting."""
+        ...
 
     async def serve(
         self,
@@ -77,12 +90,17 @@
         listening: Callable[[], None] = ...,
         first: Callable[[str], bool] = ...,
     ) -> None:
-        """`listening` is called once the address is ours; `first` tells by its target whose
-        connections are kept when there are too many."""
+        """Serves an address, HOST:PORT, until cancelled.
+
+        `listening` is called once the address is bound. `first` tells by a request's target
+        whether its connection takes precedence when few connections are left. A connection is
+        closed after `idle_s` without a request, or if receiving a request or sending a response
+        takes longer than `request_s`."""
         ...
 
 
 def split_address(text: str) -> tuple[str, int]:
+    """Splits HOST:PORT; raises ValueError if it is none."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"expected HOST:PORT, got {text!r}")
@@ -90,7 +108,10 @@
 
 
 class TcpNetwork:
+    """The Network of real TCP sockets."""
+
     def client(self, address: str, *, max_connections: int, idle_s: float) -> "Client":
+        """See Network.client."""
         host, port = split_address(address)
         return Client(host, port, max_connections=max_connections, idle_s=idle_s)
 
@@ -105,6 +126,7 @@
         listening: Callable[[], None] = lambda: None,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
+        """See Network.serve."""
         server = Server(
             handler,
             max_connections=max_connections,
@@ -116,10 +138,11 @@
 
 
 def decode(data: bytes) -> Any:
+    """Returns the one CBOR value in `data`; raises Malformed."""
     stream = io.BytesIO(data)
     try:
         value = cbor2.CBORDecoder(stream).decode()
-    except Exception as error:  # the decoder lets several kinds through on hostile input
+    except Exception as error:  # on hostile input the decoder raises exceptions of many types
         raise Malformed(str(error)) from None
     if stream.tell() != len(data) and stream.read(1):
         raise Malformed("more follows the first value")
@@ -130,24 +153,23 @@
 
 
 async def answer(handler: Handler, method: str, target: str, body: bytes) -> Reply:
-    """What a handler says, or what its failure means to the caller."""
+    """Calls a handler; its exceptions become 400 (Malformed) or 503 (all others)."""
     try:
         return await handler(method, target, body)
     except Malformed as error:
         return Reply(400, {"error": str(error)})
     except Exception:
-        log.exception("a request failed")
+        log.exception("internal error while handling a request")
         return Reply(503, {"error": "internal error"}, 2.0)
 
 
 class Server:
-    """Serves one address; a broken or slow connection costs only itself.
+    """Serves one address; a broken or slow connection affects no other.
 
-    When few connections are left, those whose requests do not go first are asked to close
-    after each answer, and when none is left, the one of them that has been idle for longest
-    makes way. (Left alone with a fleet of 984 machines, a controller had its sockets full of
-    users' idle connections, and workers that found it were turned away until their leases had
-    run out.)"""
+    When few connections are left, those without precedence are closed after each response, and
+    when none is left, the one of them that has been idle for longest is closed for a new one.
+    Without this rule, idle connections of users filled up the only controller that was left
+    for 984 machines, and it rejected workers until their leases had expired."""
 
     def __init__(
         self,
@@ -159,99 +181,115 @@
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
         self._handler = handler
-        self._free = max_connections
-        self._few = max_connections // FEW_LEFT
-        self._first = first
-        self._idle: dict[trio.abc.Stream, trio.CancelScope] = {}  # idle for longest first
+        self._free_connections = max_connections
+        self._low_threshold = max_connections // LOW_CONNECTIONS_DIVISOR
+        self._has_precedence = first
+        # Idle connections without precedence, longest idle first.
+        self._idle_connections: dict[trio.abc.Stream, trio.CancelScope] = {}
         self._idle_s = idle_s
         self._request_s = request_s
 
     async def serve(
         self, host: str, port: int, listening: Callable[[], None] = lambda: None
     ) -> None:
+        """Serves until cancelled; `listening` is called once the address is bound.
+
+        Raises OSError if the address cannot be bound."""
         listeners = await self._listen(host, port)
         listening()
-        await trio.serve_listeners(self._connection, listeners)
+        await trio.serve_listeners(self._handle_connection, listeners)
 
     async def _listen(self, host: str, port: int) -> list[trio.SocketListener]:
-        """A process that ended may be back within a fraction of a second, before its port is
-        free: that is waited for, within bounds, instead of ending again and again."""
-        until = trio.current_time() + self._request_s
+        """Retries for up to `request_s` while the port is in use: a process that is restarted
+        within a fraction of a second finds the port of its predecessor still taken."""
+        retry_until = trio.current_time() + self._request_s
         while True:
             try:
                 return await trio.open_tcp_listeners(port, host=host, backlog=256)
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or trio.current_time() >= until:
+                if error.errno != errno.EADDRINUSE or trio.current_time() >= retry_until:
                     raise
             await trio.sleep(self._request_s / 100)
 
-    async def _connection(self, stream: trio.SocketStream) -> None:
-        if self._free <= 0 and not self._make_way():
-            # Sockets are kept for the controller's own calls: a flood is shed here.
+    async def _handle_connection(self, stream: trio.SocketStream) -> None:
+        if self._free_connections <= 0 and not self._close_longest_idle():
+            # Sheds connections above the limit, which leaves sockets for the controller's calls.
             await trio.aclose_forcefully(stream)
             return
-        self._free -= 1
+        self._free_connections -= 1
         try:
-            await self._requests(stream)
+            await self._handle_requests(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError, OSError):
             pass
         except Exception:
-            log.exception("a connection ended by an internal error")
+            log.exception("internal error: connection closed")
         finally:
-            self._free += 1
+            self._free_connections += 1
             await trio.aclose_forcefully(stream)
 
-    def _make_way(self) -> bool:
-        for stream, waiting in self._idle.items():
-            del self._idle[stream]
-            waiting.cancel()
+    def _close_longest_idle(self) -> bool:
+        """Returns whether there was an idle connection."""
+        for stream, idle_scope in self._idle_connections.items():
+            del self._idle_connections[stream]
+            idle_scope.cancel()
             return True
         return False
 
-    async def _requests(self, stream: trio.SocketStream) -> None:
-        # One scope for all that a connection is waited for, with a deadline that moves: a scope
-        # for each read and each answer was a tenth of what a check-in cost.
-        with trio.CancelScope() as patience:
-            await self._answer_all(stream, patience)
+    async def _handle_requests(self, stream: trio.SocketStream) -> None:
+        # One scope with a moving deadline covers all reads and writes of the connection: separate
+        # scopes accounted for a tenth of the processor time of a check-in.
+        with trio.CancelScope() as deadline_scope:
+            await self._request_loop(stream, deadline_scope)
 
-    async def _answer_all(self, stream: trio.SocketStream, patience: trio.CancelScope) -> None:
-        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=CHUNK)
-        first = False
+    async def _request_loop(
+        self, stream: trio.SocketStream, deadline_scope: trio.CancelScope
+    ) -> None:
+        conn = h11.Connection(h11.SERVER, max_incomplete_event_size=READ_SIZE_BYTES)
+        precedence = False
         while True:
             request: h11.Request | None = None
             body: bytes | None = None
-            patience.deadline = trio.current_time() + self._idle_s
-            # Apart from the other scope, so that making way never cuts a request short.
-            waiting = None if first else trio.CancelScope()
-            if waiting is not None:
-                self._idle[stream] = waiting
+            deadline_scope.deadline = trio.current_time() + self._idle_s
+            # A scope of its own, cancelled only while idle, so that no request is interrupted.
+            idle_scope = None if precedence else trio.CancelScope()
+            if idle_scope is not None:
+                self._idle_connections[stream] = idle_scope
             try:
-                with waiting or nullcontext():
-                    request, body = await self._read(conn, stream, patience)
+                with idle_scope or nullcontext():
+                    request, body = await self._read_request(conn, stream, deadline_scope)
             except h11.RemoteProtocolError as error:
                 if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                    patience.deadline = trio.current_time() + self._request_s
-                    await _send(conn, stream, Reply(error.error_status_hint, None), close=True)
+                    deadline_scope.deadline = trio.current_time() + self._request_s
+                    await _send_response(
+                        conn, stream, Reply(error.error_status_hint, None), close=True
+                    )
                 return
             finally:
-                self._idle.pop(stream, None)
+                self._idle_connections.pop(stream, None)
             if request is None:
                 return
             if body is None:
-                await _send(conn, stream, Reply(400, {"error": "body over 64 KiB"}), close=True)
+                await _send_response(
+                    conn, stream, Reply(400, {"error": "body over 64 KiB"}), close=True
+                )
                 return
-            patience.deadline = math.inf
+            deadline_scope.deadline = math.inf
             target = request.target.decode("ascii")
-            first = self._first(target)
+            precedence = self._has_precedence(target)
             reply = await answer(self._handler, request.method.decode("ascii"), target, body)
-            patience.deadline = trio.current_time() + self._request_s
-            await _send(conn, stream, reply, close=not first and self._free < self._few)
+            deadline_scope.deadline = trio.current_time() + self._request_s
+            await _send_response(
+                conn,
+                stream,
+                reply,
+                close=not precedence and self._free_connections < self._low_threshold,
+            )
             if conn.our_state is not h11.DONE or conn.their_state is not h11.DONE:
                 return
             conn.start_next_cycle()
 
-    async def _read(
-        self, conn: h11.Connection, stream: trio.SocketStream, patience: trio.CancelScope
+    async def _read_request(
+        self, conn: h11.Connection, stream: trio.SocketStream, deadline_scope: trio.CancelScope
     ) -> tuple[h11.Request | None, bytes | None]:
         request: h11.Request | None = None
         parts: list[bytes] = []
@@ -260,12 +298,12 @@
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 if conn.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await stream.send_all(conn.send(go_on) or b"")
-                conn.receive_data(await stream.receive_some(CHUNK))
+                    continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                    await stream.send_all(conn.send(continue_response) or b"")
+                conn.receive_data(await stream.receive_some(READ_SIZE_BYTES))
             elif isinstance(event, h11.Request):
                 request = event
-                patience.deadline = trio.current_time() + self._request_s
+                deadline_scope.deadline = trio.current_time() + self._request_s
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > MAX_BODY_BYTES:
@@ -277,18 +315,18 @@
                 return None, None
 
 
-_END = h11.EndOfMessage()
+_END_OF_MESSAGE = h11.EndOfMessage()
 
 
 @lru_cache(256)
-def _head(
-    status: int, length: int, plain: bool, retry_after_s: float | None, close: bool
+def _response_head(
+    status: int, length: int, is_text: bool, retry_after_s: float | None, close: bool
 ) -> h11.Response:
-    """The same few over and over: most answers to check-ins have the same length."""
+    """Cached, since most responses to check-ins have the same length."""
     headers = [("content-length", str(length))]
     if length:
-        kind = "text/plain; version=0.0.4; charset=utf-8" if plain else "application/cbor"
-        headers.append(("content-type", kind))
+        content_type = "text/plain; version=0.0.4; charset=utf-8" if is_text else "application/cbor"
+        headers.append(("content-type", content_type))
     if retry_after_s is not None:
         headers.append(("retry-after", str(max(1, math.ceil(retry_after_s)))))
     if close:
@@ -296,41 +334,46 @@
     return h11.Response(status_code=status, headers=headers)
 
 
-async def _send(
+async def _send_response(
     conn: h11.Connection, stream: trio.SocketStream, reply: Reply, close: bool = False
 ) -> None:
-    # Octets go out as they are: no message between components is binary.
-    plain = isinstance(reply.body, bytes)
-    body = b"" if reply.body is None else reply.body if plain else encode(reply.body)
-    out = conn.send(_head(reply.status, len(body), plain, reply.retry_after_s, close)) or b""
+    # Bodies of bytes are plain text: no message between components is a CBOR byte string.
+    is_text = isinstance(reply.body, bytes)
+    body = b"" if reply.body is None else reply.body if is_text else encode(reply.body)
+    out = (
+        conn.send(_response_head(reply.status, len(body), is_text, reply.retry_after_s, close))
+        or b""
+    )
     if body:
         out += conn.send(h11.Data(data=body)) or b""
-    out += conn.send(_END) or b""
+    out += conn.send(_END_OF_MESSAGE) or b""
     await stream.send_all(out)
 
 
 class Client:
-    """A pool of connections to one address. Every call has a deadline."""
+    """A pool of connections to one address. Every request has a deadline.
+
+    `idle_s` is how long an unused connection is kept."""
 
     def __init__(self, host: str, port: int, *, max_connections: int, idle_s: float) -> None:
         self._host, self._port = host, port
-        self._header = [("host", f"{host}:{port}"), ("content-type", "application/cbor")]
-        self._idle: deque[tuple[trio.SocketStream, h11.Connection, float]] = deque()
-        self._slots = trio.CapacityLimiter(max_connections)
+        self._request_headers = [("host", f"{host}:{port}"), ("content-type", "application/cbor")]
+        self._idle_connections: deque[tuple[trio.SocketStream, h11.Connection, float]] = deque()
+        self._connection_limiter = trio.CapacityLimiter(max_connections)
         self._idle_s = idle_s
 
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
     ) -> tuple[int, Any, float | None]:
-        """Returns (status, body, Retry-After). Raises Unreachable."""
-        stood: list[bool] = []  # once there is a connection
+        """Returns (status, body, Retry-After in seconds). Raises Unreachable."""
+        established: list[bool] = []  # not empty once there is a connection
         try:
             with trio.fail_after(timeout_s):
-                async with self._slots:
-                    return await self._exchange(method, target, body, stood)
+                async with self._connection_limiter:
+                    return await self._exchange(method, target, body, established)
         except trio.TooSlowError as error:
-            kind = ResponseTimeout if stood else Unreachable
-            raise kind(type(error).__name__) from None
+            error_type = ResponseTimeout if established else Unreachable
+            raise error_type(type(error).__name__) from None
         except (trio.BrokenResourceError, trio.ClosedResourceError) as error:
             raise ConnectionReset(type(error).__name__) from None
         except ConnectionRefusedError as error:
@@ -341,20 +384,20 @@
             raise Unreachable(str(error)) from None
 
     def close(self) -> None:
-        """Closes what is idle; calls under way keep their connection."""
-        while self._idle:
-            self._idle.popleft()[0].socket.close()
+        """Closes idle connections; requests in progress keep theirs."""
+        while self._idle_connections:
+            self._idle_connections.popleft()[0].socket.close()
 
     async def _exchange(
-        self, method: str, target: str, body: Any, stood: list[bool]
+        self, method: str, target: str, body: Any, established: list[bool]
     ) -> tuple[int, Any, float | None]:
         payload = b"" if body is None else encode(body)
-        while self._idle and self._idle[0][2] < trio.current_time():
-            await trio.aclose_forcefully(self._idle.popleft()[0])
-        if self._idle:
-            stream, conn, _ = self._idle.pop()
+        while self._idle_connections and self._idle_connections[0][2] < trio.current_time():
+            await trio.aclose_forcefully(self._idle_connections.popleft()[0])
+        if self._idle_connections:
+            stream, conn, _ = self._idle_connections.pop()
         else:
-            # The connection is opened by IP number, without look-ups or racing.
+            # Addresses are IP addresses: no name resolution, no racing of several addresses.
             sock = trio.socket.socket()
             try:
                 sock.setsockopt(trio.socket.IPPROTO_TCP, trio.socket.TCP_NODELAY, 1)
@@ -363,13 +406,13 @@
                 sock.close()
                 raise
             stream, conn = trio.SocketStream(sock), h11.Connection(h11.CLIENT)
-        stood.append(True)
-        keep = False
+        established.append(True)
+        reusable = False
         try:
             request = h11.Request(
                 method=method,
                 target=target,
-                headers=[*self._header, ("content-length", str(len(payload)))],
+                headers=[*self._request_headers, ("content-length", str(len(payload)))],
             )
             out = conn.send(request) or b""
             if payload:
@@ -381,7 +424,7 @@
             while True:
                 event = conn.next_event()
                 if event is h11.NEED_DATA:
-                    conn.receive_data(await stream.receive_some(4 * CHUNK))
+                    conn.receive_data(await stream.receive_some(4 * READ_SIZE_BYTES))
                 elif isinstance(event, h11.Response):
                     response = event
                 elif isinstance(event, h11.Data):
@@ -395,11 +438,11 @@
             content = decode(data) if data else None
             if conn.our_state is h11.DONE and conn.their_state is h11.DONE:
                 conn.start_next_cycle()
-                self._idle.append((stream, conn, trio.current_time() + self._idle_s))
-                keep = True
+                self._idle_connections.append((stream, conn, trio.current_time() + self._idle_s))
+                reusable = True
             return response.status_code, content, _retry_after(response)
         finally:
-            if not keep:
+            if not reusable:
                 await trio.aclose_forcefully(stream)
 
 
--- a/tests/days.py
+++ b/tests/days.py
@@ -1,5 +1,4 @@
-"""Days of the simulated world as the tests describe them: jobs by their changes against a
-plain one, and a script of troubles."""
+"""Simulated days for tests: jobs given as changes to a default job, and a script of faults."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -11,11 +10,11 @@
 from ryegauge.emulator.fleet import SMALL_FLEET, FleetType
 from ryegauge.emulator.world import World, run_simulated
 
-OF_USERS = ("delay", "really", "broken", "late", "cancel_after")
+USER_OPTIONS = ("delay", "really", "broken", "late", "cancel_after")
 
 
 class Day(World):
-    """A world that remembers all that was written to its state service."""
+    """A simulated world that records all writes to its state service."""
 
     def __init__(
         self, settings: list[Settings], seed: int, fleet: tuple[FleetType, ...] = SMALL_FLEET
@@ -25,7 +24,7 @@
         self.state.on_write.append(lambda key, value: self.written.append((key, value)))
 
     def run_s(self, task: str, spec: dict[str, Any]) -> float:
-        """Tasks of a job that says `apart` end so much later, one after the other."""
+        """Returns a task's run time; each further task of a job runs `apart` seconds longer."""
         return super().run_s(task, spec) + int(task.rpartition("/")[2]) * spec.get("apart", 0.0)
 
 
@@ -37,7 +36,9 @@
     seconds: float,
     fleet: tuple[FleetType, ...] = SMALL_FLEET,
 ) -> Day:
-    """One day in simulated time, the same every time."""
+    """Runs `seconds` of simulated time, reproducibly for a seed.
+
+    A job's entries change fields of the default job; those in USER_OPTIONS control its user."""
     worlds: list[Day] = []
 
     async def main() -> None:
@@ -46,9 +47,9 @@
         users = []
         for i, job in enumerate(jobs):
             changes = dict(job)
-            about = {name: changes.pop(name) for name in OF_USERS if name in changes}
+            user_options = {name: changes.pop(name) for name in USER_OPTIONS if name in changes}
             body = job_body(f"wk-{i + 1:06d}", **changes)
-            users.append(partial(world.user, body, **about))
+            users.append(partial(world.user, body, **user_options))
         await world.play(users, script, seconds)
 
     run_simulated(main, seed)
