--- a/ryegauge/emulator/versions.py
+++ b/ryegauge/emulator/versions.py
@@ -5,13 +5,24 @@
 from pathlib import Path
 from typing import Any
 
+from ryegauge.config import Settings, State, Team
 from ryegauge.coordination.node import Node
 
+# Former names of properties that controllers of older versions read from the settings.
+FORMER_NAMES: dict[type, dict[str, str]] = {
+    Settings: {"term_s": "controller_lease_s", "sure_lease_s": "max_lease_s"},
+    State: {"conditions": "max_conditions"},
+    Team: {"most_cpus": "cpu_limit", "most_gpus": "gpu_limit"},
+}
+
 
 def node_of(checkout: str | Path | None) -> Any:
     """What runs as a controller there; without a checkout, this version's."""
     if checkout is None:
         return Node
+    for owner, names in FORMER_NAMES.items():
+        for former, present in names.items():
+            setattr(owner, former, getattr(owner, present))
     mine = {
         name: sys.modules.pop(name)
         for name in list(sys.modules)
