--- a/ryegauge/coordination/part.py
+++ b/ryegauge/coordination/part.py
@@ -1,8 +1,8 @@
-"""The owner of one part: its machines' reports, its tasks and the commands.
+"""The owner of one part: processes its machines' reports, tracks its tasks, issues commands.
 
-No I/O and no clock: `now` is passed in. One object lives for one token; a controller
-that takes the part over under a higher token begins with a new one, which knows
-nothing of the machines and finds out from their reports.
+No I/O and no clock: `now` is passed in. One object serves one token. A controller that takes
+the part over under a higher token creates a new one, which knows nothing about the machines
+until they report.
 """
 
 import logging
@@ -39,9 +39,9 @@
 
 log = logging.getLogger(__name__)
 
-# Machines given up whose late reports are still recognised.
+# Removed machines whose late reports are still recognised; bounds the memory they take.
 REMEMBERED = 10_000
-# A task that fails again and again is tried at least so often.
+# Longest pause, in leases, before a task that keeps failing is retried.
 LONGEST_PAUSE_LEASES = 4.0
 
 
@@ -50,6 +50,11 @@
 
 
 class PartOwner:
+    """Places a part's tasks on its machines and follows them until their outcome is recorded.
+
+    A task is started again only once its previous attempt has certainly ended: a report shows
+    it, the machine was released, or the machine's lease has expired."""
+
     def __init__(
         self,
         part: int,
@@ -61,7 +66,10 @@
         authority_ended_at: float = -math.inf,
         looks_for_strays: bool = False,
     ) -> None:
-        """`authority_ended_at`: by then all authority of before this era has ended."""
+        """`types` returns the machine types known so far. Times are in seconds of the
+        controller's clock. `authority_ended_at`: when the authority of every owner from before
+        this era has ended. `looks_for_strays`: whether to collect attempts that workers report
+        and no share record holds, since the state service may have lost the record."""
         self.part = part
         self.token = token
         self._since = now
@@ -69,53 +77,59 @@
         self._settings = settings
         self._types = types
         self.lease_s = settings.sure_lease_s
-        # By then whatever the earlier authority commanded has reported here or lost
-        # its lease: it could last answer before this token existed.
+        # After the barrier, whatever an earlier owner started has either been reported here or
+        # lost its lease: an earlier owner's last answer was sent before this token existed.
         self._authority_ended_at = authority_ended_at
         self._barrier_at = max(now, authority_ended_at) + self.lease_s
-        # While data that the state service lost is put back, nothing is placed, and what no
-        # share holds may be adopted: (task, attempt) -> (seen at, whether it has ended as done).
+        # While data that the state service lost is being restored, nothing is placed, and
+        # attempts that no share holds may be adopted:
+        # (task, attempt) -> (seen at, zone, whether it has ended as done).
         self._rebuilding = self._stage != REBUILT
         self._looks_for_strays = looks_for_strays
         self.strays: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
         self._acquitted: set[tuple[TaskKey, int]] = set()
         self.machines: dict[str, Machine] = {}
-        # Machines of ours that have never reported here or were given up: name -> (address,
-        # attempts to ask them).
+        # Machines of this part that have never reported here or were removed:
+        # name -> (address, results of probing them).
         self._unheard: dict[str, tuple[str, list[Probe]]] = {}
-        self._elsewhere: dict[str, float] = {}  # machine of ours -> when others last heard it
+        # Machine of this part -> when another controller last got a report of it.
+        self._elsewhere: dict[str, float] = {}
         self._hearing = Hearing(Attention(settings.settings.workers.report_s, now))
-        self._stamps: dict[str, tuple[float, float]] = {}  # of machines given up
+        # Removed machines: reports up to this (session, sequence number) are late.
+        self._stamps: dict[str, tuple[float, float]] = {}
         self.tasks: dict[TaskKey, Task] = {}
         self._by_job: dict[str, set[TaskKey]] = {}
         self._attempts = token << 20
         self._free: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
         self.leaving: set[TaskKey] = set()
-        self._bulky: set[str] = set()  # jobs whose share's record has grown too large
+        self._bulky: set[str] = set()  # jobs whose share record has grown too large
         self.estimates = Estimates()
         self._samples: dict[str, tuple[int, float, float]] = {}
-        # Counts reports that said something new. Most only renew a lease, and looking
-        # at everything again for each would take most of the time.
+        # Counts reports that brought something new. Most only renew a lease; a full pass for
+        # each of those would take most of the controller's time.
         self.revision = 0
         self._showing = Showing()
         self._blame = Blame(self._any_done)
-        self._faulty: set[str] = set()  # machines that are to be given up
-        self._suspected: set[str] = set()  # machines that get no tasks for now
+        self._faulty: set[str] = set()  # machines that are to be returned
+        self._suspected: set[str] = set()  # machines that get no new tasks for now
         self._blamed_at = now
         for uid in list(book.live):
             self._reconcile(uid, "unseen")
 
-    # -- what the book says -------------------------------------------------------
+    # -- changes of the book ------------------------------------------------------
 
     @property
     def _stage(self) -> int:
         return self._book.era_stage
 
     def on_job(self, uid: str) -> None:
+        """A job's records changed: takes its share of this part over from the book."""
         self._reconcile(uid, "unseen" if self._rebuilding else "free")
 
     def _reconcile(self, uid: str, phase: Phase) -> None:
+        """Adds tasks that the job's share newly holds, in `phase`, and drops those that it no
+        longer holds."""
         job = self._book.jobs.get(uid)
         share = job.shares.get(self.part) if job is not None else None
         known = self._by_job.get(uid)
@@ -146,7 +160,8 @@
                 self._withdraw(self.tasks[key])
 
     def _drop(self, key: TaskKey) -> None:
-        """The record no longer gives us the task: only written once it was over."""
+        """Forgets a task that the share no longer holds; that is written only once the task's
+        attempt has ended."""
         task = self.tasks.pop(key)
         for keys in (self._free, self._unseen, self.leaving):
             keys.discard(key)
@@ -156,6 +171,7 @@
     # -- tasks -----------------------------------------------------------------------
 
     def _withdraw(self, task: Task) -> None:
+        """The task must not run any more."""
         task.withdrawn = True
         if task.phase == "free":
             self._leave(task, done=False)
@@ -163,8 +179,9 @@
             self._end(task)
 
     def _leave(self, task: Task, *, done: bool) -> None:
-        """From here on the task is never placed by us again: writing may already be
-        under way, with an unknown outcome, and the leader may give it to others."""
+        """This owner never places the task again: the write that removes it from the share may
+        already be in flight with an unknown result, and the leader may then assign the task to
+        another part."""
         self._free.discard(task.key)
         self._unseen.discard(task.key)
         task.phase = "leaving"
@@ -172,7 +189,7 @@
         self.leaving.add(task.key)
 
     def _end(self, task: Task) -> None:
-        """Its attempt is over for certain; the task itself is not."""
+        """The task's attempt has certainly ended, without success."""
         if task.machine is not None and (m := self.machines.get(task.machine)) is not None:
             m.tasks.discard(task.key)
         task.machine, task.sent, task.moving, task.running_since = None, False, False, None
@@ -185,6 +202,7 @@
             self._free.add(task.key)
 
     def _finish(self, task: Task, machine: Machine, now: float) -> None:
+        """The task succeeded; its run time becomes a sample for the estimates."""
         machine.tasks.discard(task.key)
         if self._blame.succeeded(task.key[0], machine.name):
             self._reassess()
@@ -198,9 +216,9 @@
         self._leave(task, done=True)
 
     def _fail(self, task: Task, machine: Machine, now: float) -> None:
-        """A task failed, by its own fault or its machine's. It is tried again ever later, on
-        the same machine too: where a part had but one, a task that fails everywhere was tried
-        there each second, and its owner never saw it fail elsewhere."""
+        """A task failed, by its own fault or its machine's. It is retried after growing pauses,
+        on the same machine too. Without the pause, in a part with a single machine, a task that
+        fails everywhere was retried there every second and never seen to fail elsewhere."""
         task.errors.add(machine.name)
         task.failed += 1
         self._blame.failed(task.key[0], machine.name, len(task.errors))
@@ -211,28 +229,30 @@
         task.not_before = now + min(longest_s, pause_s)
 
     def _any_done(self, uid: str) -> bool:
+        """Whether any task of the job has succeeded, by the book."""
         job = self._book.jobs.get(uid)
         return job is not None and job.done_count > 0
 
     def _reassess(self) -> None:
+        """Updates which machines are faulty or suspected."""
         faulty, suspected = self._blame.accused(len(self.machines))
         if (faulty, suspected) != (self._faulty, self._suspected):
             if new := faulty - self._faulty:
-                log.info("faulty, to be given up: %s", ", ".join(sorted(new)))
+                log.info("faulty machines, to be returned: %s", ", ".join(sorted(new)))
             if new := suspected - self._suspected:
-                log.info("perhaps faulty, no tasks for now: %s", ", ".join(sorted(new)))
+                log.info("suspected machines, no new tasks for now: %s", ", ".join(sorted(new)))
             self._faulty, self._suspected = faulty, suspected
             self.revision += 1
 
     def held_back(self, uids: Iterable[str]) -> None:
-        """What the leader says of jobs that fail in other parts too."""
+        """The leader's list of jobs that fail in all parts and are in retry backoff."""
         if self._blame.known(frozenset(uids)):
             self._reassess()
 
     def _hold_back(self, uid: str) -> None:
-        """A job that fails on every machine: what of it has not started is handed back, and
-        the leader has one task tried now and then. (Before, each of its tasks was tried again
-        and again on each machine: 2,300 times on a day with 15 such jobs.)"""
+        """Hands back the tasks that have not started, of a job that fails on every machine. The
+        leader then has a single task retried with growing pauses. Otherwise each of its tasks
+        was retried on each machine: 2,300 times in a simulated day with 15 such jobs."""
         for key in list(self._by_job.get(uid, ())):
             task = self.tasks[key]
             if task.phase == "placed" and not task.sent:
@@ -243,14 +263,14 @@
     # -- reports --------------------------------------------------------------------
 
     def on_report(self, report: Report, now: float, checkin: bool = True) -> list[Command]:
-        """Takes a report in; the commands go into its answer.
+        """Processes a report and returns the commands for its answer.
 
-        `checkin` is false for a report that came as the answer to direct commands: it
-        renews no lease, and the answer to an earlier check-in may still be on its way."""
+        `checkin` is false for a report that was the answer to direct commands: it renews no
+        lease, and the answer to an earlier check-in may still be in flight."""
         stamp = (report.session, report.seq)
         machine = self.machines.get(report.machine)
         if stamp <= self._stamps.get(report.machine, (0, 0)):
-            # Sent in a session that has surely ended: a late delivery.
+            # A late delivery, from a session that has certainly ended.
             return []
         if not checkin and (machine is None or not machine.trusted):
             return []
@@ -258,11 +278,11 @@
             machine = self.machines[report.machine] = Machine(report, now)
         if checkin:
             if stamp <= machine.checked_in:
-                # A late copy: the worker has sent a newer one since, so it waits for no answer to
-                # this one, and nothing is renewed. (Counted as heard, copies of the reports of
-                # machines that had died kept their tasks from starting elsewhere.)
+                # A late duplicate: the worker has sent a newer report since and waits for no
+                # answer to this one, so no lease is renewed. It must not update `heard_at`:
+                # duplicates from dead machines would keep their tasks from starting elsewhere.
                 return []
-            # Whatever else is answered may renew the lease, so it counts as heard.
+            # The answer to any other report may renew the lease, so the report counts as heard.
             machine.checked_in = stamp
             if now - machine.heard_at > 2 * self._settings.report_gap_s:
                 machine.heard_from = now
@@ -270,8 +290,8 @@
             machine.probes.clear()
             self._hearing.heard(machine.name, now)
         if report.token < self.token:
-            # Sent before the worker saw this token: it may still have been given
-            # commands by an earlier authority. The answer shows it the token.
+            # Sent before the worker saw this token: an earlier owner may still have given it
+            # commands. The answer shows it the token.
             return self._kill_cancelled(report)
         if machine.trusted and stamp <= machine.stamp:
             return self._kill_cancelled(report)
@@ -280,8 +300,8 @@
         if new_session:
             machine.direct.clear()
             if now - machine.heard_from > self.lease_s / 2:
-                # Its lease has run out although its reports were answered: it does not hear us.
-                # In a session that lasts for longer than a lease it does again.
+                # Its lease expired although its reports were answered: our answers do not reach
+                # it. Once a session lasts longer than a lease, they do again.
                 machine.deaf_until = now + self.lease_s + self._settings.report_gap_s
         machine.stamp = stamp
         machine.trusted = True
@@ -299,8 +319,9 @@
             for (key, attempt), entry in reported.items():
                 self._reported(machine, key, attempt, entry, now, commands)
         except Exception:
-            # An error of ours: what the report shows was not all taken in, so it must not
-            # count as one. (Counted, unseen tasks that it showed were started elsewhere.)
+            # An internal error: the report was processed only in part, so the machine must not
+            # count as having reported. Otherwise unseen tasks that the report lists would be
+            # started elsewhere.
             machine.trusted = False
             raise
         for key in sorted(machine.tasks):
@@ -315,12 +336,13 @@
                 and (key, task.attempt) in machine.direct
                 and not self._book.is_cancelled(key[0])
             ):
-                # Not wanted any more, and sent straight without an answer: it may yet begin. In
-                # order, so that it is over before it does; the worker keeps it as ended (it is
-                # not forgotten in this session), and the start that is on its way has no effect.
-                # (Only the session's end or the machine's return would have proved it gone, and
-                # beside a service neither comes: it counted against its team for good.) Never of
-                # a cancelled job: nothing of it may be started, not even to be ended.
+                # No longer wanted, but its direct `run` got no answer and may still arrive. `run`
+                # and `kill` in order make the worker record the attempt as ended, and it keeps
+                # that record for this session (no `forget` is sent), so the late `run` has no
+                # effect. Otherwise only the end of the session or the machine's return would
+                # prove that it does not run; next to a service neither comes, and the task would
+                # count against its team for good. Never for a cancelled job: nothing of it may be
+                # started, not even to be killed.
                 commands += [Run(key, task.attempt), Kill(key, task.attempt, 0.0)]
         if machine.tasks or machine.alive:
             machine.idle_since = now
@@ -329,9 +351,10 @@
         return commands
 
     def _kill_cancelled(self, report: Report) -> list[Command]:
-        """For a report of which nothing else is taken in: its answer renews the lease, so it
-        ends what has been cancelled. (A machine that hung after each such answer, one from each
-        new owner, kept a cancelled task for a lease more each time, beyond `cancel_s`.)"""
+        """The commands for a report that is not processed otherwise. Its answer renews the
+        lease, so it has to kill cancelled tasks. Otherwise a machine that hung after each such
+        answer, one from each new owner, would keep a cancelled task for one more lease each
+        time, beyond `cancel_s`."""
         return [
             Kill(key, entry.attempt, 0.0)
             for entry in report.tasks
@@ -345,11 +368,12 @@
         new_session: bool,
         checkin: bool,
     ) -> None:
-        """Tasks of ours that the report does not list. One that was listed before, or
-        belonged to an earlier session, is gone. One never listed was not started: the
-        worker has one report in flight, so this one is newer than whatever became of
-        the answer with the `run`. That says nothing of a direct command without an
-        answer, nor does the answer to a direct command say it of check-ins."""
+        """Handles the machine's tasks that the report does not list.
+
+        One that was listed before, or belonged to an earlier session, has ended. One that was
+        never listed was not started: a worker has one report in flight, so this report is newer
+        than the answer that carried the `run`. This does not hold for a direct command without
+        an answer; nor does the answer to a direct command prove it for check-ins."""
         stuck = False
         for key in list(machine.tasks):
             task = self.tasks[key]
@@ -360,7 +384,7 @@
             if task.phase == "seen" or new_session or (not_wanted and not unsure):
                 self._end(task)
             elif task.withdrawn and checkin:
-                # Nothing else than its return makes sure that it does not start.
+                # Only the machine's return ensures that the task does not start.
                 machine.retiring = True
                 stuck = stuck or self._book.is_cancelled(key[0])
         if checkin:
@@ -375,14 +399,15 @@
         now: float,
         commands: list[Command],
     ) -> None:
+        """Processes one task entry of a report; appends the commands that follow from it."""
         task = self.tasks.get(key)
         if (
             task is not None
             and task.phase == "unseen"
             and (entry.state != "ended" or entry.why == "done")
         ):
-            # The earlier authority started it here. (An attempt that ended otherwise
-            # proves nothing: a later one may be elsewhere.)
+            # An earlier owner started it here. An attempt that ended without success proves
+            # nothing: a later attempt may run elsewhere.
             self._unseen.discard(key)
             task.phase, task.machine, task.attempt, task.sent = "seen", machine.name, attempt, True
             machine.tasks.add(key)
@@ -391,13 +416,13 @@
             if entry.why != "done":
                 log.info("%s: %s/%d attempt %d ended: %s", machine.name, *key, attempt, entry.why)
             if (key, attempt) in machine.direct:
-                # A late `run` of a forgotten attempt would start it again.
+                # If the worker forgot the attempt, a late `run` would start it again.
                 forget: list[Command] = []
             else:
                 forget = [Forget(key, attempt)]
             if task is None:
-                # The record no longer has it with us: its outcome is durable, unless the
-                # record is one that was lost.
+                # The share no longer holds it: its outcome is recorded, unless the state service
+                # lost the record.
                 if not self._is_stray(machine, key, entry, now):
                     commands += forget
             elif mine and entry.why == "done":
@@ -415,7 +440,8 @@
             elif entry.why == "done":
                 if task.phase == "free":
                     self._leave(task, done=True)
-                # Kept until the outcome is durable: then the task leaves our record.
+                # The worker keeps the attempt until the outcome is recorded and the share no
+                # longer holds the task.
             else:
                 commands += forget
             return
@@ -431,14 +457,15 @@
         if entry.state == "running" and task.running_since is None:
             task.running_since = now
         if machine.notice_at is not None and self._left_s(*_of(key), now) > machine.notice_at - now:
-            # The cloud takes the machine before the task would end: it starts anew
-            # elsewhere at once instead of after the loss.
+            # The cloud reclaims the machine before the task would end: restart it elsewhere now
+            # instead of after the loss.
             task.moving = True
         serves = job is not None and job.spec.kind == "standing"
         if (machine.retiring and serves) or now - machine.stuck_at > self.lease_s / 2:
-            # The machine is to be returned, and a service never ends. Nor is anything else waited
-            # for while a start of a cancelled job may still be on its way: begun after `cancel_s`
-            # it would break the rule, and what it holds counts against its team.
+            # The machine is to be returned, and a service never ends by itself. Nor may any other
+            # task delay the return while a `run` of a cancelled job may still arrive: a start
+            # after `cancel_s` would break the guarantee, and what it holds counts against its
+            # team.
             task.moving = True
         if task.moving and not task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
@@ -446,9 +473,9 @@
             commands.append(Kill(key, attempt, 0.0))
 
     def _is_stray(self, machine: Machine, key: TaskKey, entry: TaskReport, now: float) -> bool:
-        """Whether a task that no share gives us may yet turn out to be ours, since its record
-        was lost. If nothing was lost there is none: a share holds a task until it is surely
-        nowhere."""
+        """Whether an attempt that no share of this part holds may belong to a record that the
+        state service lost; if so, it is collected. Without a loss there are none: a share holds
+        a task until its attempt has certainly ended."""
         if not self._looks_for_strays:
             return False
         job = self._book.jobs.get(key[0])
@@ -459,11 +486,11 @@
                 return True
             is_stray = open_
         else:
-            # Only one begun by an authority before ours, in this era: what is left of earlier
-            # ones had its time to be adopted. One that has ended proves nothing: handed back,
-            # its task is open by the book until the worker has heard `forget`. (Found by a
-            # recorded day: a task that was stopped for others after a takeover had a healthy
-            # service taken for one that had lost data.)
+            # Only attempts started by an earlier owner in this era: those of earlier eras could
+            # be adopted while records were restored. An attempt that has ended proves nothing:
+            # once handed back, its task is open by the book until the worker has processed
+            # `forget`. Counting those made a task that was preempted after a takeover look like
+            # data loss in a healthy state service.
             token = attempt >> 20
             earlier = token != self.token and era_in(token) == era_in(self.token)
             known = (key, attempt) in self._acquitted
@@ -476,16 +503,18 @@
         return is_stray
 
     def acquit(self, key: TaskKey, attempt: int) -> None:
-        """Its record is not lost: it is stopped, as is everything that is not ours."""
+        """The attempt's record was not lost: from now on the attempt is killed, like every other
+        that no share holds."""
         self.strays.pop((key, attempt), None)
         self._acquitted.add((key, attempt))
 
     def is_stray(self, key: TaskKey) -> bool:
-        """Still, by the book as it is now."""
+        """Whether, by the current book, the task is still held by no share and not finished."""
         job = self._book.jobs.get(key[0])
         return key not in self.tasks and (job is None or job.is_open(key[1]))
 
     def _cache(self, machine: Machine, image: str, gb: float) -> None:
+        """Records an image as used last; drops the least recently used beyond the cache size."""
         machine.images.pop(image, None)
         machine.images[image] = gb
         type_ = self._types().get(machine.type)
@@ -496,9 +525,9 @@
     # -- direct commands ------------------------------------------------------------------
 
     def to_push(self, now: float, most: int) -> list[tuple[str, str, int, list[Command]]]:
-        """Starts that need not wait for the next check-in, of `most` machines: (machine,
-        address, session, commands). Only to workers heard of just now; from here on the
-        attempt may be on the machine, whatever becomes of the request."""
+        """`run` commands that need not wait for the next check-in, for at most `most` machines:
+        (machine, address, session, commands). Only for workers that reported lately. From here
+        on each attempt counts as possibly on the machine, whatever becomes of the request."""
         result: list[tuple[str, str, int, list[Command]]] = []
         for m in self.machines.values():
             if len(result) >= most:
@@ -517,40 +546,43 @@
         return result
 
     def pushed(self, name: str, session: int, commands: list[Command]) -> None:
-        """The worker answered: the commands were executed or refused, not delayed."""
+        """The worker answered direct commands: they were executed or refused, none is delayed."""
         machine = self.machines.get(name)
         if machine is not None and machine.stamp[0] == session:
             machine.direct -= {(c.task, c.attempt) for c in commands}
 
     def unanswered(self, name: str, now: float) -> None:
-        """No answer to direct commands, from a worker that had just reported: perhaps it does
-        not hear us. What is placed there waits for its session to end; no more is, for now."""
+        """A worker that reported lately did not answer direct commands: our messages may not
+        reach it. Tasks placed there wait for its session to end; no more are placed for now."""
         if (machine := self.machines.get(name)) is not None:
             machine.deaf_until = max(machine.deaf_until, now + 2 * self._settings.report_gap_s)
 
     # -- silence ------------------------------------------------------------------------
 
     def heard_elsewhere(self, name: str, at: float) -> None:
+        """Another controller got a report of a machine of this part, at `at`."""
         self._elsewhere.pop(name, None)
         self._elsewhere[name] = at
         if len(self._elsewhere) > REMEMBERED:
             del self._elsewhere[next(iter(self._elsewhere))]
 
     def deaf(self, now: float) -> bool:
-        """Whether others hear our machines and we do not, though we listened."""
+        """Whether reports of this part's machines reach other controllers and not this one,
+        although this one did not stall."""
         gap_s = self._settings.report_gap_s
         if not self._elsewhere or self._hearing.attention.stood_still_s(now - 3 * gap_s):
             return False
         if now < self._since + gap_s:
-            # Those that others heard are just being sent on to us, or reported before we began.
-            # (Half a second old, owners gave up parts that they could hear very well, and all
-            # that was unseen there waited for one more barrier.)
+            # Machines that others heard are just being redirected here, or reported before this
+            # owner existed. Without this wait, owners half a second old gave up parts whose
+            # reports did reach them, and the unseen tasks there waited for another barrier.
             return False
         heard_at = {m.name: m.heard_at for m in self.machines.values()}
         return is_deaf(heard_at, self._elsewhere, gap_s, now)
 
     def unheard(self, machines: Iterable[tuple[str, str]]) -> None:
-        """What the leader has listed in our part and we have not shown: (name, address)."""
+        """Machines of this part that the cloud lists as running and this owner has not shown to
+        the leader, as (name, address). They are probed."""
         known = self._unheard
         self._unheard = {
             name: (address, known[name][1] if name in known else [])
@@ -559,8 +591,8 @@
         }
 
     def to_probe(self, now: float) -> list[tuple[str, str]]:
-        """(machine, address) of the silent that should be asked: those of whom nobody has
-        learnt anything for a report, the longest silent first."""
+        """(machine, address) of the silent machines to probe, the longest silent first: those
+        without a probe result from the last report interval."""
         gap_s = self._settings.report_gap_s
         silent = [
             (m.heard_at, m.name, m.address, m.probes)
@@ -576,7 +608,8 @@
         ]
 
     def probed(self, name: str, probe: Probe) -> None:
-        """One for each controller that asked; a report that came meanwhile says more."""
+        """Keeps a probe result, the latest of each controller that probed. It is dropped if the
+        machine has reported since."""
         machine = self.machines.get(name)
         if machine is None:
             if name in self._unheard:
@@ -588,7 +621,7 @@
     # -- time ---------------------------------------------------------------------------
 
     def gone(self, names: Iterable[str]) -> None:
-        """Released with certainty: nothing is on them any more."""
+        """These machines were certainly released: nothing runs on them any more."""
         for name in names:
             machine = self.machines.pop(name, None)
             if machine is not None:
@@ -598,11 +631,13 @@
                     self._end(self.tasks[key])
 
     def _gave_up(self, name: str, stamp: tuple[float, float]) -> None:
+        """A removed machine's reports up to `stamp` (session, sequence number) are ignored."""
         self._stamps[name] = stamp
         if len(self._stamps) > REMEMBERED:
             del self._stamps[next(iter(self._stamps))]
 
     def retire(self, names: Iterable[str]) -> None:
+        """These machines are to be returned once empty: they get no new tasks."""
         for name in names:
             if (machine := self.machines.get(name)) is not None:
                 machine.retiring = True
@@ -612,8 +647,8 @@
                         self._end(task)
 
     def evict(self, machine: str, uid: str, count: int) -> None:
-        """Stops the latest started of a job's tasks on a machine, for work that goes
-        first. They are handed back once they have surely ended."""
+        """Stops `count` of a job's tasks on a machine, those started last, in favour of work
+        that takes precedence. They are handed back once they have certainly ended."""
         if (m := self.machines.get(machine)) is None:
             return
         running = [self.tasks[key] for key in m.tasks if key[0] == uid]
@@ -623,6 +658,8 @@
             task.withdrawn = True
 
     def tick(self, now: float, wall: float) -> None:
+        """Handles expired leases and the barrier, then places unplaced tasks. `wall` is the
+        wall-clock time."""
         self._hearing.attention.look(now)
         if now - self._blamed_at > self._settings.settings.workers.lease_s:
             self._blamed_at = now
@@ -630,7 +667,7 @@
             self._reassess()
         for machine in list(self.machines.values()):
             if now > machine.heard_at + self.lease_s:
-                # Its lease has run out: it killed everything and begins a new session.
+                # Its lease has expired: the worker has killed everything and begins a new session.
                 for key in list(machine.tasks):
                     self._end(self.tasks[key])
                 self._hearing.forget(machine.name)
@@ -639,19 +676,20 @@
         if self._rebuilding:
             if self._stage != REBUILT:
                 return
-            # From here on tasks that are not ours are stopped, so it counts from here.
+            # From now on attempts that no share holds are killed, so the barrier starts here.
             self._rebuilding = False
             self._barrier_at = max(now, self._authority_ended_at) + self.lease_s
             self.strays.clear()
-        # A machine that was answered but has not reported under this token yet had
-        # its lease renewed, with whatever is on it.
+        # A machine that was answered and has not reported under this token yet had its lease
+        # renewed, and with it whatever runs there.
         if self._unseen and now > self._barrier_at + self.lease_s:
             self._give_up_deaf(now)
         if (
             self._unseen
             and now > self._barrier_at
-            # What ran on a machine first heard of after that had ended by then: nobody had
-            # answered it. (New machines, one after the other, held the barrier each in turn.)
+            # On a machine first heard of after the barrier, earlier attempts had ended by then,
+            # since nobody had answered it. Otherwise each new machine would extend the barrier
+            # in turn.
             and all(m.trusted or m.since > self._barrier_at for m in self.machines.values())
         ):
             for key in list(self._unseen):
@@ -660,27 +698,30 @@
         self._place(now, wall)
 
     def _ended_session(self, machine: Machine) -> int:
-        """The latest session that has surely ended, of a machine whose lease has run out here. One
-        that has not shown our token may have been answered by an authority before ours, but only
-        until that had ended. (Its report that was held for longer made it count as there, and its
-        tasks, handed back since, as lost by the state service.)"""
+        """The latest session that has certainly ended, of a machine whose lease has expired here.
+
+        A machine that has not shown this owner's token may have been answered by an earlier
+        owner, but only until that owner's authority ended. If a report that was delayed beyond
+        that made the machine count as present, its tasks, handed back since, would look like
+        data lost by the state service."""
         if machine.heard_at < self._authority_ended_at:
             return machine.stamp[0]
         return max(machine.stamp[0], machine.checked_in[0])
 
     def _give_up_deaf(self, now: float) -> None:
-        """Machines that report and never show our token, although they were answered for more
-        than a lease: what was on them has ended with it, but nothing that they say can prove it,
-        and they hold the barrier for all that is unseen. Their release does. If most are so, it
-        is rather our answers that come too late."""
+        """Retires machines that report without ever showing this owner's token, although they
+        have been answered for more than a lease. Their earlier tasks ended with the lease, but
+        their reports cannot prove it, and they hold up the barrier for all unseen tasks; their
+        release proves it. If most machines are like this, the cause is more likely that this
+        owner's answers arrive too late, and none is retired."""
         deaf = [m for m in self.machines.values() if not m.trusted and now > m.since + self.lease_s]
         if 2 * len(deaf) <= len(self.machines):
             for machine in deaf:
                 machine.retiring = machine.given_up = True
 
     def _is_empty(self, m: Machine) -> bool:
-        """Whether its return loses nothing: what it holds at most waits for the outcome of a
-        command that must not be carried out any more, and for which its return is the end."""
+        """Whether returning the machine loses nothing: the tasks still recorded on it only wait
+        for the result of a command that must no longer take effect, which the return ensures."""
         return (
             not m.alive
             and (m.trusted or m.given_up)
@@ -693,6 +734,7 @@
         )
 
     def _rooms(self, now: float) -> list[Room]:
+        """The free capacity of each machine that takes tasks."""
         rooms: list[Room] = []
         types = self._types()
         for machine in self.machines.values():
@@ -704,7 +746,7 @@
             for key in self._occupants(machine):
                 job = self._book.jobs.get(key[0])
                 if job is None:
-                    room.cpus = -1.0  # something unknown runs here: leave it alone
+                    room.cpus = -1.0  # an unknown job runs here: place nothing
                     break
                 room.cpus -= job.spec.cpus
                 room.memory_gb -= job.spec.memory_gb
@@ -714,9 +756,11 @@
         return rooms
 
     def _occupants(self, machine: Machine) -> set[TaskKey]:
+        """The tasks placed on the machine or reported by it."""
         return machine.tasks | {key for key, _ in machine.alive}
 
     def _takes_tasks(self, machine: Machine, now: float) -> bool:
+        """Whether the machine may be given new tasks."""
         silent = now - machine.heard_at
         return (
             machine.trusted
@@ -729,6 +773,7 @@
         )
 
     def _place(self, now: float, wall: float) -> None:
+        """Places the unplaced tasks whose retry pause is over; hands back those without room."""
         if not self._free:
             return
         rooms = self._rooms(now)
@@ -741,20 +786,21 @@
         for (uid, zone), keys in groups.items():
             job = self._book.jobs[uid]
             zones = {zone: len(keys)} if zone else None
-            # How urgent it is has been decided where its tasks were allotted.
+            # The leader weighed the urgency when it assigned the tasks to this part.
             need = make_need(job, len(keys), zones, self.estimates, math.inf, sizes)
             avoid = set().union(*(self.tasks[key].errors for key in keys))
             open_rooms = [room for room in rooms if room.name not in avoid] if avoid else rooms
             queue = iter(keys)
-            # The leader has decided between kinds of machine by giving the task here.
+            # The leader chose between spot and on-demand machines by assigning the task here.
             taken = place(need, open_rooms, steady_only=False)
             if avoid and need.count:
-                taken += place(need, rooms, steady_only=False)  # failed there before, or nowhere
+                # Rather on a machine where it failed before than nowhere.
+                taken += place(need, rooms, steady_only=False)
             for room, count in taken:
                 for _ in range(count):
                     self._start(self.tasks[next(queue)], room.name)
             for key in queue:
-                # No room after all: others may have some.
+                # No room here after all; another part may have some.
                 self._leave(self.tasks[key], done=False)
 
     def _start(self, task: Task, machine: str) -> None:
@@ -764,17 +810,19 @@
         task.sent = False
         self.machines[machine].tasks.add(task.key)
 
-    # -- what is to be written and told -----------------------------------------------
+    # -- records to write and views for the leader ------------------------------------
 
     def pending(self, wall: float | None = None) -> list[shares.Pending]:
-        """What is to be written; `wall` only if ends are to be dated."""
+        """The share updates that are to be written. With `wall`, the wall-clock time, shares
+        that are finished get their end time."""
         over = [self.tasks[key] for key in self.leaving]
         return shares.pending(self._book, self._settings, self.part, over, self._bulky, wall)
 
     def view(
         self, node: str, leader: int, now: float, overheard: Iterable[tuple[str, float]] = ()
     ) -> PartView:
-        """What the leader (by its token) has not been shown yet."""
+        """The next view for the leader with this token: what it has not acknowledged yet.
+        `overheard`: machines of other parts that reported here, as (name, seconds ago)."""
         machines, gone = self._showing.next(
             leader,
             self.machines,
@@ -807,6 +855,7 @@
     def _silences(
         self, shown: Iterable[MachineView], now: float
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
+        """The evidence on silent machines, in the form of `PartView.silences`."""
         stood_still_s = self._hearing.attention.stood_still_s
         silent = [
             self.machines[view.name]
@@ -821,9 +870,11 @@
         ]
 
     def shown(self, seq: int, resync: bool) -> None:
+        """The leader answered view number `seq`; with `resync` it needs all machines again."""
         self._showing.answered(seq, resync)
 
     def _describe(self, m: Machine, now: float) -> MachineView:
+        """The machine as the leader sees it."""
         by_job: dict[str, list[TaskKey]] = {}
         for key in self._occupants(m):
             by_job.setdefault(key[0], []).append(key)
@@ -846,8 +897,8 @@
         )
 
     def _signature(self, m: Machine, now: float) -> Signature:
-        """Whatever of a machine the leader should hear of when it changes. How long it
-        has been silent counts only once that is more than a late report."""
+        """The values of a machine whose change the leader is to be told. The silence counts
+        only once it is longer than a late report."""
         silent = now - m.heard_at
         running = sum(self.tasks[key].running_since is not None for key in m.tasks)
         return (
@@ -862,6 +913,7 @@
         )
 
     def _left_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
+        """Estimated seconds until the last started of a job's tasks ends."""
         job = self._book.jobs.get(uid)
         if job is None:
             return 0.0
