--- a/ryegauge/coordination/held.py
+++ b/ryegauge/coordination/held.py
@@ -1,4 +1,5 @@
-"""What the owner of a part knows of a task and of a machine."""
+"""The records that the owner of a part keeps of its tasks and machines. Times are in seconds of
+the controller's clock."""
 
 import math
 from typing import Literal
@@ -6,13 +7,16 @@
 from ryegauge.detection.verdicts import Probe
 from ryegauge.protocol.workers import Report, TaskKey, TaskReport
 
-# unseen: allotted before this token; may run on a machine not heard from yet.
-# free: on no machine for certain. placed: its `run` is wanted, never reported.
-# seen: reported alive. leaving: over or handed back; waits to be written.
+# unseen: assigned before this token; may run on a machine that has not reported yet.
+# free: certainly on no machine. placed: to be started on a machine, not reported by it yet.
+# seen: reported alive. leaving: ended or handed back; its removal from the share is not
+# written yet.
 Phase = Literal["unseen", "free", "placed", "seen", "leaving"]
 
 
 class Task:
+    """A task that the part's share of a job holds, and its current attempt."""
+
     __slots__ = (
         "attempt",
         "done",
@@ -35,17 +39,19 @@
         self.phase: Phase = phase
         self.machine: str | None = None
         self.attempt = 0
-        self.sent = False  # a `run` of this attempt was given
-        self.withdrawn = False  # must not run (any more): cancelled, or its machine goes
-        self.moving = False  # is being stopped here to run elsewhere
+        self.sent = False  # a `run` of this attempt was sent
+        self.withdrawn = False  # must not run any more: its job is cancelled, or it is evicted
+        self.moving = False  # is being stopped to run on another machine
         self.running_since: float | None = None
         self.not_before = 0.0
         self.done = False
         self.errors: set[str] = set()  # machines on which it failed
-        self.failed = 0  # times
+        self.failed = 0  # failed attempts
 
 
 class Machine:
+    """A machine of the part, by its reports under this owner's token."""
+
     __slots__ = (
         "address",
         "alive",
@@ -77,22 +83,22 @@
         self.zone = report.zone
         self.spot = report.spot
         self.address = report.addr
-        # Attempts sent straight to the worker, without an answer so far: they may
-        # still be started at any time in this session.
+        # Attempts whose `run` was sent straight to the worker and not answered: they may still
+        # start at any time in this session.
         self.direct: set[tuple[TaskKey, int]] = set()
         self.trusted = False  # has reported under this token
-        self.stamp = (0, 0)
-        self.checked_in = (0, 0)  # the newest of its check-ins
-        self.deaf_until = -math.inf  # until then it seems not to hear us
+        self.stamp = (0, 0)  # (session, sequence number) of the newest report under this token
+        self.checked_in = (0, 0)  # the same of the newest check-in, under any token
+        self.deaf_until = -math.inf  # until then our messages seem not to reach it
         self.since = self.heard_at = now
-        self.heard_from = now  # without a longer pause since then
-        self.probes: list[Probe] = []  # since it was heard
-        self.notice_at: float | None = None  # when the cloud takes it away
-        self.retiring = False
-        # Since when a start of a cancelled job may be on its way here that got no answer.
+        self.heard_from = now  # its reports have come without a long pause since then
+        self.probes: list[Probe] = []  # results of probes since it was last heard
+        self.notice_at: float | None = None  # when the cloud reclaims it
+        self.retiring = False  # to be returned once empty
+        # Since when an unanswered `run` of a cancelled job may still arrive here.
         self.stuck_at = math.inf
-        self.given_up = False  # never showed that it hears us
+        self.given_up = False  # it has never shown this owner's token, and is returned for that
         self.idle_since = now
         self.images: dict[str, float] = {}  # presumed cached, most recently used last
-        self.tasks: set[TaskKey] = set()  # tasks whose place this is
-        self.alive: dict[tuple[TaskKey, int], TaskReport] = {}  # as last reported
+        self.tasks: set[TaskKey] = set()  # tasks placed here
+        self.alive: dict[tuple[TaskKey, int], TaskReport] = {}  # attempts as last reported
--- a/ryegauge/coordination/outcomes.py
+++ b/ryegauge/coordination/outcomes.py
@@ -1,4 +1,4 @@
-"""Brings the shares in the book to what the owners of parts have seen."""
+"""Writes the outcomes of tasks, as the owners of parts have seen them, to the share records."""
 
 import logging
 
@@ -15,24 +15,26 @@
 
 log = logging.getLogger(__name__)
 
-# Outcomes that nobody waits for are written after so many reports at the earliest: changes
-# are scarce, each such write takes one from an allotment, and the later it comes the more
-# tasks it holds. The room of tasks that have ended is known from the part's views.
+# Report intervals between writes of outcomes that nobody waits for. The rate of changes is
+# limited, each such write takes one from an assignment of tasks, and a later write covers more
+# tasks. The leader learns of the capacity freed meanwhile from the part's views.
 IDLE_REPORTS = 2.0
-# Of our changes, what outcomes of the lowest priority may take while others wait.
+# Share of this controller's rate of changes that outcomes of the lowest priority may take.
 LOW_SHARE = 1 / 3
 
 
 class Outcomes:
+    """The loop that writes task outcomes for all parts that this controller owns."""
+
     def __init__(self, desk: Desk) -> None:
         self._desk = desk
         self._date_ends = policy_of(desk.settings).ages
         self._wrote_at: dict[int, float] = {}  # when a part's outcomes were last written
-        # Outcomes of the lowest priority that may be written now.
+        # How many outcomes of the lowest priority may be written now.
         self._low = Budget(LOW_SHARE * desk.state.writes.rate, 1.0)
 
     async def write(self) -> None:
-        """Brings the shares in the book to what the owners have seen."""
+        """Runs forever; writes nothing while the state service may have lost data."""
         while True:
             await trio.sleep(0.1)
             if not any(owner.leaving for owner in self._desk.owned.values()):
@@ -44,9 +46,9 @@
                 await self._write_pending(part, owner)
 
     async def _write_pending(self, part: int, owner: PartOwner) -> None:
-        """One transaction, of what others wait for, and as far as the budget is not
-        needed otherwise, of the rest: a job's tasks end one by one, and a write for
-        each is more than the service takes."""
+        """Writes one transaction: the outcomes that somebody waits for and, as far as the
+        budget is not needed otherwise, the rest. A job's tasks end one by one, and a write for
+        each exceeds the rate limit of the state service."""
         pending = owner.pending(self._desk.wall() if self._date_ends else None)
         if not pending:
             return
@@ -72,8 +74,8 @@
         for entry in pending:
             uid, share = entry.uid, entry.share
             record = share.to_record()
-            # One that was recorded when larger values were allowed waits until enough of
-            # its tasks have ended.
+            # A share recorded while larger values were allowed waits until enough of its tasks
+            # have ended.
             if value_bytes(record) <= limits.value_bytes:
                 guards[share_key(uid, part)] = share.version
                 changes.append(Put(share_key(uid, part), record))
@@ -86,17 +88,18 @@
             self._desk.tell_leader(await self._desk.state.commit(guards, changes, timeout_s=1.0))
             self._low.try_take(float(lows), reserve=0.0)
         except RETRY as error:
-            log.debug("recording outcomes of part %d failed: %s", part, error)
+            log.debug("writing outcomes of part %d failed: %s", part, error)
         try:
             await self._desk.syncer.fresh()
         except Unavailable as error:
-            log.debug("reading after outcomes of part %d: %s", part, error)
+            log.debug("reading after writing outcomes of part %d failed: %s", part, error)
 
     def _low_allowed(self, pending: list[Pending], pause_s: float) -> int:
-        """How many outcomes of the lowest priority go along, by a rate of their own: many tiny
-        jobs end one by one, and written at once each they took the changes that urgent work
-        had to be allotted with. As many as a transaction had left, every second report, were
-        two or three each time: jobs of one task of 4 s were done after 180 s."""
+        """How many outcomes of the lowest priority may go into this transaction; they have a
+        rate limit of their own. Many tiny jobs end one by one, and writing each at once used up
+        the changes needed to assign urgent work. Giving them only what a transaction had left
+        was two or three every second report interval: jobs with one task of 4 s were recorded
+        as done after 180 s."""
         rate = LOW_SHARE * self._desk.state.writes.rate
         self._low.resize(rate, rate * pause_s)
         waiting = sum(entry.waited_for and entry.low for entry in pending)
@@ -105,8 +108,8 @@
         return min(waiting, allowed) if allowed >= together else 0
 
     async def _seal(self, part: int, owner: PartOwner, entry: Pending) -> None:
-        """Copies done tasks of a share that has grown too large to records of their own;
-        once they stand there, the next write of the share leaves them out."""
+        """Copies done tasks of a share that has grown too large to separate records. Once those
+        are in the book, the next write of the share leaves the tasks out."""
         job = self._desk.book.jobs.get(entry.uid)
         if job is None:
             return
@@ -120,8 +123,8 @@
         try:
             await self._desk.state.commit(guards, changes, timeout_s=1.0)
         except RETRY as error:
-            log.debug("sealing %s of part %d failed: %s", entry.uid, part, error)
+            log.debug("writing done tasks of %s in part %d failed: %s", entry.uid, part, error)
         try:
             await self._desk.syncer.fresh()
         except Unavailable as error:
-            log.debug("reading after sealing: %s", error)
+            log.debug("reading after writing done tasks failed: %s", error)
--- a/ryegauge/coordination/part.py
+++ b/ryegauge/coordination/part.py
@@ -238,7 +238,7 @@
         faulty, suspected = self._blame.accused(len(self.machines))
         if (faulty, suspected) != (self._faulty, self._suspected):
             if new := faulty - self._faulty:
-                log.info("faulty machines, to be returned: %s", ", ".join(sorted(new)))
+                log.info("faulty machines, to be given up: %s", ", ".join(sorted(new)))
             if new := suspected - self._suspected:
                 log.info("suspected machines, no new tasks for now: %s", ", ".join(sorted(new)))
             self._faulty, self._suspected = faulty, suspected
--- a/ryegauge/coordination/shares.py
+++ b/ryegauge/coordination/shares.py
@@ -1,5 +1,5 @@
-"""What is to be written of a part's shares. Pure functions of the book and of the tasks
-that are over or handed back."""
+"""Which share records of a part are to be written. Pure functions of the book and of the tasks
+that have ended or are handed back."""
 
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
@@ -10,20 +10,21 @@
 from ryegauge.coordination.held import Task
 from ryegauge.protocol.jobs import MAX_TASKS, PRIORITIES
 
-# From this share of its limit on a team's work waits for what it holds by the book.
+# Share of its limit above which a team's waiting work is taken to wait for tasks that have
+# ended and that the book still counts against the team.
 FULL_SHARE = 0.8
 
 
 class Pending(NamedTuple):
-    """What is to be written of a job's share."""
+    """A write that brings a job's share up to date."""
 
-    waited_for: bool  # somebody waits for it
-    low: bool  # nobody but users of the lowest priority
-    opens: bool  # perhaps the last that jobs after this one wait for
-    tasks: int  # over or handed back, for one change
+    waited_for: bool  # a user, the leader or another job waits for it
+    low: bool  # the job has the lowest priority, and no other job depends on it
+    opens: bool  # may be the last write that jobs depending on this one wait for
+    tasks: int  # ended or handed back, recorded by this one write
     uid: str
     share: Share
-    # Done tasks of the book's share that have to stand in records of their own first.
+    # Done tasks of the share that have to be copied to separate records first.
     pages: list[Ranges]
 
 
@@ -35,10 +36,11 @@
     bulky: Collection[str],
     wall: float | None = None,
 ) -> list[Pending]:
-    """The shares as they should be, where they differ from the book: first those
-    that give tasks back or are all over, since their users, the leader or the jobs
-    after them wait, the lowest priority last; then those that shrank. With `wall` their
-    ends are dated."""
+    """The writes that bring the part's shares up to date, most urgent first: those that hand
+    tasks back or are finished, since users, the leader or dependent jobs wait for them, with
+    the lowest priority last; then those that only shrank. `over`: tasks that have ended or are
+    handed back; `bulky`: jobs whose share record is too large. With `wall`, the wall-clock time
+    in seconds, finished shares get their end time."""
     leaving: dict[str, list[Task]] = {uid: [] for uid in bulky}
     for task in over:
         leaving.setdefault(task.key[0], []).append(task)
@@ -62,8 +64,9 @@
         opens = uid in book.dependents and not after.count
         low = job.spec.priority == PRIORITIES[-1] and uid not in book.dependents
         result.append(Pending(waited_for, low, opens, len(out), uid, after, pages))
-    # Of the lowest priority what lets go of most tasks: an array of thousands got its next
-    # hundred only after the single tasks of hundreds of jobs had been written.
+    # In the lowest priority, the writes that release most tasks come first: otherwise an array
+    # of thousands gets its next hundred tasks only after the single tasks of hundreds of jobs
+    # have been written.
     result.sort(
         key=lambda entry: (
             not entry.waited_for,
@@ -76,7 +79,8 @@
 
 
 def _full_teams(book: JobBook, settings: Settings) -> set[str]:
-    """Teams close to their limit: what they hold by the book keeps their jobs waiting."""
+    """Names of the teams close to their limit: tasks that the book still counts against them
+    keep their other jobs waiting."""
     used: dict[str, float] = {}
     for job in book.live.values():
         cpus = job.allotted_count * job.spec.cpus
@@ -89,14 +93,14 @@
 
 
 def is_bulky(job: Job, share: Share, settings: Settings) -> bool:
-    """Whether the done tasks of a share take so much of its record that the leader
-    can hardly add to it: they are moved to records of their own."""
+    """Whether the done tasks of a share fill so much of its record that the leader can hardly
+    add to it. They are then moved to separate records."""
     size = len(share.done.spans) * span_bytes(job.spec.tasks)
     return 2 * size > settings.state_limits.value_bytes
 
 
 def _pages(tasks: Ranges, settings: Settings) -> list[Ranges]:
-    """Done tasks cut into values within the limit."""
+    """Done tasks, divided into records within the size limit of a value."""
     if not tasks:
         return []
     each = settings.state_limits.value_bytes // (2 * span_bytes(MAX_TASKS))
--- a/ryegauge/coordination/showing.py
+++ b/ryegauge/coordination/showing.py
@@ -1,5 +1,5 @@
-"""How an owner shows its part to the leader: only what has changed since the view that the
-leader last acknowledged. No I/O and no clock."""
+"""Incremental views of a part for the leader: each holds what has changed since the view that
+the leader last acknowledged. No I/O and no clock."""
 
 from collections.abc import Callable, Mapping
 
@@ -8,17 +8,22 @@
 from ryegauge.protocol.workers import TaskKey
 from ryegauge.transport.http import BODY_LIMIT
 
-# What the leader is shown of a machine, to tell whether it has changed.
+# The values of a machine that the leader is shown, to detect a change: has reported under this
+# token, takes tasks, under notice, retiring or faulty, silence in seconds, running tasks, tasks,
+# images.
 Signature = tuple[bool, bool, bool, bool, float, int, frozenset[TaskKey], tuple[str, ...]]
 
-# Views are cut into messages well below the limit of a body.
+# Estimated size at which a view is cut: half the body limit, since the estimate is rough.
 VIEW_BYTES = BODY_LIMIT // 2
 
 
 class Showing:
+    """Tracks what one leader has acknowledged of this part's machines."""
+
     def __init__(self) -> None:
-        # The leader (its token) that views are shown to, what it has acknowledged,
-        # and the view under way: (number, machines in it, machines no longer there).
+        # The leader's token, the number of the latest view, the last view acknowledged and the
+        # machines as acknowledged, and the view in flight: (number, machines in it, machines no
+        # longer there).
         self._leader = 0
         self.seq = 0
         self.acknowledged = 0
@@ -32,8 +37,9 @@
         signature_of: Callable[[Machine], Signature],
         describe: Callable[[Machine], MachineView],
     ) -> tuple[list[MachineView], list[str]]:
-        """The machines that have changed, at most as many as a message holds (the rest
-        follows with the next view), and the names of those that are no longer there."""
+        """Begins the next view. Returns the machines that have changed, at most as many as fit
+        into one message (the rest follows with the next view), and the names of machines that
+        are no longer there."""
         if leader != self._leader:
             self._leader, self._shown, self.acknowledged = leader, {}, 0
         self.seq += 1
@@ -55,7 +61,7 @@
         return views, gone
 
     def answered(self, seq: int, resync: bool) -> None:
-        """The leader has answered a view; with `resync` it lacks what came before."""
+        """The leader answered view number `seq`; with `resync` it needs all machines again."""
         if self._showing is None or self._showing[0] != seq:
             return
         if resync:
