--- a/ryegauge/coordination/commands.py
+++ b/ryegauge/coordination/commands.py
@@ -1,4 +1,4 @@
-"""Commands sent straight to the workers."""
+"""Sends commands straight to workers, instead of in the answers to their reports."""
 
 import logging
 
@@ -14,6 +14,9 @@
 
 
 class Commands:
+    """Sends `run` commands to workers as soon as tasks are placed, with at most as many requests
+    in flight as `connection_limits` allows for it."""
+
     def __init__(self, desk: Desk) -> None:
         self._desk = desk
         self._workers: dict[str, Caller] = {}
@@ -22,9 +25,10 @@
         self.placed = trio.Event()
 
     async def push(self) -> None:
-        """Sends starts straight to the workers instead of waiting for their reports, as far as
-        there are sockets for it. (A controller that was left alone with 700 machines sent to
-        hundreds of them at once, had no socket left, and could not reach the state service.)"""
+        """Runs forever: whenever tasks were placed, sends their `run` commands without waiting
+        for the workers' reports. The number of requests is limited, since a controller that was
+        left alone with 700 machines sent to hundreds of them at once, used up its connections
+        and could not reach the state service."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self.placed.wait()
@@ -52,7 +56,7 @@
                 return
             report = parse_report(answer)
         except (Unreachable, Malformed, ValueError) as error:
-            log.debug("%s: commands without an answer: %s", name, error)
+            log.debug("%s: no answer to direct commands: %s", name, error)
             owner.unanswered(name, trio.current_time())
             return
         finally:
@@ -63,11 +67,12 @@
                 owner.on_report(report, trio.current_time(), checkin=False)
 
     def _worker_client(self, address: str) -> Caller:
+        """The client for a worker's address. Raises ValueError for a malformed address."""
         client = self._workers.pop(address, None)
         if client is None:
-            split_address(address)  # raises ValueError for what is none
+            split_address(address)  # raises ValueError
             client = self._desk.network.client(address, max_connections=2, idle_s=self._desk.idle_s)
-        self._workers[address] = client  # the latest used is last
-        if len(self._workers) > self._most // 2:  # two connections each at most
+        self._workers[address] = client  # the most recently used is last
+        if len(self._workers) > self._most // 2:  # each has at most two connections
             self._workers.pop(next(iter(self._workers))).close()
         return client
--- a/ryegauge/coordination/parting.py
+++ b/ryegauge/coordination/parting.py
@@ -1,4 +1,4 @@
-"""Which part a machine belongs to, and which controller a part should have."""
+"""Which part a machine belongs to, and which controller should own a part."""
 
 import zlib
 from collections.abc import Collection
@@ -7,9 +7,9 @@
 
 
 class Parting:
-    """Machines are parted by a hash of their name, among the parts whose home is in the
-    machine's zone if there are any: when zones cannot reach each other, an owner
-    elsewhere would not hear its machines, and their leases would run out."""
+    """Assigns machines to parts by a hash of their name, among the parts whose home controller
+    is in the machine's zone, if there are any. If zones cannot reach each other, an owner in
+    another zone gets no reports from its machines, and their leases expire."""
 
     def __init__(self, settings: Settings) -> None:
         areas = {settings.node_name: settings.area}
@@ -20,6 +20,7 @@
             self._by_zone.setdefault(areas[name], []).append(part)
 
     def part_of(self, machine: str, zone: str) -> int:
+        """The number of the part that a machine belongs to."""
         parts = self._by_zone.get(zone) or self._all
         return parts[zlib.crc32(machine.encode()) % len(parts)]
 
@@ -27,12 +28,14 @@
 def wanted_owner(
     part: int, names: list[str], live: Collection[str], deaf: Collection[str] = ()
 ) -> str | None:
-    """The part's home if it lives, else the live controllers in turn; those that do not hear
-    the part's workers only if all that live do not."""
+    """The name of the controller that should own a part: its home controller, else the next
+    live one in the order of `names`. Controllers in `deaf`, which get no reports from the
+    part's workers, are taken only if every live one is in it. None if no controller is live."""
     turns = [names[(part + step) % len(names)] for step in range(len(names))]
     alive = [name for name in turns if name in live]
     return next((name for name in alive if name not in deaf), alive[0] if alive else None)
 
 
 def wanted_leader(names: list[str], live: Collection[str]) -> str | None:
+    """The name of the controller that should lead; None if no controller is live."""
     return wanted_owner(0, names, live)
--- a/ryegauge/coordination/probing.py
+++ b/ryegauge/coordination/probing.py
@@ -1,5 +1,5 @@
-"""Asks silent workers for their reports, by ourselves and by way of one or two peers: what
-becomes of the attempt tells the dead from the hung and from those that only we do not hear.
+"""Probes silent workers, directly and through peers. The outcomes distinguish dead workers
+from hung ones and from those whose reports only fail to reach this controller.
 """
 
 import logging
@@ -18,22 +18,26 @@
 
 log = logging.getLogger(__name__)
 
-# Peers that are asked to ask in turn.
+# Peers that are asked to probe in addition to this controller.
 HELPERS = 2
 
 
 class Probing:
+    """Probes the silent workers of this controller's parts, and any workers for peers."""
+
     def __init__(self, desk: Desk, mesh: Mesh) -> None:
         self._desk = desk
         self._mesh = mesh
         self._most = sockets_of(desk.settings).probes
         self._slots = trio.CapacityLimiter(self._most)
         self._turn = 0
-        self._former: dict[int, list[str]] = {}  # addresses in parts that we could not hear
+        # Worker addresses in parts that were given up because no reports arrived here.
+        self._former: dict[int, list[str]] = {}
         mesh.on_probe = self.ask_all
 
     async def run(self) -> None:
-        """Never more at once than the sockets set aside for it; the rest waits a round."""
+        """Runs forever, one round every half report interval. A round probes at most as many
+        workers as there are connections for it; the others wait for a later round."""
         while True:
             await trio.sleep(self._desk.report_s / 2)
             now = trio.current_time()
@@ -50,10 +54,13 @@
                     await self._probe(owner, silent, now)
 
     def remember(self, part: int, owner: PartOwner) -> None:
-        """Workers to be asked, after the part was given up, whether we hear them again."""
+        """Keeps the worker addresses of a part that is given up, to probe whether they can be
+        reached again."""
         self._former[part] = [m.address for m in owner.machines.values() if m.address]
 
     async def _probe(self, owner: PartOwner, silent: Sequence[tuple[str, str]], now: float) -> None:
+        """Probes workers, as (machine, address), directly and through peers, and passes the
+        results to their owner."""
         addresses = [address for _, address in silent]
         me = self._desk.settings.node_name
         answers: list[tuple[str, Sequence[str]]] = []
@@ -74,15 +81,15 @@
             for (machine, _), outcome in zip(silent, outcomes, strict=False):
                 if (probe := Probe.of(by, outcome, now)) is not None:
                     owner.probed(machine, probe)
-        log.debug("asked %d silent machines: %s", len(silent), answers)
+        log.debug("probed %d silent machines: %s", len(silent), answers)
 
     def _helpers(self) -> list[str]:
-        """In turn, so that none is asked by all; not those that hang."""
+        """The peers to ask: in rotation, to spread the load, and those that answer first."""
         return self._mesh.reach.order(self._mesh.peers, trio.current_time())[:HELPERS]
 
     async def ask_all(self, addresses: Sequence[str]) -> list[str]:
-        """The outcome for each address, for ourselves or for a peer; empty for those that
-        there was no socket for."""
+        """Probes addresses, for this controller or for a peer. Returns an outcome for each;
+        it is empty where no connection was free for it."""
         outcomes = [""] * len(addresses)
 
         async def one(n: int, address: str) -> None:
@@ -101,6 +108,7 @@
         return outcomes
 
     async def _ask(self, address: str) -> str:
+        """The outcome of one probe; empty for a malformed address."""
         try:
             split_address(address)
         except ValueError:
--- a/ryegauge/coordination/sockets.py
+++ b/ryegauge/coordination/sockets.py
@@ -1,35 +1,38 @@
 # kind: decisions
-"""What a controller's sockets are for. Together never more than it may have: once the limit is
-passed, new connections fail, those to the state service among them."""
+"""How a controller's connections are divided among their purposes. The sum stays within its
+limit: beyond it new connections fail, including those to the state service."""
 
 from typing import NamedTuple
 
 from ryegauge.config import Settings
 
-# Of all: direct commands to workers that are under way at once, and attempts to reach silent
-# ones: one in so many.
+# Direct commands in flight, and probes of silent workers in flight: at most one connection in
+# so many of the limit, each.
 COMMANDS = 24
 PROBES = 24
 STATE = 16
 CLOUD = 8
 PER_PEER = 4
-# Listening, logs, and what closes while the next opens.
+# For listening sockets, log files, and connections that close while their successors open.
 SPARE = 8
 
 
 class Sockets(NamedTuple):
-    public: int  # users and workers
-    mesh: int  # peers that call us
-    commands: int
-    probes: int
+    """The most connections at a time, by purpose."""
+
+    public: int  # from users and workers
+    mesh: int  # from peers
+    commands: int  # direct commands in flight
+    probes: int  # probes in flight
 
 
 def sockets_of(settings: Settings) -> Sockets:
+    """Divides `max_connections` of the settings; at least half of it is for users and workers."""
     most = settings.settings.quota.max_connections
     peers = PER_PEER * len(settings.known)
-    # A successor connects while its predecessor's connections still stand.
+    # A restarted peer connects while the connections of its previous process are still open.
     mesh = 2 * peers + SPARE
     commands, probes = max(2, most // COMMANDS), max(2, most // PROBES)
-    # As many connections to workers again are kept open for the next commands.
+    # Commands count twice: as many idle connections to workers are kept open for later commands.
     ours = STATE + CLOUD + peers + mesh + 2 * commands + probes + SPARE
     return Sockets(max(most // 2, most - ours), mesh, commands, probes)
