--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -1,4 +1,4 @@
-"""One controller: the loops that bring what is towards what is wanted."""
+"""One controller: starts its loops and handles the requests of workers."""
 
 import logging
 import random
@@ -32,11 +32,13 @@
 log = logging.getLogger(__name__)
 
 CHECKIN = "/checkin"
-# Machines of others that are told of in one view.
+# Machines of other parts that one view or message reports at most.
 MOST_OVERHEARD = 200
 
 
 class Node:
+    """One controller process: owner of parts, and leader when it is elected."""
+
     def __init__(
         self,
         settings: Settings,
@@ -46,8 +48,9 @@
         front: Callable[[Desk, FrontDoor], Awaitable[None]] | None = None,
         disk: "Disk | None" = None,
     ) -> None:
-        """`front` is what else takes jobs, beside HTTP; it runs as a loop of the controller.
-        `disk` is where snapshots are, if they are taken."""
+        """`wall` returns the wall-clock time in seconds. `front` is another source of jobs
+        besides HTTP; it runs as a loop of the controller. `disk` holds snapshots, if any are
+        taken."""
         self._desk = desk = Desk(settings, network, wall, rng)
         self._parting = Parting(settings)
         self._types: dict[str, MachineType] = {}
@@ -76,11 +79,12 @@
             self._rebuild = rebuild.Rebuild(desk, self._mesh, self._front, disk)
             desk.doubtful = self._rebuild.doubtful
         self._told_overheard = float("-inf")
-        self._seen = 0  # revision up to which everybody here has been woken
+        self._seen = 0  # revision of the book up to which the loops have been woken
         desk.book.on_job.append(self._on_job)
         desk.syncer.on_sync.append(self._on_sync)
 
     async def run(self) -> None:
+        """Listens, then runs all loops until cancelled."""
         loops: list[Callable[[], Awaitable[None]]] = [
             self._desk.syncer.run,
             self._desk.term.run,
@@ -108,8 +112,8 @@
         settings = self._desk.settings
         log.info("%s is starting, one of %d", settings.node_name, settings.settings.nodes)
         async with trio.open_nursery() as nursery:
-            # First: what our predecessor held is claimed since it has ended, and whose
-            # addresses are ours has ended.
+            # Listen first: this process claims what its predecessor held because that one has
+            # ended, and being able to bind its addresses shows that it has.
             sockets = sockets_of(settings)
             for address, handler, most in (
                 (settings.listen, self._handle_public, sockets.public),
@@ -128,32 +132,35 @@
             address,
             handler,
             max_connections=most,
-            # Peers call less often than anybody; a pause must not look like a loss.
+            # Peers call less often than all others; a pause must not look like a lost connection.
             idle_s=2 * self._desk.idle_s,
             request_s=self._desk.settings.settings.workers.lease_s / 2,
             listening=listening,
-            # A worker that is turned away loses its lease, a user asks again.
+            # Check-ins come first: a worker that is refused loses its lease, a user retries.
             first=CHECKIN.__eq__,
         )
 
     async def _guarded(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """A controller never ends by itself: a loop that fails begins again. One that ends
-        has nothing to do: without peers there is nobody to tell, and a controller that was
-        alone began that loop again and again, and did nothing else."""
+        """Restarts a loop that fails, since a controller never ends by itself. A loop that
+        returns has nothing to do and is not restarted: without peers, the loop that tells them
+        of writes returns at once, and restarting it would keep the controller busy with nothing
+        else."""
         while True:
             try:
                 await loop()
                 return
             except Exception:
-                log.exception("a loop failed and begins again")
+                log.exception("a controller loop failed and is restarted")
                 await trio.sleep(self._desk.report_s / 2)
 
     def _on_job(self, uid: str) -> None:
+        """A job's records changed in the book."""
         for owner in self._desk.owned.values():
             owner.on_job(uid)
 
     def _on_sync(self) -> None:
-        """The roles that the book gives us, under tokens not yet acted upon."""
+        """The book was read: takes up the roles that it newly gives this controller, and drops
+        those that it no longer gives."""
         now = trio.current_time()
         if self._desk.book.era != self._desk.term.era:
             self._desk.term.begin_era(self._desk.book.era, now)
@@ -165,7 +172,7 @@
             token = self._desk.term.token_of(part)
             owner = self._desk.owned.get(part)
             if owner is not None and owner.token != token:
-                log.info("part %d is no longer ours under token %d", part, owner.token)
+                log.info("no longer owning part %d under token %d", part, owner.token)
                 del self._desk.owned[part]
                 owner = None
             if owner is None and token is not None:
@@ -202,6 +209,7 @@
             self._desk.wake()
 
     async def _own_parts(self) -> None:
+        """Lets the owners of parts act on changes, and at regular intervals."""
         while True:
             busy = any(owner.machines or owner.tasks for owner in self._desk.owned.values())
             with trio.move_on_after(0.25 if busy else self._desk.report_s / 2):
@@ -216,14 +224,14 @@
             await trio.sleep(0.04)
 
     async def _report_parts(self) -> None:
-        """Shows the leader our parts and takes its orders."""
+        """Sends the leader views of this controller's parts and applies its orders."""
         while True:
             for owner in list(self._desk.owned.values()):
                 now = trio.current_time()
-                leader = self._desk.book.leader  # it may have changed while one hung
+                leader = self._desk.book.leader  # may have changed while a call to it hung
                 if leader is None or not self._desk.term.valid(now):
                     continue
-                # What we overheard goes along once, with whichever part comes first.
+                # Machines of other parts that reported here are included once, in the first view.
                 overheard = self._desk.overheard.since(self._told_overheard, now, MOST_OVERHEARD)
                 view = owner.view(
                     self._desk.settings.node_name,
@@ -246,31 +254,33 @@
                     owner.held_back(orders.mistaken)
                     for machine, uid, count in orders.evict:
                         owner.evict(machine, uid, count)
-            # Well within what the leader takes for a part out of sight.
+            # Well below the interval after which the leader considers a part out of sight.
             with trio.move_on_after(self._desk.report_s / 2):
                 await self._desk.changed.wait()
             await trio.sleep(self._desk.report_s / 8)
 
     async def _hand_over(self) -> None:
+        """Hands parts over that other controllers should own."""
         while True:
             await trio.sleep(self._desk.report_s)
             for part, token in self._desk.term.surplus():
                 owner = self._desk.owned.get(part)
                 if owner is None or owner.leaving:
-                    continue  # what is over is written first
+                    continue  # outcomes are written first
                 await self._give_back(part, token)
 
     async def _give_back(self, part: int, token: int) -> None:
+        """Gives a part up, so that another controller can take it over."""
         log.info("handing part %d over", part)
         del self._desk.owned[part]
         try:
             await self._desk.term.give_back(part, token)
         except RETRY as error:
-            log.info("handing part %d over: %s", part, error)
+            log.info("handing part %d over failed: %s", part, error)
 
     async def _listen(self) -> None:
-        """Tells owners of their workers that report here, and gives up a part whose workers
-        report to others and not to us: their leases would run out between them and us."""
+        """Tells owners which of their workers reported here, and gives up a part whose workers
+        report to others and not here: with this owner their leases would expire."""
         told = trio.current_time()
         while True:
             await trio.sleep(self._desk.report_s / 5)
@@ -295,12 +305,16 @@
                     and owner.deaf(now)
                     and self._desk.term.cannot_hear(part, now)
                 ):
-                    log.warning("part %d: its workers report to others and not here", part)
+                    log.warning(
+                        "giving part %d up: its workers report to other controllers, not here",
+                        part,
+                    )
                     self._probing.remember(part, owner)
-                    # What is over and not written stays in the workers' reports.
+                    # Outcomes that are not written yet stay in the workers' reports.
                     await self._give_back(part, owner.token)
 
     async def _handle_worker(self, body: bytes) -> Reply:
+        """Answers a worker's check-in; 421 if this controller does not own its part."""
         report = parse_report(decode(body))
         now = trio.current_time()
         if self._rebuild is not None:
@@ -311,9 +325,10 @@
             self._desk.overheard.heard(report.machine, part, now)
             self._desk.term.hears(part, now)
             other = self._desk.book.parts.get(part)
-            # A worker that has seen the owner's token was answered by it and has left it since:
-            # sent back, it would wait there for an answer again while its lease runs out. It
-            # tries the other controllers in turn, and finds whoever takes the part over.
+            # A worker that has seen the owner's token was answered by it and has left it since.
+            # Redirected to it, the worker would wait there for an answer while its lease runs
+            # out; instead it tries the other controllers in turn, and finds the part's next
+            # owner.
             left = other is not None and report.token >= other.token
             if other is not None and not left and other.node != self._desk.settings.node_name:
                 return Reply(421, {"foreman": other.node})
@@ -321,7 +336,7 @@
         if not self._desk.term.valid(now):
             return Reply(503, {"error": "no authority"})
         if report.token > owner.token:
-            # Somebody else has taken the part over: nothing of ours counts there.
+            # Another controller has taken the part over; this one's authority has ended.
             self._desk.syncer.poke()
             return Reply(421, {})
         before = owner.revision
@@ -331,6 +346,7 @@
         return Reply(200, report_reply(owner.token, commands))
 
     async def _handle_public(self, method: str, target: str, body: bytes) -> Reply:
+        """Answers a request of a worker or a user; 503 to users until this controller is ready."""
         if method == "POST" and target == CHECKIN:
             return await self._handle_worker(body)
         if not self._desk.syncer.ready.is_set() or (
