--- a/ryegauge/detection/__init__.py
+++ b/ryegauge/detection/__init__.py
@@ -1,3 +1,3 @@
-"""Failure detection: what is known of a silent machine, what that makes of it, and what
-follows. Decisions only: no I/O, and time is passed in. `docs/design/detection.md` has the
-ways weighed, `docs/safety.md` why no rule rests on a verdict."""
+"""Failure detection: the evidence on a silent machine, its assessment, and what follows from it.
+Decisions only: no I/O, and time is passed in. `docs/design/detection.md` compares the
+alternatives; `docs/safety.md` explains why no safety rule depends on a verdict."""
--- a/ryegauge/detection/blame.py
+++ b/ryegauge/detection/blame.py
@@ -1,20 +1,22 @@
-"""Whether a failed task is its job's fault or its machine's, and how a mistaken job is retried.
+"""Decides whether a failed task is its job's fault or its machine's, and when a failing job is
+retried.
 
-The owner of a part keeps `Blame`, the leader `HeldBack`. No I/O and no clock.
+The owner of a part keeps `Blame`, the leader `HeldBack`. No I/O; times are passed in, in seconds.
 
-A machine that is at fault fails tasks of every job, a mistaken job fails on every machine. So
+A faulty machine fails tasks of every job; a failing job fails on every machine. So
 
-- a job is taken for mistaken once its tasks have failed on several machines that are not at
-  fault themselves, and none of them was ever done;
-- a machine is taken for faulty once, since a task last succeeded there, several tries failed on
-  it of jobs that are not mistaken for certain (some of their tasks were done), be it of one task:
-  where a part had no other machine, the last task of a job was tried on a bad one for good;
-- one is suspected if several jobs failed there that have failed nowhere else, in no other part
-  either by what the leader says, and of which nothing is done. It gets no more tasks, and is not
-  given up for that: tried elsewhere, those jobs will accuse it or clear it.
+- a job counts as failing once its tasks have failed on several machines that are not faulty
+  themselves, and none of its tasks has ever succeeded;
+- a machine counts as faulty once, since a task last succeeded there, several attempts failed on
+  it of jobs that are certainly sound (some of their tasks have succeeded), even if all were
+  attempts of one task. Otherwise, in a part with a single machine, the last task of a job would
+  be retried on a faulty one for good;
+- a machine is suspected if several jobs failed there that have failed on no other machine, nor
+  in another part by the leader's list, and of which no task has succeeded. It gets no new tasks,
+  but is not returned for that: further attempts of those jobs elsewhere confirm or clear it.
 
-If more machines than a share of a part's look like that at once, something that they have in
-common is at fault: none of them is given up.
+If more than a certain share of a part's machines look faulty at once, the cause is something
+that they have in common, and none of them is returned.
 """
 
 # kind: decisions
@@ -23,21 +25,23 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import NamedTuple
 
-# So many machines, or tasks, make a case. One may be bad luck.
+# How many machines, jobs or attempts are evidence; a single failure may be chance.
 SEVERAL = 2
-# More of a part's machines than this are not faulty each by itself at the same time.
+# Share of a part's machines above which simultaneous faults are taken for a common cause.
 SHARED_OUTAGE = 0.25
 
 
 class Failing(NamedTuple):
-    """A job as an owner tells of it."""
+    """A failing job, as the owner of a part reports it."""
 
     uid: str
-    machines: int  # on which its tasks failed
-    tries: int  # that failed
+    machines: int  # machines on which its tasks failed
+    tries: int  # failed attempts
 
 
 class _Job:
+    """The failures of one job in this part."""
+
     __slots__ = ("failed_on", "tries")
 
     def __init__(self) -> None:
@@ -46,30 +50,33 @@
 
 
 class Blame:
-    """What has failed where in one part, as its owner saw it."""
+    """Tracks which tasks failed on which machines of one part."""
 
     def __init__(self, done: Callable[[str], bool]) -> None:
-        """`done`: whether any task of a job was ever done, as far as is known."""
+        """`done`: whether any task of a job is known to have succeeded."""
         self._done = done
         self._jobs: dict[str, _Job] = {}
-        # Machine -> job -> how often its tasks failed there since one last succeeded there.
+        # Machine -> job -> its failed attempts there since a task last succeeded there.
         self._since: dict[str, dict[str, int]] = {}
         self._elsewhere: frozenset[str] = frozenset()
 
     def known(self, mistaken: Collection[str]) -> bool:
-        """Jobs that fail in other parts too; whether that is news."""
+        """Takes the leader's list of jobs that fail in other parts too; returns whether it has
+        changed."""
         before, self._elsewhere = self._elsewhere, frozenset(mistaken)
         return before != self._elsewhere
 
     def succeeded(self, uid: str, machine: str) -> bool:
-        """Whether that changes anything: nearly always nothing had failed."""
+        """A task succeeded. Returns whether failures of its job or machine were cleared; nearly
+        always there were none."""
         job = self._jobs.pop(uid, None)
         since = self._since.pop(machine, None)
         return job is not None or since is not None
 
     def failed(self, uid: str, machine: str, machines_of_task: int) -> None:
-        """`machines_of_task`: on how many it has failed by now, with this one. A task that
-        fails on many machines of a job that is partly done is at fault itself."""
+        """A task failed. `machines_of_task`: the machines on which it has failed so far, this one
+        included. A task that fails on many machines, of a job that is partly done, is at fault
+        itself and does not count against the machine."""
         job = self._jobs.setdefault(uid, _Job())
         job.failed_on.add(machine)
         job.tries += 1
@@ -78,7 +85,7 @@
             since[uid] = since.get(uid, 0) + 1
 
     def keep(self, uids: Collection[str], machines: Collection[str]) -> None:
-        """Forgets all others: jobs that are over, machines that are gone."""
+        """Forgets all other jobs and machines, which have ended or were removed."""
         self._jobs = {uid: job for uid, job in self._jobs.items() if uid in uids}
         self._since = {
             name: {uid: tries for uid, tries in jobs.items() if uid in uids}
@@ -87,15 +94,16 @@
         }
 
     def _looks_faulty(self, machine: str) -> bool:
+        """Whether the machine counts as faulty or suspected."""
         return self._of_others(machine) >= SEVERAL or self._alone(machine) >= SEVERAL
 
     def _of_others(self, machine: str) -> int:
-        """Tries that failed there, of jobs that are sound."""
+        """Failed attempts there of jobs that are certainly sound."""
         jobs = self._since.get(machine, {})
         return sum(tries for uid, tries in jobs.items() if self._done(uid))
 
     def _alone(self, machine: str) -> int:
-        """Jobs that failed there and, so far, nowhere else."""
+        """How many jobs failed there, have so far failed nowhere else and never succeeded."""
         return sum(
             uid not in self._elsewhere
             and not self._done(uid)
@@ -105,9 +113,9 @@
         )
 
     def accused(self, machines: int) -> tuple[set[str], set[str]]:
-        """Machines of a part of so many: those that are to be given up, and those that are
-        only suspected. (After all controllers had ended, the first tries of two mistaken jobs on
-        the same good machine had it given up.)"""
+        """The faulty machines, which are to be returned, and the suspected ones, in a part with
+        this number of machines. Suspected ones are kept: after all controllers had restarted, the
+        first attempts of two failing jobs on the same good machine caused its return."""
         found = {name for name in self._since if self._looks_faulty(name)}
         if len(found) > max(1, int(SHARED_OUTAGE * machines)):
             return set(), set()
@@ -115,7 +123,8 @@
         return faulty, found - faulty
 
     def mistaken(self, uid: str) -> bool:
-        """By this part's evidence alone, so that a leader's word does not prove itself."""
+        """Whether a job fails on every machine, by the evidence of this part alone. The leader's
+        list does not count, since it is itself built from these answers."""
         job = self._jobs.get(uid)
         if job is None or len(job.failed_on) < SEVERAL or self._done(uid):
             return False
@@ -123,6 +132,7 @@
         return sound >= SEVERAL
 
     def failing(self) -> list[Failing]:
+        """The failing jobs of this part, to be reported to the leader."""
         return [
             Failing(uid, len(job.failed_on), job.tries)
             for uid, job in self._jobs.items()
@@ -131,6 +141,8 @@
 
 
 class _Held:
+    """The retry state of one failing job."""
+
     __slots__ = ("machines", "probes", "tried_at", "tries")
 
     def __init__(self, now: float) -> None:
@@ -139,15 +151,16 @@
 
 
 class HeldBack:
-    """Jobs taken for mistaken: one task of each is tried now and then, ever more seldom, since
-    it may have been the machines' fault after all. They are never given up."""
+    """Failing jobs: a single task of each is retried, with exponentially growing pauses, since
+    the machines may have been at fault after all. Retries never stop while the job is open."""
 
     def __init__(self, first_s: float, longest_s: float) -> None:
+        """`first_s`: the pause before the first retry. `longest_s`: the longest pause."""
         self._first_s, self._longest_s = first_s, longest_s
         self._jobs: dict[str, _Held] = {}
 
     def told(self, failing: Iterable[Failing], now: float) -> list[Failing]:
-        """What owners say of their parts; those that are held back from now on."""
+        """Takes what owners report of their parts; returns the jobs that newly enter backoff."""
         new: list[Failing] = []
         tries: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing:
@@ -164,7 +177,8 @@
         return new
 
     def keep(self, mistaken: Callable[[str], bool]) -> None:
-        """Forgets jobs that are over or of which a task has succeeded."""
+        """Forgets the jobs for which `mistaken` is false: those that have ended or of which a
+        task has succeeded."""
         self._jobs = {uid: held for uid, held in self._jobs.items() if mistaken(uid)}
 
     def __contains__(self, uid: object) -> bool:
@@ -174,27 +188,30 @@
         return len(self._jobs)
 
     def latest(self, most: int) -> list[str]:
+        """At most `most` jobs, those that entered backoff last."""
         return list(self._jobs)[-most:]
 
     def wait_s(self, uid: str, now: float) -> float:
-        """Until one of its tasks may be tried again; 0: now, also if it is not held back."""
+        """Seconds until one of its tasks may be retried; 0 also for a job not in backoff."""
         held = self._jobs.get(uid)
         if held is None:
             return 0.0
         return max(0.0, held.tried_at + self.pause_s(held.probes) - now)
 
     def pause_s(self, probes: int) -> float:
+        """The pause in seconds after so many retries."""
         return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
 
     def tried(self, uid: str, now: float) -> None:
-        """One of its tasks is given to a part."""
+        """One of its tasks was assigned to a part, which counts as a retry."""
         held = self._jobs.get(uid)
         if held is not None:
             held.tried_at, held.probes = now, held.probes + 1
 
     def describe(self, now: float) -> str:
+        """All failing jobs, for the log."""
         return ", ".join(
             f"{uid} (failed {held.tries} times on {held.machines} machines, none done, "
-            f"next try in {self.wait_s(uid, now):.0f} s)"
+            f"next retry in {self.wait_s(uid, now):.0f} s)"
             for uid, held in sorted(self._jobs.items())
         )
--- a/ryegauge/detection/hearing.py
+++ b/ryegauge/detection/hearing.py
@@ -1,9 +1,9 @@
 # kind: decisions
-"""How long machines have been silent to somebody who listened.
+"""When machines were last heard, not counting time in which the controller itself stalled.
 
-A controller that stood still (frozen, or slowed by another load) finds all its machines
-silent when it goes on, with their reports waiting in its sockets. Time that passes while it
-does not listen says nothing about them.
+A controller that stalled (frozen, or starved of CPU) finds all its machines silent when it
+resumes, with their reports waiting in its sockets. Time in which it reads no reports is no
+evidence about the machines.
 """
 
 import math
@@ -11,17 +11,17 @@
 
 
 class Attention:
-    """A clock that stands while its owner does: between two looks it goes on by at most
-    `step_s` seconds, which the loops of a healthy controller stay well below."""
+    """A clock that stops while its process stalls: it advances by at most `step_s` seconds
+    between two readings, and the loops of a healthy controller read it far more often."""
 
     def __init__(self, step_s: float, now: float) -> None:
         self._step_s = step_s
         self._at = now
         self.time = 0.0
-        self._stood: list[tuple[float, float]] = []  # (until, how long), the latest last
+        self._stood: list[tuple[float, float]] = []  # (ended at, seconds) of recent stalls
 
     def look(self, now: float) -> float:
-        """The attentive time by now, in seconds since the beginning."""
+        """Reads the clock: the seconds since its creation without stalls."""
         passed = max(0.0, now - self._at)
         self._at = max(self._at, now)
         self.time += min(passed, self._step_s)
@@ -30,46 +30,51 @@
         return self.time
 
     def stood_still_s(self, since: float) -> float:
-        """How long it has stood still, in standstills that ended after `since`."""
+        """Seconds of stall, in the latest stalls, of those that ended after `since`."""
         return sum(lasted for until, lasted in self._stood if until > since)
 
 
 class Hearing:
-    """Which machines were heard, by attentive time, and how long each was silent before."""
+    """When each machine was last heard, by a clock that stops while the process stalls."""
 
     def __init__(self, attention: Attention) -> None:
         self.attention = attention
         self._heard: dict[str, float] = {}
 
     def heard(self, machine: str, now: float) -> None:
+        """The machine reported."""
         self._heard[machine] = self.attention.look(now)
 
     def forget(self, machine: str) -> None:
+        """Drops a machine that was removed."""
         self._heard.pop(machine, None)
 
     def silent_s(self, machine: str, now: float) -> float:
-        """Attentive seconds since it was heard; infinite for one never heard of."""
+        """Seconds since the machine was heard, without stalls; infinite if it never was."""
         at = self._heard.get(machine)
         return math.inf if at is None else self.attention.look(now) - at
 
 
 class Overheard:
-    """Machines of other owners that reported here and were sent on: such a machine lives,
-    whatever its owner hears. A worker whose owner does not answer tries the next controller
-    a little later, so a live one is overheard before it is given up."""
+    """Machines of other owners that reported here and were redirected. Such a machine lives,
+    even if its owner does not hear it. A worker whose owner does not answer soon tries the next
+    controller, so a live machine appears here before its owner gives it up."""
 
     def __init__(self, keep_s: float) -> None:
+        """`keep_s`: for how many seconds a report is kept."""
         self._keep_s = keep_s
         self._at: dict[str, tuple[float, int]] = {}  # machine -> (when, its part)
 
     def heard(self, machine: str, part: int, now: float) -> None:
+        """A machine of the given part reported here."""
         self._at.pop(machine, None)
         self._at[machine] = (now, part)  # the latest is last
         while self._at and next(iter(self._at.values()))[0] < now - self._keep_s:
             del self._at[next(iter(self._at))]
 
     def since(self, at: float, now: float, most: int) -> list[tuple[str, int, float]]:
-        """(machine, part, seconds ago) of those heard after `at`, the latest `most`."""
+        """(machine, part, seconds ago) of the machines that reported after `at`, latest first and
+        at most `most`."""
         result: list[tuple[str, int, float]] = []
         for machine in reversed(self._at):
             heard_at, part = self._at[machine]
@@ -79,9 +84,11 @@
         return result
 
 
-# An owner is deaf that heard at most this share of its machines within a report, ...
+# Reports do not reach an owner if it heard at most this share of its machines in the last report
+# interval, ...
 HEARS_LEAST = 0.1
-# ... while others heard at least this share of them, and at least so many, since it did.
+# ... while other controllers heard at least this share of them, and at least so many, since the
+# owner last did.
 DEAF_SHARE = 0.25
 DEAF_LEAST = 3
 
@@ -89,9 +96,10 @@
 def is_deaf(
     heard_at: Mapping[str, float], elsewhere: Mapping[str, float], gap_s: float, now: float
 ) -> bool:
-    """Whether an owner does not hear workers that others hear, by when it heard each of its
-    machines and when others did. Machines that it never heard count as well: it may have
-    taken the part over without being able to hear it."""
+    """Whether workers' reports reach other controllers and not the owner. `heard_at`: when the
+    owner last heard each of its machines; `elsewhere`: when others did; `gap_s`: the longest
+    ordinary pause between reports. Machines that the owner never heard count too: it may have
+    taken the part over although its reports do not reach it."""
     others = {
         name
         for name, at in elsewhere.items()
--- a/ryegauge/detection/reach.py
+++ b/ryegauge/detection/reach.py
@@ -1,33 +1,37 @@
 # kind: decisions
-"""Which of the other controllers answer, by what became of calls to them.
+"""Which of the other controllers answer, by the results of calls to them.
 
-Only for the order in which they are asked, and whether one that gives nothing but time-outs is
-waited for again: no role rests on it. Times are in seconds.
+It decides only in which order peers are called, and whether to wait for one whose calls time
+out; no role depends on it. Times are in seconds.
 """
 
 from collections.abc import Iterable
 
 
 class Reach:
+    """The peers whose latest call timed out, and when."""
+
     def __init__(self, again_s: float) -> None:
-        """`again_s`: after which one that did not answer is asked like any other."""
+        """`again_s`: seconds after a timeout until the peer is treated like any other again."""
         self._again_s = again_s
         self._missed: dict[str, float] = {}
         self._turn = 0
 
     def answered(self, name: str) -> None:
+        """The peer answered or refused a call."""
         self._missed.pop(name, None)
 
     def missed(self, name: str, now: float) -> None:
-        """Nothing came in time, nor did a refusal: it hangs, or the way to it does."""
+        """A call timed out without a refusal: the peer hangs, or the network to it does."""
         self._missed[name] = now
 
     def silent(self, name: str, now: float) -> bool:
+        """Whether the peer's latest call timed out, less than `again_s` seconds ago."""
         return now - self._missed.get(name, float("-inf")) < self._again_s
 
     def order(self, names: Iterable[str], now: float) -> list[str]:
-        """Those that answer come first, in turn, so that no one of them is asked for all; then
-        the silent, the one that was not asked for longest first."""
+        """The peers in the order in which to call them: first those that answer, rotated on each
+        call to spread the load, then the silent ones, the earliest timeout first."""
         well: list[str] = []
         silent: list[str] = []
         for name in sorted(names):
--- a/ryegauge/detection/verdicts.py
+++ b/ryegauge/detection/verdicts.py
@@ -1,8 +1,8 @@
 # kind: decisions
-"""What the evidence on one silent machine amounts to. Pure functions.
+"""Assesses the evidence on one silent machine. Pure functions.
 
-A verdict never ends a task: only a release that was answered, or a lease that has surely run
-out, does (`docs/safety.md`). It says which steps are worth their cost.
+A verdict never ends a task: only a confirmed release or a lease that has certainly expired does
+(`docs/safety.md`). A verdict decides which steps are worth their cost.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,23 +11,25 @@
 
 
 class Outcome(StrEnum):
-    """What became of an attempt to ask a worker for its report."""
+    """How a probe of a worker ended. The values are sent between controllers."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # its host answers, nobody listens there
+    REFUSED = "refused"  # its host answers, and nothing listens on the port
     RESET = "reset"  # the connection ended without an answer
-    NO_ANSWER = "no_answer"  # connected, and nothing more: it hangs, or drowns
-    NO_CONNECTION = "no_connection"  # dead, or cut off from whoever asked
+    NO_ANSWER = "no_answer"  # connected, but no answer: it hangs or is overloaded
+    NO_CONNECTION = "no_connection"  # dead, or cut off from the controller that probed
 
 
 class Probe(NamedTuple):
-    by: str  # the controller that asked
+    """The result of one probe of a worker."""
+
+    by: str  # the controller that probed
     outcome: Outcome
-    at: float  # when it was asked, in the judge's clock
+    at: float  # time of the probe, in seconds of the evaluating controller's clock
 
     @staticmethod
     def of(by: str, outcome: str, at: float) -> "Probe | None":
-        """None for an outcome that was not had, or that only a later version knows."""
+        """None for an empty outcome, and for one that only a later version knows."""
         return Probe(by, Outcome(outcome), at) if outcome in OUTCOMES else None
 
 
@@ -35,47 +37,48 @@
 
 
 class Grade(IntEnum):
-    """How sure it is that a machine does not come back in time; each grade allows the steps
-    of those below it."""
+    """How certain it is that a machine does not come back in time. Each level also allows the
+    steps of those below it."""
 
     WELL = 0
-    SUSPECT = 1  # no new tasks, not counted as room
-    MISSED = 2  # replacements are worth asking for
+    SUSPECT = 1  # gets no new tasks and does not count as capacity
+    MISSED = 2  # renting a replacement is worth its cost
     LOST = 3  # releasing it loses less than waiting for it
-    OVER = 4  # its lease has surely run out: nothing runs there any more
+    OVER = 4  # its lease has certainly expired: nothing runs there any more
 
 
 class Cause(StrEnum):
-    """What explains the silence best."""
+    """The most likely cause of the silence. The values appear in the log."""
 
     NONE = "none"
-    OWNER_STOOD_STILL = "owner_stood_still"
-    OWNER_DEAF = "owner_deaf"  # it lives, as others know
+    OWNER_STOOD_STILL = "owner_stood_still"  # the owner's process stalled and read no reports
+    OWNER_DEAF = "owner_deaf"  # the machine lives; its reports do not reach its owner
     HUNG = "hung"
-    TAKEN = "taken"  # after a notice of the cloud
-    ZONE_CUT = "zone_cut"  # nothing of its zone is heard, and most of another is
-    DEAD_OR_CUT = "dead_or_cut"  # unreachable for all that were asked
+    TAKEN = "taken"  # reclaimed by the cloud after a notice
+    ZONE_CUT = "zone_cut"  # almost no reports from its zone, and most from another zone
+    DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers
     UNDECIDED = "undecided"
 
 
 class Evidence(NamedTuple):
-    """On one machine, gathered by its owner or the leader."""
+    """What the leader knows of one silent machine."""
 
-    silent_s: float  # seconds without a word, while somebody listened
-    waited_s: float  # the same by the clock alone
-    elsewhere_s: float  # since another controller heard it; infinite if none did
-    probes: Collection[Probe] = ()  # newer than its last word
-    notice: bool = False
-    stood_still_s: float = 0.0  # of the owner, since the machine's last word
-    # Of the part's machines that this listener should hear: how many it does.
-    heard_share: float = 1.0
-    zone_cut: bool = False  # `cut_zones` has its zone
+    silent_s: float  # seconds since its last report, without those in which its owner stalled
+    waited_s: float  # seconds since its last report
+    elsewhere_s: float  # seconds since another controller heard it; infinite if none did
+    probes: Collection[Probe] = ()  # since its last report
+    notice: bool = False  # the cloud has announced that it reclaims the machine
+    stood_still_s: float = 0.0  # seconds in which its owner stalled since its last report
+    heard_share: float = 1.0  # share of the part's machines that its owner hears
+    zone_cut: bool = False  # its zone is one of `cut_zones`
 
 
 class Verdict(NamedTuple):
+    """The assessment of one machine."""
+
     grade: Grade
     cause: Cause
-    # Most others of its part are heard: its silence is its own, not one that many share.
+    # Most other machines of its part are heard, so the cause concerns this machine alone.
     isolated: bool = True
 
 
@@ -83,37 +86,37 @@
 
 
 def worth_replacing(verdict: Verdict) -> bool:
-    """Whether to ask for a replacement while it is not yet certain. Not for one that hangs:
-    it is back before a replacement is up, or its lease ends soon. (Found by days of hangs
-    under a lease: 83 machines were rented for nothing.)"""
+    """Whether to rent a replacement before the loss is certain. Not for a machine that hangs: it
+    recovers before a replacement is up, or its lease ends soon. Replacing those rented 83
+    machines for nothing in simulated days with hangs shorter than a lease."""
     return verdict.grade >= Grade.MISSED and verdict.cause not in (Cause.OWNER_DEAF, Cause.HUNG)
 
 
 class Limits(NamedTuple):
-    """In seconds, all from the settings."""
+    """The durations that silence is compared with, in seconds, from the settings."""
 
     gap_s: float  # the longest ordinary pause between reports
-    lease_s: float  # after which a silent worker's tasks are surely gone
+    lease_s: float  # silence after which a worker's tasks have certainly ended
 
 
 # Multiples of the longest ordinary pause between two reports.
 SUSPECT_GAPS = 2.0
-NOTICED_GAPS = 2.0  # a machine under notice is expected to go
+NOTICED_GAPS = 2.0  # for a machine under notice, which is expected to disappear
 LOST_GAPS = 3.0
-# An owner that hears fewer of its machines than this may itself be cut off.
+# An owner that hears a smaller share of its machines than this may itself be cut off.
 HEARING_SHARE = 0.75
-# What may come back (it hangs, its zone is cut off) is hoped for that long.
+# Leases of silence up to which a machine that hangs, or whose zone is cut off, may still recover.
 HOPE_LEASES = 3.0
-# So many controllers must have asked in vain before silence counts without the others.
+# Controllers that must have failed to connect before a machine counts as unreachable.
 ASKED = 2
 
 
 def judge(evidence: Evidence, limits: Limits) -> Verdict:
-    """The grade of a machine and the cause that explains its silence best.
+    """How certain the loss of a silent machine is, and the most likely cause of its silence.
 
-    More evidence that it lives never raises the grade; more that it does not, never lowers
-    it. One listener alone, if it hears few of its machines, cannot call them lost: that
-    takes others that did not hear or reach them either."""
+    More evidence that it lives never raises the level; more evidence that it does not never
+    lowers it. An owner that hears few of its machines cannot alone cause them to be graded as
+    lost: other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
     isolated = evidence.heard_share >= HEARING_SHARE
     over = evidence.waited_s > limits.lease_s
@@ -124,7 +127,7 @@
         return Verdict(Grade.OVER if over else Grade.WELL, cause, isolated)
     outcomes = {probe.outcome for probe in evidence.probes}
     if Outcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
-        # It lives, and its tasks run on until its lease ends; its owner cannot hear it.
+        # It lives, and its tasks run on until its lease ends; its reports do not reach its owner.
         return Verdict(Grade.OVER if over else Grade.SUSPECT, Cause.OWNER_DEAF, isolated)
     cause = _cause(evidence, outcomes)
     if evidence.waited_s > HOPE_LEASES * limits.lease_s:
@@ -132,8 +135,8 @@
     if over:
         grade = Grade.OVER
     elif cause in (Cause.HUNG, Cause.ZONE_CUT):
-        # It may go on at any time within its lease, with all its tasks; those of a zone come
-        # back together.
+        # It may resume at any time within its lease, with all its tasks; the machines of a zone
+        # come back together.
         grade = Grade.MISSED if evidence.silent_s > LOST_GAPS * gap_s else Grade.SUSPECT
     elif cause is Cause.TAKEN:
         grade = Grade.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Grade.SUSPECT
@@ -145,6 +148,7 @@
 
 
 def _cause(evidence: Evidence, outcomes: set[Outcome]) -> Cause:
+    """The most likely cause, for a machine without evidence that it lives."""
     if outcomes & {Outcome.NO_ANSWER, Outcome.REFUSED, Outcome.RESET}:
         return Cause.HUNG
     if evidence.notice:
@@ -155,14 +159,15 @@
     return Cause.DEAD_OR_CUT if len(asked) >= ASKED else Cause.UNDECIDED
 
 
-# So few of a zone's machines heard, of at least so many, while another zone is heard well.
+# A zone counts as cut off if at most this share of its machines is heard, ...
 CUT_SHARE = 0.05
+# ... it has at least so many machines, and another zone is heard well.
 CUT_LEAST = 4
 
 
 def cut_zones(zones: Mapping[str, tuple[int, int]]) -> set[str]:
-    """The zones that nothing is heard of, by (machines heard, machines) of each. With no
-    other zone that is heard well, the listeners may as well be cut off themselves."""
+    """The zones that seem cut off. `zones` has (machines heard, machines) for each. If no other
+    zone is heard well, there are none: the controllers may be cut off themselves."""
     well = {z for z, (heard, of) in zones.items() if of and heard / of >= HEARING_SHARE}
     return {
         z
