--- a/tests/test_away.py
+++ b/tests/test_away.py
@@ -1,5 +1,5 @@
-"""What is out of reach for longer than a lease, and leaders that change again and again: all
-controllers, a zone with a controller of its own, an outage, slow links with more work than room."""
+"""Absences longer than a lease, and many changes of leader: all controllers down, a zone cut off
+with its own controller, an outage of the state service, slow links with more work than capacity."""
 
 from pathlib import Path
 from typing import Any
@@ -10,7 +10,7 @@
 from test_meetings import leader_of
 from test_world import some_controllers
 
-# Of each pair the second is cancelled. Half of them run for longer than any trouble here.
+# The second of each pair is cancelled. Half of them run for longer than any fault here.
 JOBS: list[dict[str, Any]] = [
     {"pieces": 4, "cpus": 1.0, "memoryGb": 1.0, "really": really, "crew": crew}
     for really in (18.0, 70.0)
@@ -29,8 +29,8 @@
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease(tmp_path: Path) -> None:
-    """Twice; the second time within an outage, with cancellations confirmed just before. Nothing
-    that runs is lost from sight, and nothing is started beside it."""
+    """Twice; the second time during an outage of the state service, with cancellations confirmed
+    just before. No running task is forgotten, and none is started a second time beside it."""
     began: list[int] = []
 
     async def script(world: Day) -> None:
@@ -56,8 +56,9 @@
 
 
 def test_a_zone_with_a_controller_is_cut_off_for_longer_than_a_lease(tmp_path: Path) -> None:
-    """From all outside, regional services too. Its machines are answered from within as long as
-    that controller may; what is cancelled outside meanwhile ends there in time."""
+    """Cut off from everything outside, including the state service and the cloud. The controller
+    inside answers the zone's machines as long as it has authority; jobs that are cancelled outside
+    meanwhile end there in time."""
     inside: list[set[str]] = []
 
     async def script(world: Day) -> None:
@@ -110,8 +111,8 @@
 
 
 def test_more_work_than_room_over_slow_links(tmp_path: Path) -> None:
-    """Urgent and not; workers' and controllers' answers take up to a quarter of a lease, the
-    leader ends, and urgent work still goes first."""
+    """Messages of workers and controllers take up to a quarter of a lease, and the leader crashes.
+    Urgent jobs still start before others."""
     jobs: list[dict[str, Any]] = [
         {
             "pieces": 8,
--- a/tests/test_back_at_once.py
+++ b/tests/test_back_at_once.py
@@ -1,5 +1,5 @@
-"""Controllers that are back within a fraction of a second of their end, while their
-predecessor's lease, roles and messages are still on their way."""
+"""Controllers that restart within a second of a crash, while the lease, roles and messages of
+the previous process are still in effect."""
 
 import errno
 from pathlib import Path
@@ -21,7 +21,8 @@
 
 
 async def ends(world: World, back_s: float) -> None:
-    """An owner, the leader, all; then each again and again; in an outage; beside a cut."""
+    """Crashes an owner, the leader and all; then each repeatedly; then some in an outage of the
+    state service and during a network cut."""
     world.restart_s = back_s
     await trio.sleep(30.0)
     for numbers in ((1,), (0,), range(len(world.settings))):
@@ -60,13 +61,13 @@
     world = play(as_deployed(tmp_path, count), seed, MIX + PIPES, script, 320.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # A short absence is no reason to take roles away from anybody for long, nor to run again.
+    # A short absence must not cost a controller its roles for long, nor make many tasks rerun.
     kills = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
     assert len(kills) < 40
 
 
 def test_starts_together_stay_within_the_budget(tmp_path: Path) -> None:
-    """All five start at once, ten times: what they read stays within the service's rate."""
+    """All five start at once, ten times: their reads stay within the state service's rate limit."""
 
     async def script(world: World) -> None:
         world.restart_s = 0.05
@@ -90,8 +91,8 @@
 
 
 def test_a_port_that_is_still_in_use_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that started 0.05 s after its predecessor's end ended itself, since the port
-    was not free yet, and was started again, and so on."""
+    """A process that started 0.05 s after its predecessor had ended found its port still in use,
+    exited and was restarted, again and again."""
     tries: list[float] = []
 
     async def open_tcp_listeners(port: int, **_: object) -> list[trio.SocketListener]:
@@ -116,7 +117,7 @@
         await server.serve("h", 1, lambda: listening.append(trio.current_time()))
         assert listening
         assert tries[3] - tries[0] < 0.5
-        with pytest.raises(OSError, match="in use"):  # within bounds
+        with pytest.raises(OSError, match="in use"):  # not for ever
             await server.serve("h", 2)
         assert tries[-1] - listening[0] >= 5.0
         assert len(tries) < 120
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -1,4 +1,4 @@
-"""Blame of jobs and machines against a slow plain model and against the injected truth."""
+"""Attribution of failures to jobs and machines, against a simple model and the injected faults."""
 
 import random
 from itertools import pairwise
@@ -11,7 +11,7 @@
 
 
 class Plain:
-    """The definitions, worked out anew from all that ever happened."""
+    """The definitions, computed from scratch over all events."""
 
     def __init__(self, events: list[Event], elsewhere: set[str]) -> None:
         self.events = events
@@ -22,7 +22,7 @@
         return {m for u, _, m, done, _ in self.events if u == uid and not done}
 
     def evidence(self, machine: str) -> tuple[bool, bool]:
-        """Whether it is faulty for certain, and whether it is perhaps."""
+        """Whether the machine is faulty, and whether it is suspected."""
         here = [e for e in self.events if e[2] == machine]
         last = max((i for i, e in enumerate(here) if e[3]), default=-1)
         since = [e for e in here[last + 1 :] if e[4] <= SEVERAL]
@@ -61,7 +61,7 @@
     given_up: set[str] = set()
     elsewhere: set[str] = set()
     for _ in range(700):
-        if rng.random() < 0.05:  # the leader has heard of failures in other parts
+        if rng.random() < 0.05:  # the leader reports failures in other parts
             elsewhere = {uid for uid in bad_jobs if rng.random() < 0.5}
             blame.known(elsewhere)
         uid, task = rng.choice(jobs), rng.randrange(6)
@@ -87,7 +87,7 @@
 
 
 def test_one_task_that_has_nowhere_else_to_go_accuses_its_machine() -> None:
-    """Found by days whose order hung on luck: the last task of a job was never done."""
+    """In a part with a single machine that is faulty, the last task of a job was never done."""
     blame = Blame({"wk-1"}.__contains__)
     blame.failed("wk-1", "m-1", 1)
     assert blame.accused(1) == (set(), set())
@@ -96,7 +96,7 @@
 
 
 def test_tries_of_jobs_that_fail_in_other_parts_accuse_no_machine() -> None:
-    """One task each of two held-back jobs was tried here, on the same good machine."""
+    """One task each of two failing jobs was retried here, on the same good machine."""
     blame = Blame(set().__contains__)
     assert blame.known({"wk-1", "wk-2"})
     blame.failed("wk-1", "m-1", 1)
@@ -104,7 +104,7 @@
     assert blame.accused(20) == (set(), set())
     assert blame.known(())
     assert blame.accused(20) == (set(), {"m-1"})
-    blame.failed("wk-2", "m-2", 2)  # tried elsewhere, the job clears the machine
+    blame.failed("wk-2", "m-2", 2)  # a failure elsewhere clears the machine
     assert blame.accused(20) == (set(), set())
 
 
@@ -126,7 +126,7 @@
     for n in range(12):
         blame.failed("wk-1", f"m-{n}", n + 1)
         blame.failed("wk-1", f"m-{n}", n + 1)
-    assert blame.accused(12) == ({"m-0", "m-1"}, set())  # bad luck at most, and not the fleet
+    assert blame.accused(12) == ({"m-0", "m-1"}, set())  # only the first machines, not all
     assert not blame.mistaken("wk-1")
 
 
@@ -142,7 +142,7 @@
         if held.wait_s("wk-1", now) <= 0:
             tries.append(now - 100.0)
             held.tried("wk-1", now)
-    # Ever more seldom, and never not at all.
+    # The pauses grow up to the longest; the retries never stop.
     assert tries[:4] == [14.0, 42.0, 98.0, 210.0]
     assert {b - a for a, b in pairwise(tries[3:])} == {112.0}
     assert held.wait_s("wk-2", now) == 0.0
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -1,5 +1,4 @@
-"""What is made of silent machines: against a slow plain model that knows the truth, and the
-steps that follow, up to a release."""
+"""The assessment of silent machines, against a simple model that knows the true cause."""
 
 import itertools
 import math
@@ -26,7 +25,7 @@
 
 TRUTHS = ("dead", "cut_off", "hung", "taken", "owner_deaf", "owner_stood_still", "zone_cut")
 ENDED = {"dead", "taken"}
-# What may be said of a machine, by what is true of it; the first that applies.
+# The causes that may be named for a machine, by what is true of it; the first that applies.
 EXPLAINED = [
     ("owner_stood_still", {Cause.OWNER_STOOD_STILL}),
     ("zone_cut", {Cause.ZONE_CUT, Cause.TAKEN}),
@@ -39,8 +38,8 @@
 
 
 def evidence_of(truth: frozenset[str], after_s: float, helpers: bool = True) -> Evidence:
-    """The slow plain model: what each controller would see of a machine `after_s` seconds
-    after all that is true began, asking it and each other without any limit."""
+    """The simple model: what the controllers would see of a machine `after_s` seconds after all
+    that is true began, with unlimited probes."""
     stood = after_s - 1.0 if "owner_stood_still" in truth else 0.0
     gone = truth & {"dead", "cut_off", "taken", "zone_cut"}
 
@@ -75,8 +74,8 @@
 
 @pytest.mark.parametrize("helpers", [True, False])
 def test_causes_alone_and_in_pairs_are_named(helpers: bool) -> None:
-    """docs/experiments/recovery.md shows this table. Alone an owner cannot tell the dead from
-    its own deafness, and says so."""
+    """docs/experiments/recovery.md shows this table. An owner alone cannot tell a dead machine
+    from one whose reports do not reach it, and the cause is undecided."""
     table = Counter[str]()
     for truth in pairs():
         cause = judge(evidence_of(truth, 11.0, helpers), LIMITS).cause
@@ -137,8 +136,8 @@
 
 @given(evidence)
 def test_one_deaf_owner_cannot_call_a_machine_lost(seen: Evidence) -> None:
-    """It hears few of its machines and nobody else has tried: until the lease has surely run
-    out there is no release on its word, unless the cloud itself gave notice."""
+    """An owner hears few of its machines, and no other controller has probed: until the lease has
+    certainly expired nothing is released on its evidence, unless the cloud gave notice."""
     alone = seen._replace(
         probes=tuple(p for p in seen.probes if p.by == "a"), heard_share=0.5, notice=False
     )
@@ -148,14 +147,14 @@
 
 def test_zones_are_cut_only_if_another_is_heard() -> None:
     assert cut_zones({"a": (0, 40), "b": (90, 100)}) == {"a"}
-    assert cut_zones({"a": (0, 40), "b": (50, 100)}) == set()  # half of b: who is cut off?
+    assert cut_zones({"a": (0, 40), "b": (50, 100)}) == set()  # half of b: may be our own fault
     assert cut_zones({"a": (0, 40)}) == set()
-    assert cut_zones({"a": (0, 3), "b": (10, 10)}) == set()  # too few to say
+    assert cut_zones({"a": (0, 3), "b": (10, 10)}) == set()  # too few machines
 
 
 def test_a_listener_that_stood_still_has_not_listened() -> None:
-    """Found by simulated days with frozen controllers: all machines looked silent at once
-    when it went on, with their reports waiting in its sockets."""
+    """When a frozen controller resumes, all its machines look silent at once, with their reports
+    waiting in its sockets. The time in which it was frozen must not count."""
     attention = Attention(2.5, 0.0)
     hearing = Hearing(attention)
     hearing.heard("m-1", 1.0)
@@ -183,9 +182,9 @@
     heard = {f"m-{n}": 90.0 for n in range(20)}
     elsewhere = {f"m-{n}": 96.0 for n in range(6)}
     assert is_deaf(heard, elsewhere, 3.0, 97.0)
-    assert not is_deaf(heard, {}, 3.0, 97.0)  # nobody hears them: dead, or cut off
+    assert not is_deaf(heard, {}, 3.0, 97.0)  # no controller hears them: dead, or cut off
     assert not is_deaf(heard, dict.fromkeys(list(elsewhere)[:4], 96.0), 3.0, 97.0)
     assert not is_deaf(heard, elsewhere, 3.0, 103.0)  # too long ago
     assert not is_deaf({**heard, "m-9": 95.0, "m-8": 95.0, "m-7": 96.0}, elsewhere, 3.0, 97.0)
     assert not is_deaf({**heard, **dict.fromkeys(elsewhere, 96.5)}, elsewhere, 3.0, 97.0)
-    assert is_deaf({}, elsewhere, 3.0, 97.0)  # it took the part over and never heard any
+    assert is_deaf({}, elsewhere, 3.0, 97.0)  # took the part over and never heard any
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -1,4 +1,5 @@
-"""Teams that the settings name with zeros: nothing is guaranteed to them, nothing limits them."""
+"""Teams without a guarantee and without a limit (zeros in the settings), and jobs and machines
+that fail every task."""
 
 from pathlib import Path
 from typing import Any
@@ -53,8 +54,8 @@
 
 
 def test_guests_are_served_while_owners_and_the_leader_end(tmp_path: Path) -> None:
-    """On a recorded day all 587 submissions of a guest team, named with zeros, were answered
-    422, since a limit of 0 was taken for a limit of nothing."""
+    """A limit of 0 in the settings was taken to allow nothing, and all 587 submissions of a guest
+    team in a recorded day were answered 422."""
 
     async def script(world: World) -> None:
         await trio.sleep(20.0)
@@ -65,13 +66,13 @@
     world = play(with_guest(tmp_path), 3, GUESTS, script, 200.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Few run again: less than a tenth of what was submitted.
+    # Few tasks run again: less than a tenth of those submitted.
     assert world.checker.starts < 1.1 * sum(job["pieces"] for job in GUESTS)
 
 
 def test_mistaken_jobs_beside_bad_machines(tmp_path: Path) -> None:
-    """Three jobs that fail on every machine until they are cancelled, and two machines that
-    fail every task: the jobs are tried ever more seldom, only the machines are given up."""
+    """Three jobs that fail on every machine until they are cancelled, and two machines that fail
+    every task. The jobs are retried with growing pauses, and only the machines are returned."""
     jobs: list[dict[str, Any]] = [
         {"pieces": 6, "delay": 1.0},
         {"pieces": 8, "delay": 4.0, "broken": True, "cancel_after": 100.0},
@@ -103,7 +104,8 @@
     for e in world.happened:
         if e.what == "ended" and e.detail == "error":
             failed[e.uid] = failed.get(e.uid, 0) + 1
-    # A first wave of each, and a few tries: it was eight tasks every two seconds.
+    # The first attempts of each job and a few retries; without backoff all eight tasks of a job
+    # failed every two seconds.
     mistaken = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
     assert min(mistaken) >= 2
     assert max(mistaken) < 40
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,5 +1,5 @@
-"""What changes hands: a part or the leadership, while jobs are cancelled, while reports come late,
-and while tasks go on that end far apart."""
+"""Changes of owner and leader: while jobs are cancelled, while reports arrive late, and while jobs
+run whose tasks end far apart."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 __all__ = ["part"]  # a fixture
 
-BEFORE = ((TOKEN - 9) << 20) + 1  # an attempt of the authority before
+BEFORE = ((TOKEN - 9) << 20) + 1  # an attempt started by the earlier owner
 EARLIER = TOKEN - 9
 
 
@@ -32,7 +32,7 @@
 
 
 def looking(part: Part, settings: Settings, authority_ended_at: float) -> None:
-    """With an owner that looks for tasks whose records were lost."""
+    """Gives the part an owner that looks for tasks whose records were lost."""
     part.owner = PartOwner(
         0, TOKEN, part.book, settings, lambda: TYPES, part.now, authority_ended_at, True
     )
@@ -40,9 +40,9 @@
 
 
 def test_a_report_held_for_longer_than_its_lease(settings: Settings) -> None:
-    """Found by reading: a machine was answered once and shown our token, and its next report was
-    held until its lease had surely run out. The machine counted as there again, and its task, long
-    handed back, as one whose record the state service had lost: a new era began."""
+    """A machine got an answer with this owner's token, and its next report was delayed until its
+    lease had expired. The report must not make the machine count as present: its task, long
+    handed back, would look like one whose record was lost, and a new era would begin."""
     part = Part(settings, [0])
     looking(part, settings, part.now)
     part.report((0, BEFORE, "running"), token=EARLIER, seq=1)
@@ -57,8 +57,8 @@
 
 
 def test_a_lease_that_others_may_have_renewed(settings: Settings) -> None:
-    """An authority before ours may answer until it has ended: what we did not hear meanwhile
-    proves nothing."""
+    """An earlier owner may answer until its authority ends, so silence here does not prove before
+    then that the lease has expired."""
     part = Part(settings, [0])
     looking(part, settings, part.now + 20.0)
     part.report((0, BEFORE, "running"), token=EARLIER, seq=1)
@@ -69,8 +69,8 @@
 
 @pytest.mark.parametrize("state", ["fetching", "running", "ended"])
 def test_old_reports_prove_nothing_to_a_new_owner(settings: Settings, state: str) -> None:
-    """Of a machine that was released, of an earlier session and of an earlier attempt; before the
-    first report under our token and after it."""
+    """Reports of a released machine, of an earlier session and of an earlier attempt, before and
+    after the first report under this owner's token."""
     part = Part(settings, [0, 1, 2, 3])
     part.report((0, 7, state), machine="m-9", token=EARLIER, seq=3)
     part.report((1, 6, state), (2, 5, state), machine="m-2", token=EARLIER, seq=9)
@@ -89,7 +89,7 @@
         assert old == []
     assert [part.phase(i) for i in range(4)] == ["unseen", "seen", "unseen", "unseen"]
     assert part.owner.tasks[UID, 1].attempt == 8
-    # The released machine holds the barrier for a lease at most, however often its copies come.
+    # The released machine holds up the barrier for a lease at most, however many duplicates come.
     for n in range(12):
         part.tick(1.0)
         part.report((1, 8, "running"), machine="m-2", session=2, seq=51 + n)
@@ -100,9 +100,9 @@
 
 
 def test_a_start_without_an_answer_is_settled_beside_long_tasks(settings: Settings) -> None:
-    """Found by reading: a start was lost on its way and its job cancelled. Only the end of the
-    session or the machine's return proved that it would not begin, and neither comes while a
-    service runs there: the task counted against its team for good."""
+    """A direct `run` was lost and its task withdrawn. Without `run` and `kill` in order, only the
+    end of the session or the machine's return would prove that it does not start. Neither comes
+    while a service runs there, and the task would count against its team for good."""
     part = Part(settings, [])
     service = part.start(3)
     part.report((3, service, "running"))
@@ -111,19 +111,20 @@
     ((_, _, _, (run,)),) = part.owner.to_push(part.now, 10)
     assert isinstance(run, Run)
     task = part.owner.tasks[UID, 0]
-    task.withdrawn = True  # only this one, as when it is stopped for others
+    task.withdrawn = True  # only this one, as when it is evicted
     commands = part.report((3, service, "running"))
-    # In order: known to the worker from then on, and over before it can begin.
+    # In order, so that the worker knows the attempt and has ended it before it can start.
     assert commands == [Run(task.key, run.attempt), Kill(task.key, run.attempt, 0.0)]
     assert part.report((3, service, "running")) == commands  # the answer may be lost
     part.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped")
     assert part.phase(0) == "leaving"
-    # It stays known there, so that the start that was held up changes nothing.
+    # The worker keeps the ended attempt, so that the delayed `run` has no effect.
     assert part.report((0, run.attempt, "ended"), (3, service, "running"), why="stopped") == []
 
 
 def test_a_cancelled_start_without_an_answer_is_never_begun(settings: Settings) -> None:
-    """Not even to be ended at once: its machine is returned, and a service there moves."""
+    """A task of a cancelled job must not be started even to be killed at once. Its machine is
+    returned instead, and a service there moves."""
     part = Part(settings, [])
     part.put(
         job_key("wk-000002"),
@@ -160,8 +161,8 @@
 
 
 def test_an_owner_is_not_deaf_before_workers_can_have_come(part: Part) -> None:
-    """Found by days at the limit: no machine had reported here within half a second of the claim,
-    while three had just been sent on by others; the part was given up at once."""
+    """No machine reports here within half a second of the claim, while three have just been
+    redirected by other controllers. The part must not be given up for that."""
     for age_s, deaf in ((0.5, False), (1.2, False), (1.4, True)):
         now = part.now + age_s
         for name in ("m-1", "m-2", "m-3"):
@@ -175,8 +176,8 @@
 
 
 def test_a_cancelled_start_that_may_be_held_up_empties_its_machine(settings: Settings) -> None:
-    """Found by reading: beside tasks that go on the machine was returned only after them, and the
-    start could arrive later than `cancel_s`. An answer in time changes nothing for them."""
+    """Next to running tasks the machine was returned only after them, and the delayed `run` could
+    arrive later than `cancel_s`. So they are moved, unless an answer comes in time."""
     for answered in (True, False):
         part = Part(settings, [])
         part.put(
@@ -223,7 +224,7 @@
 
 
 async def confirm(world: Day, uid: str, n: int) -> None:
-    """Asks controller `n`, and the next ones in turn, until one has confirmed it."""
+    """Asks controller `n`, then the next ones in turn, until one confirms the cancellation."""
     world.checker.asked_to_cancel.add(uid)
     while await world.users.question(uid, "cancel", controller=n % len(world.settings)) != 200:
         n += 1
@@ -231,7 +232,7 @@
 
 
 async def cancel_all_along(world: Day, uids: list[str], seconds: float) -> None:
-    """One after the other, each at another controller first."""
+    """Cancels the jobs over `seconds`, each at another controller first."""
     for n, uid in enumerate(uids):
         world.nursery.start_soon(confirm, world, uid, n)
         await trio.sleep(seconds / len(uids))
@@ -259,7 +260,7 @@
     return world.names.index(world.state.data[f"r/p/{part}"][0]["o"])
 
 
-# What becomes of an owner, how soon it is started again, and how often.
+# Fault of the owner (None: a crash), seconds until a crashed one restarts, number of crashes.
 CHANGES: dict[str, tuple[Callable[[Day, int], AbstractContextManager[None]] | None, float, int]] = {
     "ends and comes home": (None, 4.0, 1),
     "back at once": (None, 0.05, 3),
@@ -271,7 +272,8 @@
 
 @pytest.mark.parametrize("how", CHANGES)
 def test_cancelled_while_a_part_changes_hands(tmp_path: Path, how: str) -> None:
-    """Before, between and after; confirmed by the old owner, by the new one and by others."""
+    """Jobs are cancelled before, during and after the change of owner, and the cancellations are
+    confirmed by the old owner, the new one and others."""
     trouble, restart_s, times = CHANGES[how]
     claims: list[int] = []
 
@@ -314,7 +316,8 @@
 
 @pytest.mark.parametrize("held_s", [0.0, 14.0])
 def test_old_reports_reach_all_as_a_leader_begins(tmp_path: Path, held_s: float) -> None:
-    """As it is recorded, or once it has acted; some of their machines are lost."""
+    """Delayed reports arrive when the new leader is recorded, or once it has acted, while some of
+    the machines are lost."""
     kept: list[int] = []
     claims: list[str] = []
 
@@ -345,7 +348,8 @@
     assert kept[1] == (kept[0] if held_s else 0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Taken over once, and back home: what was sent before makes no owner take itself for deaf.
+    # One takeover and one return to the home controller: late reports make no owner give a part
+    # up.
     assert len(claims) == 2
 
 
@@ -353,7 +357,7 @@
 
 
 def test_tasks_that_end_far_apart_across_changes_of_leader(tmp_path: Path) -> None:
-    """Each runs once, and its job is done when the last has ended, whoever leads by then."""
+    """Each task runs once, and its job is done soon after the last has ended, whoever leads."""
     jobs: list[dict[str, Any]] = [
         {
             "pieces": pieces,
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -1,5 +1,6 @@
-"""Machines that reach no controller while direct commands reach them, and machines that hang and
-go on: no lease is renewed there, nothing starts there, and what was cancelled ends in time."""
+"""Machines whose reports reach no controller while direct commands reach them, and machines that
+hang and resume: no lease is renewed there, nothing starts there, and cancelled tasks end in
+time."""
 
 from pathlib import Path
 
@@ -30,7 +31,7 @@
 def test_a_direct_start_at_a_machine_that_falls_mute_counts_until_its_lease_is_over(
     settings: Settings,
 ) -> None:
-    """Its answer, and answers to all that follows, renew nothing; it takes no more tasks."""
+    """Its answers to direct commands renew no lease, and it gets no more tasks."""
     part = Part(settings, [])
     part.report()
     part.allot([0])
@@ -53,8 +54,9 @@
 
 @pytest.mark.parametrize("who", ["nobody", "leader", "owner"])
 def test_a_day_with_mute_machines(tmp_path: Path, who: str) -> None:
-    """For longer than a lease, twice, the second time with hangs and cancellations; whoever
-    leads or owns them may end in the midst. Those that come back are used again."""
+    """Machines are mute for longer than a lease, twice, the second time with hangs and
+    cancellations, while the leader or their owner may crash. Those that recover are used
+    again."""
     mute: list[tuple[float, float, set[str]]] = []
 
     async def script(world: Day) -> None:
@@ -78,7 +80,7 @@
     assert world.unfinished == set()
     starts = [(e.at, e.machine) for e in world.happened if e.what == "started"]
     for began, over, some in mute:
-        # What had just been heard of may be given a task: it fetches for a second.
+        # A machine that reported just before may still be given a task, which fetches for 1 s.
         late = [at for at, name in starts if name in some and began + 5.5 < at < over]
         assert late == []
     _, over, some = mute[0]
@@ -86,8 +88,8 @@
 
 
 def test_a_machine_alone_in_its_silence_is_given_up_in_the_end(settings: Settings) -> None:
-    """It answers when it is asked and reports to nobody: it was charged and of no use for as
-    long as that lasted. Many at once are waited for, they come back together."""
+    """A machine that answers probes and reports to no controller costs money and is of no use.
+    If many do so at once they are kept, since they recover together."""
     lead = Lead(settings)
     names = [f"m-{i}" for i in range(60) if lead.part_of(f"m-{i}") == 0][:12]
     for name in names:
@@ -112,8 +114,8 @@
 def test_a_machine_that_answered_is_not_returned_when_its_owner_gives_it_up(
     settings: Settings,
 ) -> None:
-    """Found by a day with mute machines: what had become of asking it was forgotten at the end
-    of its lease, until it was asked again; where no more were to be had it was returned."""
+    """The results of probing a machine were forgotten when its lease ended, until it was probed
+    again; meanwhile it was returned if no more of its kind were available."""
     lead = Lead(settings)
     lead.leader.on_list([listed("m-1")], lead.now)
     for silent_s in (0.0, 9.5):
@@ -125,14 +127,14 @@
     del lead.machines["m-1"]
     lead.round()
     assert lead.last.releases == []
-    lead.now += 3.0  # asked again, and no answer
+    lead.now += 3.0  # probed again, without an answer
     lead.round()
     assert lead.last.releases == ["m-1"]
 
 
 def test_an_answer_that_renews_a_lease_ends_what_was_cancelled(settings: Settings) -> None:
-    """Also to a report of which nothing else is taken in: one from before the machine saw the
-    token, and one behind the answer to a direct command."""
+    """Also the answer to a report that is not processed otherwise: one from before the machine
+    saw the token, and one overtaken by the answer to a direct command."""
     part = Part(settings, [0, 1])
     part.put(job_key("wk-000002"), job_record(parse_job(job_body("wk-000002")), 0.0, False))
     assert part.report((0, 7, "running"), token=TOKEN - 1) == []
@@ -146,7 +148,8 @@
 
 
 def test_a_machine_that_hangs_after_each_answer_keeps_nothing_cancelled(tmp_path: Path) -> None:
-    """Three times in a row, for almost a lease, while its part changes hands in between."""
+    """It hangs three times in a row, for almost a lease, while its part changes owners in
+    between; the answers in between must kill the cancelled task."""
     controllers = []
     for settings in some_controllers(tmp_path, 5):
         workers = msgspec.structs.replace(
@@ -177,7 +180,7 @@
             status, answer = await world.ask("POST", f"/v1/jobs/{uid}/cancel")
             world.checker.answered(uid, status, answer, "cancel")
         for _ in range(2):
-            # Whoever owns its part ends.
+            # All controllers crash, so its part gets a new owner.
             world.crash(*range(5))
             await hang_when_answered(world, worker)
         await trio.sleep(20.0)
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -1,6 +1,6 @@
-"""Controllers that are cut off on one side for longer than a lease, or say nothing for more than
-a minute: what they cannot serve is served elsewhere, nobody waits for them, roles do not flap, and
-when they go on they answer no worker before they have read what became of it."""
+"""Controllers that are cut off on one side for longer than a lease, or silent for more than a
+minute: others take over what they cannot serve, no request waits for them, roles do not flap, and
+when they resume they answer no worker before they have read the current state."""
 
 import itertools
 from collections import Counter
@@ -89,12 +89,12 @@
                 uid = f"wk-7000{i:02d}"
                 body = job_body(uid, pieces=2, cpus=1.0, urgency="high")
                 world.checker.specs[uid] = {**body, "really": 3.0, "broken": False}
-                # First to the one that is cut off, as the load balancer may; then elsewhere.
+                # First to the one that is cut off, as a load balancer may do, then to others.
                 for other in range(n, n + 5):
                     other %= 5
                     asked = trio.current_time()
                     if other in silent:
-                        continue  # users do not reach it either
+                        continue  # users cannot reach it either
                     status, answer, _ = await world.network.call(
                         "users", world.settings[other].listen, "POST", "/v1/jobs", body, 5.0
                     )
@@ -115,15 +115,15 @@
     assert world.unfinished <= set(urgent)
     assert len(urgent) == LASTS_S[who] // 5
     assert not set(answers) - {200, 201, 429, 503}
-    # Nobody waits for what it held: takeover takes a term and a bit.
+    # No job waits longer than the takeover of its roles, a little more than a term.
     started = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
     delays = sorted(started[uid] - at for uid, at in urgent.items())
-    # As on a day without a cut: the fleet is full. One that is silent has to be missed first.
+    # As without a cut, since the fleet is full; a silent one has to be detected first.
     assert delays[-1] < 13.0 + (world.settings[0].term_s if "from all" in kind else 0.0)
     assert sum(delays) / len(delays) < 8.0
     began, ended = cut
     during = Counter(key for at, key in changes if began < at < ended)
-    # No role changes hands more than once while it lasts (once more by a leader's own fence).
+    # No role changes hands more than once meanwhile, except that a leader may fence itself once.
     assert all(count <= 1 for key, count in during.items() if key != "r/l"), during
     kills = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
     assert len(kills) <= 8
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -1,4 +1,5 @@
-"""One part's owner, message by message: what must never be commanded."""
+"""The owner of a part, driven message by message: which commands it gives, and when it may start
+a task again."""
 
 import msgspec
 import pytest
@@ -83,7 +84,7 @@
         return self.owner.tasks[(UID, task)].phase
 
     def start(self, task: int) -> int:
-        """Allots one task and has the machine told to run it; returns the attempt."""
+        """Assigns one task and has the machine commanded to run it; returns the attempt."""
         self.report()
         self.allot([task])
         self.tick()
@@ -108,7 +109,7 @@
     assert part.phase(1) == "seen"
     part.tick(1.5)
     assert part.phase(0) == "placed"
-    # What came after the token was never anywhere.
+    # A task assigned after the token cannot run anywhere yet.
     part.allot([0, 1, 2])
     part.tick()
     assert part.phase(2) != "unseen"
@@ -117,7 +118,7 @@
 def test_an_answered_machine_that_has_not_seen_the_token_holds_the_barrier(
     settings: Settings,
 ) -> None:
-    """Its lease was renewed by the answer, with whatever it runs."""
+    """The answer renewed its lease, and with it whatever runs there."""
     part = Part(settings, [0])
     part.report(machine="m-2")
     part.tick(9.0)
@@ -145,7 +146,8 @@
 
 
 def test_late_copies_renew_nothing(part: Part) -> None:
-    """Of a machine that has died: its tasks start elsewhere a lease after its last report."""
+    """Late duplicates of a dead machine's reports: its tasks still start elsewhere a lease after
+    its last new report."""
     attempt = part.start(0)
     part.report((0, attempt, "running"), seq=20)
     for _ in range(4):
@@ -153,7 +155,7 @@
         assert part.report((0, attempt, "running"), seq=12) == []
     assert part.phase(0) != "seen"
     assert "m-1" not in part.owner.machines
-    # Copies of any age change nothing either: ended, of an earlier session, of another attempt.
+    # Duplicates change nothing, whatever they say: ended, other attempt, running.
     before = {key: task.phase for key, task in part.owner.tasks.items()}
     for copy in ((0, attempt, "ended"), (0, attempt - 1, "ended"), (0, attempt, "running")):
         assert part.report(copy, seq=13) == []
@@ -162,7 +164,7 @@
 
 
 def test_a_report_behind_a_direct_answer_still_renews(part: Part) -> None:
-    """The answer to direct commands is newer than the check-in under way beside it; that one is
+    """The answer to direct commands overtakes a check-in that is in flight. The check-in is still
     answered, and the worker's lease counts from when it was sent."""
     attempt = part.start(0)
     part.tick(8.0)
@@ -173,7 +175,7 @@
 
 
 def test_a_machine_that_does_not_hear_gets_no_tasks(part: Part) -> None:
-    """Its reports arrive and are answered, and its lease runs out all the same."""
+    """Its reports arrive and are answered, and its lease expires all the same."""
     attempt = part.start(0)
     for _ in range(9):
         part.report((0, attempt, "running"))
@@ -181,7 +183,7 @@
     part.report(session=2, seq=1)
     assert part.phase(0) == "free"
     part.tick(1.0)
-    assert part.phase(0) == "leaving"  # no room after all: handed back
+    assert part.phase(0) == "leaving"  # no machine takes it: handed back
     for seq in range(2, 14):
         part.tick(1.0)
         part.report(session=2, seq=seq)
@@ -189,8 +191,8 @@
 
 
 def test_a_machine_that_never_shows_the_token_is_returned(settings: Settings) -> None:
-    """It holds the barrier for all unseen tasks; only its release proves that they ended. Not
-    where most are so."""
+    """It holds up the barrier for all unseen tasks; only its release proves that they ended. It
+    is not returned while most machines of the part are like that."""
     part = Part(settings, before=[0])
     for seq in range(1, 25):
         part.tick(1.0)
@@ -207,7 +209,7 @@
 
 
 def test_an_unseen_machine_that_is_to_be_returned_is_not_empty(settings: Settings) -> None:
-    """The leader's order may follow from what an earlier owner said of it."""
+    """The leader's order to retire it may rest on an earlier owner's view."""
     part = Part(settings, before=[0])
     part.report(token=TOKEN - 1)
     part.owner.retire(["m-1"])
@@ -216,8 +218,8 @@
 
 
 def test_a_withdrawn_start_without_an_answer_lets_its_machine_go(part: Part) -> None:
-    """Found by reading: the machine that was to be returned, since the start may be carried out
-    late, never counted as empty."""
+    """Guards against a machine that never counted as empty: it was to be returned because an
+    unanswered `run` of a cancelled task might still arrive there."""
     part.report()
     part.allot([0])
     part.tick()
@@ -250,13 +252,13 @@
     assert part.owner.tasks[(UID, 0)].machine == "m-1"
     part.tick(0.5)
     assert part.owner.tasks[(UID, 0)].machine == "m-2"
-    # Its late report, sent in the session that has ended, brings nothing back.
+    # Its late report, from the session that has ended, changes nothing.
     assert part.report((0, attempt, "running"), seq=900) == []
     assert part.owner.tasks[(UID, 0)].machine == "m-2"
 
 
 def test_silent_machines_are_asked_and_what_came_of_it_is_shown(part: Part) -> None:
-    """By its owner and by others; a report that came meanwhile says more."""
+    """Probes by the owner and by others; a later report supersedes their results."""
     attempt = part.start(0)
     part.report((0, attempt, "running"))
     for _ in range(3):
@@ -298,7 +300,8 @@
 
 
 def test_handing_back_is_final(part: Part) -> None:
-    """A removal may be executed late, and then others have the task."""
+    """The write that removes the task from the share may be executed late, after which another
+    part may have it. So the task is not placed here again when room appears."""
     part.report()
     part.allot([0, 1, 2, 3])
     part.tick()
@@ -312,7 +315,7 @@
     attempt = part.start(0)
     part.cancel()
     assert part.pending() == {}
-    # The `run` may have been executed after this report was sent... it is newer.
+    # The report is newer than the `run`, and lists the attempt as alive.
     assert part.report((0, attempt, "fetching")) == [Kill((UID, 0), attempt, 0.0)]
     assert part.pending() == {}
     part.report((0, attempt, "ended"), why="stopped")
@@ -320,12 +323,13 @@
 
 
 def test_an_unanswered_direct_start_is_in_flight_for_the_session(part: Part) -> None:
-    """Packets held by a cut are delivered minutes later: reports that do not list the
-    attempt prove nothing, and forgetting it would let a late `run` start it again."""
+    """Packets held up by a network cut can arrive minutes later. Until the session ends, reports
+    that do not list the attempt prove nothing, and a `forget` would let a late `run` start it
+    again."""
     part.report()
     part.allot([0])
     part.tick()
-    assert part.owner.to_push(part.now, 0) == []  # no socket left: with the next check-in
+    assert part.owner.to_push(part.now, 0) == []  # no connection left: with the next check-in
     ((name, _, session, commands),) = part.owner.to_push(part.now, 1)
     attempt = commands[0].attempt
     part.cancel()
@@ -350,8 +354,8 @@
 
 
 def test_a_job_that_fails_everywhere_is_handed_back(part: Part) -> None:
-    """One that fails on several machines is held back and brings down none of them; what is
-    given for a try is tried once."""
+    """A job that fails on several machines is handed back, and none of the machines is returned
+    for it. A task assigned as a retry is tried once."""
     attempt = part.start(0)
     part.report((0, attempt, "ended"), why="error")
     assert part.phase(0) == "free"
@@ -359,7 +363,7 @@
     part.report(machine="m-2")
     part.tick()
     task = part.owner.tasks[(UID, 0)]
-    assert task.machine == "m-2"  # and not where it failed
+    assert task.machine == "m-2"  # not where it failed
     part.allot([0, 1, 2])
     part.report((0, task.attempt, "ended"), machine="m-2", why="error")
     assert [part.phase(i) for i in (0, 1, 2)] == ["leaving"] * 3
@@ -390,8 +394,9 @@
 
 
 def test_a_share_that_grew_too_large_is_moved_out_piece_by_piece(settings: Settings) -> None:
-    """Written when larger values were allowed: its done tasks go to records of their own
-    first, and only then out of the share, so that none is ever missing or counted twice."""
+    """A share written while larger values were allowed: its done tasks are first copied to
+    separate records and only then removed from the share, so that none is ever missing or
+    counted twice."""
     state = msgspec.structs.replace(
         settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
     )
@@ -450,8 +455,8 @@
 
 @pytest.mark.parametrize("why", ["stopped", "error"])
 def test_what_was_handed_back_is_no_sign_of_lost_data(settings: Settings, why: str) -> None:
-    """A task of an authority before ours is stopped for others and handed back; the worker
-    shows it until it has heard `forget`, while the book has the task open again."""
+    """An earlier owner's task is evicted and handed back. The worker reports it until it gets
+    `forget`, while the task is open again in the book."""
     part = Part(settings, [1])
     part.owner = PartOwner(
         0, TOKEN, part.book, settings, lambda: TYPES, part.now, looks_for_strays=True
@@ -464,7 +469,7 @@
     part.allot([])
     assert part.report((1, before, "ended"), why=why) == [Forget((UID, 1), before)]
     assert part.owner.strays == {}
-    # One that runs and that no share holds is.
+    # A running attempt that no share holds is a sign of lost data.
     part.report((1, before, "running"))
     assert set(part.owner.strays) == {((UID, 1), before)}
 
@@ -472,12 +477,12 @@
 def test_a_report_that_was_not_taken_in_does_not_count(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An error of ours in the midst of a report: tasks further on in it are still there."""
+    """An internal error while a report is processed: tasks listed further on in it still run."""
     part = Part(settings, [0, 1])
     before = ((TOKEN - 9) << 20) + 1
 
     def fail(*_: object) -> None:
-        raise RuntimeError("an error of ours")
+        raise RuntimeError("injected error")
 
     with monkeypatch.context() as patch:
         patch.setattr(part.owner, "_reported", fail)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Small pieces against plain models."""
+"""Unit tests of small modules: ranges, job and body parsing, the takeback share."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -61,7 +61,7 @@
     assert (spec.cpus, spec.deadline_s, spec.types) == (3.0, None, None)
     body = job_body()
     for name in ("builds", "district", "dueS"):
-        del body[name]  # what may be null may be left out
+        del body[name]  # nullable fields are optional
     assert parse_job(body) == parse_job(job_body(dueS=None))
     assert parse_job(spec.to_wire()) == spec
 
@@ -91,8 +91,8 @@
 
 
 def test_differences_are_worked_out_in_one_pass() -> None:
-    """An array's tasks end in any order and leave thousands of spans; each was held against
-    each, a second for one difference."""
+    """An array's tasks end in any order and leave thousands of spans. Comparing each with each
+    took a second for one difference."""
 
     class Counting(tuple[tuple[int, int], ...]):
         looks = 0
@@ -109,4 +109,4 @@
     spans = Counting((4 * n, 4 * n + 1) for n in range(5000))
     evens = Ranges(tuple((4 * n, 4 * n + 2) for n in range(5000)))
     assert len(evens - Ranges(spans)) == 5000
-    assert Counting.looks < 40_000  # a few for each span, and not for each pair
+    assert Counting.looks < 40_000  # a few for each span, not for each pair
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Controllers that hang, and what their predecessors sent that comes late."""
+"""Controllers that hang, and late messages of a controller's previous process."""
 
 from pathlib import Path
 from typing import Any
@@ -17,13 +17,13 @@
 
 
 def test_a_predecessors_enrolment_that_comes_late(tmp_path: Path) -> None:
-    """It took the place of the successor's own and went with its old lease: the others took the
-    successor for gone, and it gave all its parts away for good."""
+    """The late enrolment replaced the one of the new process and expired with the old lease. The
+    others then took the new process for dead, and it gave up all its parts for good."""
     held: list[int] = []
 
     async def script(world: World) -> None:
         await trio.sleep(30.0)
-        # Away until others have its parts: its enrolment then is guarded by no role of its own.
+        # Down until others own its parts: no role of its own guards its next enrolment.
         world.restart_s = 9.0
         world.crash(1)
         await trio.sleep(8.0)
@@ -56,13 +56,13 @@
     world = play(rebuilding(tmp_path, 3), 6, MIX, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Nor does a healthy service look as if it had lost data.
+    # A healthy state service does not look as if it had lost data.
     assert "r/e" not in world.state.data
 
 
 def test_changes_go_by_way_of_one_peer_only(tmp_path: Path) -> None:
-    """A peer that carried a change and then hung: sent again by way of another, the change was
-    refused, and looked as if it had not been made."""
+    """A peer relayed a change and then hung. Sent again through another peer, the change was
+    refused, which looked as if it had not been made."""
 
     async def script(world: World) -> None:
         await trio.sleep(20.0)
@@ -70,7 +70,7 @@
         state, reach = node._desk.state, node._mesh.reach
         deaf_to = {"10.0.0.1"}
         with world.cut(deaf_to, {"10.2.0.1"}, hold=False):
-            await trio.sleep(5.0)  # it has found that its peers carry its requests
+            await trio.sleep(5.0)  # by now its peers relay its requests
             assert state.failing_since is not None
             for n in range(1, 5):
                 address = world.settings[n].mesh_addr
@@ -97,7 +97,7 @@
 def test_those_that_hang_are_asked_last() -> None:
     reach = Reach(4.0)
     names = ["a", "b", "c", "d"]
-    assert {reach.order(names, 0.0)[0] for _ in names} == set(names)  # in turn
+    assert {reach.order(names, 0.0)[0] for _ in names} == set(names)  # rotated
     reach.missed("b", 1.0)
     reach.missed("a", 2.0)
     assert reach.order(names, 3.0)[2:] == ["b", "a"]
