--- a/ryegauge/coordination/shares.py
+++ b/ryegauge/coordination/assignment_updates.py
@@ -4,10 +4,10 @@
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
 
-from ryegauge.bookkeeping.jobbook import Job, JobBook, Share, span_bytes
 from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state_replica import Assignment, Job, StateReplica, max_range_bytes
 from ryegauge.config import Settings
-from ryegauge.coordination.held import Task
+from ryegauge.coordination.owner_records import Task
 from ryegauge.protocol.jobs import MAX_TASKS, PRIORITIES
 
 # Share of its limit above which a team's waiting work is taken to wait for tasks that have
@@ -15,7 +15,7 @@
 FULL_SHARE = 0.8
 
 
-class Pending(NamedTuple):
+class AssignmentUpdate(NamedTuple):
     """A write that brings a job's share up to date."""
 
     waited_for: bool  # a user, the leader or another job waits for it
@@ -23,47 +23,47 @@
     opens: bool  # may be the last write that jobs depending on this one wait for
     tasks: int  # ended or handed back, recorded by this one write
     uid: str
-    share: Share
+    assignment: Assignment
     # Done tasks of the share that have to be copied to separate records first.
     pages: list[Ranges]
 
 
 def pending(
-    book: JobBook,
+    replica: StateReplica,
     settings: Settings,
-    part: int,
+    shard: int,
     over: Iterable[Task],
     bulky: Collection[str],
     wall: float | None = None,
-) -> list[Pending]:
+) -> list[AssignmentUpdate]:
     """The writes that bring the part's shares up to date, most urgent first: those that hand
     tasks back or are finished, since users, the leader or dependent jobs wait for them, with
     the lowest priority last; then those that only shrank. `over`: tasks that have ended or are
     handed back; `bulky`: jobs whose share record is too large. With `wall`, the wall-clock time
     in seconds, finished shares get their end time."""
-    leaving: dict[str, list[Task]] = {uid: [] for uid in bulky}
+    pending_removal: dict[str, list[Task]] = {uid: [] for uid in bulky}
     for task in over:
-        leaving.setdefault(task.key[0], []).append(task)
-    full = _full_teams(book, settings)
-    result: list[Pending] = []
-    for uid, tasks in leaving.items():
-        job: Job | None = book.jobs.get(uid)
-        if job is None or (share := job.shares.get(part)) is None:
+        pending_removal.setdefault(task.key[0], []).append(task)
+    full = _full_teams(replica, settings)
+    result: list[AssignmentUpdate] = []
+    for uid, tasks in pending_removal.items():
+        job: Job | None = replica.jobs.get(uid)
+        if job is None or (assignment := job.assignments.get(shard)) is None:
             continue
         out = Ranges.of(t.key[1] for t in tasks)
         done = Ranges.of(t.key[1] for t in tasks if t.done)
-        allotted = {zone: r - out for zone, r in share.allotted.items()}
-        all_done, pages = share.done | done, []
+        assigned = {zone: r - out for zone, r in assignment.assigned.items()}
+        all_done, pages = assignment.done | done, []
         if uid in bulky:
-            pages = _pages(share.done - job.sealed_tasks, settings)
-            all_done = all_done - job.sealed_tasks
-        after = Share(allotted, all_done, share.version)
+            pages = _pages(assignment.done - job.overflow_tasks, settings)
+            all_done = all_done - job.overflow_tasks
+        after = Assignment(assigned, all_done, assignment.version)
         if wall is not None and done and not after.count:
             after.ended_at = round(wall, 3)
         waited_for = not after.count or len(done) < len(out) or job.spec.team in full
-        opens = uid in book.dependents and not after.count
-        low = job.spec.priority == PRIORITIES[-1] and uid not in book.dependents
-        result.append(Pending(waited_for, low, opens, len(out), uid, after, pages))
+        opens = uid in replica.dependents and not after.count
+        low = job.spec.priority == PRIORITIES[-1] and uid not in replica.dependents
+        result.append(AssignmentUpdate(waited_for, low, opens, len(out), uid, after, pages))
     # In the lowest priority, the writes that release most tasks come first: otherwise an array
     # of thousands gets its next hundred tasks only after the single tasks of hundreds of jobs
     # have been written.
@@ -78,24 +78,24 @@
     return result
 
 
-def _full_teams(book: JobBook, settings: Settings) -> set[str]:
+def _full_teams(replica: StateReplica, settings: Settings) -> set[str]:
     """Names of the teams close to their limit: tasks that the book still counts against them
     keep their other jobs waiting."""
     used: dict[str, float] = {}
-    for job in book.live.values():
-        cpus = job.allotted_count * job.spec.cpus
+    for job in replica.live.values():
+        cpus = job.assigned_count * job.spec.cpus
         used[job.spec.team] = used.get(job.spec.team, 0.0) + cpus
     return {
         team.name
         for team in settings.settings.teams
-        if used.get(team.name, 0.0) > FULL_SHARE * team.most_cpus
+        if used.get(team.name, 0.0) > FULL_SHARE * team.cpu_limit
     }
 
 
-def is_bulky(job: Job, share: Share, settings: Settings) -> bool:
+def is_bulky(job: Job, assignment: Assignment, settings: Settings) -> bool:
     """Whether the done tasks of a share fill so much of its record that the leader can hardly
     add to it. They are then moved to separate records."""
-    size = len(share.done.spans) * span_bytes(job.spec.tasks)
+    size = len(assignment.done.spans) * max_range_bytes(job.spec.tasks)
     return 2 * size > settings.state_limits.value_bytes
 
 
@@ -103,5 +103,5 @@
     """Done tasks, divided into records within the size limit of a value."""
     if not tasks:
         return []
-    each = settings.state_limits.value_bytes // (2 * span_bytes(MAX_TASKS))
+    each = settings.state_limits.value_bytes // (2 * max_range_bytes(MAX_TASKS))
     return [Ranges(tasks.spans[first : first + each]) for first in range(0, len(tasks.spans), each)]
--- a/ryegauge/coordination/held.py
+++ b/ryegauge/coordination/owner_records.py
@@ -4,7 +4,7 @@
 import math
 from typing import Literal
 
-from ryegauge.detection.verdicts import Probe
+from ryegauge.detection.failure_diagnosis import ProbeResult
 from ryegauge.protocol.workers import Report, TaskKey, TaskReport
 
 # unseen: assigned before this token; may run on a machine that has not reported yet.
@@ -92,7 +92,7 @@
         self.deaf_until = -math.inf  # until then our messages seem not to reach it
         self.since = self.heard_at = now
         self.heard_from = now  # its reports have come without a long pause since then
-        self.probes: list[Probe] = []  # results of probes since it was last heard
+        self.probes: list[ProbeResult] = []  # results of probes since it was last heard
         self.notice_at: float | None = None  # when the cloud reclaims it
         self.retiring = False  # to be returned once empty
         # Since when an unanswered `run` of a cancelled job may still arrive here.
--- a/ryegauge/coordination/part.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -11,19 +11,19 @@
 
 import msgspec
 
-from ryegauge.bookkeeping.eras import PUTTING_BACK, REBUILT, era_in
-from ryegauge.bookkeeping.jobbook import JobBook
+from ryegauge.bookkeeping.epochs import RECOVERED, RESTORING, epoch_of_token
 from ryegauge.bookkeeping.ranges import Ranges
+from ryegauge.bookkeeping.state_replica import StateReplica
 from ryegauge.config import Settings
-from ryegauge.coordination import shares
-from ryegauge.coordination.held import Machine, Phase, Task
-from ryegauge.coordination.needs import make_need, task_sizes, tracks_zones
-from ryegauge.coordination.showing import Showing, Signature
-from ryegauge.detection.blame import Blame
-from ryegauge.detection.hearing import Attention, Hearing, is_deaf
-from ryegauge.detection.verdicts import SUSPECT_GAPS, Probe
+from ryegauge.coordination import assignment_updates
+from ryegauge.coordination.demands import make_demand, records_zones, task_sizes
+from ryegauge.coordination.owner_records import Machine, Phase, Task
+from ryegauge.coordination.view_publisher import Signature, ViewPublisher
+from ryegauge.detection.failure_diagnosis import SUSPECT_GAPS, ProbeResult
+from ryegauge.detection.fault_attribution import FaultAttribution
+from ryegauge.detection.last_heard import LastHeard, StallDetector, owner_unreachable
 from ryegauge.protocol.cloud import MachineType
-from ryegauge.protocol.peers import MachineView, PartView, RunSample
+from ryegauge.protocol.peers import MachineView, RunSample, ShardView
 from ryegauge.protocol.workers import (
     Command,
     Forget,
@@ -35,21 +35,21 @@
     task_key,
 )
 from ryegauge.scheduling.estimates import Estimates
-from ryegauge.scheduling.planner import Room, place, whole_room
+from ryegauge.scheduling.planner import MachineCapacity, place, unused_capacity
 
 log = logging.getLogger(__name__)
 
 # Removed machines whose late reports are still recognised; bounds the memory they take.
 REMEMBERED = 10_000
 # Longest pause, in leases, before a task that keeps failing is retried.
-LONGEST_PAUSE_LEASES = 4.0
+MAX_RETRY_PAUSE_LEASES = 4.0
 
 
 def _of(key: TaskKey) -> tuple[str, list[TaskKey]]:
     return key[0], [key]
 
 
-class PartOwner:
+class ShardOwner:
     """Places a part's tasks on its machines and follows them until their outcome is recorded.
 
     A task is started again only once its previous attempt has certainly ended: a report shows
@@ -57,26 +57,26 @@
 
     def __init__(
         self,
-        part: int,
+        shard: int,
         token: int,
-        book: JobBook,
+        replica: StateReplica,
         settings: Settings,
         types: Callable[[], dict[str, MachineType]],
         now: float,
         authority_ended_at: float = -math.inf,
-        looks_for_strays: bool = False,
+        detects_unrecorded: bool = False,
     ) -> None:
         """`types` returns the machine types known so far. Times are in seconds of the
         controller's clock. `authority_ended_at`: when the authority of every owner from before
         this era has ended. `looks_for_strays`: whether to collect attempts that workers report
         and no share record holds, since the state service may have lost the record."""
-        self.part = part
+        self.shard = shard
         self.token = token
         self._since = now
-        self._book = book
+        self._replica = replica
         self._settings = settings
         self._types = types
-        self.lease_s = settings.sure_lease_s
+        self.lease_s = settings.max_lease_s
         # After the barrier, whatever an earlier owner started has either been reported here or
         # lost its lease: an earlier owner's last answer was sent before this token existed.
         self._authority_ended_at = authority_ended_at
@@ -84,17 +84,17 @@
         # While data that the state service lost is being restored, nothing is placed, and
         # attempts that no share holds may be adopted:
         # (task, attempt) -> (seen at, zone, whether it has ended as done).
-        self._rebuilding = self._stage != REBUILT
-        self._looks_for_strays = looks_for_strays
-        self.strays: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
-        self._acquitted: set[tuple[TaskKey, int]] = set()
+        self._rebuilding = self._stage != RECOVERED
+        self._detects_unrecorded = detects_unrecorded
+        self.unrecorded: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
+        self._cleared: set[tuple[TaskKey, int]] = set()
         self.machines: dict[str, Machine] = {}
         # Machines of this part that have never reported here or were removed:
         # name -> (address, results of probing them).
-        self._unheard: dict[str, tuple[str, list[Probe]]] = {}
+        self._unheard: dict[str, tuple[str, list[ProbeResult]]] = {}
         # Machine of this part -> when another controller last got a report of it.
         self._elsewhere: dict[str, float] = {}
-        self._hearing = Hearing(Attention(settings.settings.workers.report_s, now))
+        self._hearing = LastHeard(StallDetector(settings.settings.workers.report_s, now))
         # Removed machines: reports up to this (session, sequence number) are late.
         self._stamps: dict[str, tuple[float, float]] = {}
         self.tasks: dict[TaskKey, Task] = {}
@@ -102,26 +102,26 @@
         self._attempts = token << 20
         self._free: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
-        self.leaving: set[TaskKey] = set()
+        self.pending_removal: set[TaskKey] = set()
         self._bulky: set[str] = set()  # jobs whose share record has grown too large
         self.estimates = Estimates()
         self._samples: dict[str, tuple[int, float, float]] = {}
         # Counts reports that brought something new. Most only renew a lease; a full pass for
         # each of those would take most of the controller's time.
         self.revision = 0
-        self._showing = Showing()
-        self._blame = Blame(self._any_done)
+        self._showing = ViewPublisher()
+        self._blame = FaultAttribution(self._any_done)
         self._faulty: set[str] = set()  # machines that are to be returned
         self._suspected: set[str] = set()  # machines that get no new tasks for now
         self._blamed_at = now
-        for uid in list(book.live):
+        for uid in list(replica.live):
             self._reconcile(uid, "unseen")
 
     # -- changes of the book ------------------------------------------------------
 
     @property
     def _stage(self) -> int:
-        return self._book.era_stage
+        return self._replica.recovery_stage
 
     def on_job(self, uid: str) -> None:
         """A job's records changed: takes its share of this part over from the book."""
@@ -130,15 +130,15 @@
     def _reconcile(self, uid: str, phase: Phase) -> None:
         """Adds tasks that the job's share newly holds, in `phase`, and drops those that it no
         longer holds."""
-        job = self._book.jobs.get(uid)
-        share = job.shares.get(self.part) if job is not None else None
+        job = self._replica.jobs.get(uid)
+        assignment = job.assignments.get(self.shard) if job is not None else None
         known = self._by_job.get(uid)
-        if share is None and not known:
+        if assignment is None and not known:
             self._bulky.discard(uid)
             return
         wanted: set[TaskKey] = set()
-        if share is not None:
-            for zone, ranges in share.allotted.items():
+        if assignment is not None:
+            for zone, ranges in assignment.assigned.items():
                 for index in ranges:
                     key = (uid, index)
                     wanted.add(key)
@@ -147,7 +147,11 @@
                         (self._free if phase == "free" else self._unseen).add(key)
         for key in (known or set()) - wanted:
             self._drop(key)
-        if job is not None and share is not None and shares.is_bulky(job, share, self._settings):
+        if (
+            job is not None
+            and assignment is not None
+            and assignment_updates.is_bulky(job, assignment, self._settings)
+        ):
             self._bulky.add(uid)
         else:
             self._bulky.discard(uid)
@@ -155,7 +159,7 @@
             self._by_job[uid] = wanted
         else:
             self._by_job.pop(uid, None)
-        if self._book.is_cancelled(uid):
+        if self._replica.is_cancelled(uid):
             for key in wanted:
                 self._withdraw(self.tasks[key])
 
@@ -163,7 +167,7 @@
         """Forgets a task that the share no longer holds; that is written only once the task's
         attempt has ended."""
         task = self.tasks.pop(key)
-        for keys in (self._free, self._unseen, self.leaving):
+        for keys in (self._free, self._unseen, self.pending_removal):
             keys.discard(key)
         if task.machine is not None and (m := self.machines.get(task.machine)) is not None:
             m.tasks.discard(key)
@@ -186,7 +190,7 @@
         self._unseen.discard(task.key)
         task.phase = "leaving"
         task.done = task.done or done
-        self.leaving.add(task.key)
+        self.pending_removal.add(task.key)
 
     def _end(self, task: Task) -> None:
         """The task's attempt has certainly ended, without success."""
@@ -206,7 +210,7 @@
         machine.tasks.discard(task.key)
         if self._blame.succeeded(task.key[0], machine.name):
             self._reassess()
-        job = self._book.jobs.get(task.key[0])
+        job = self._replica.jobs.get(task.key[0])
         if job is not None and task.running_since is not None and job.spec.estimate_s > 0:
             took = max(0.1, now - task.running_since)
             ratio = math.log(took / job.spec.estimate_s)
@@ -224,13 +228,13 @@
         self._blame.failed(task.key[0], machine.name, len(task.errors))
         self._reassess()
         w = self._settings.settings.workers
-        longest_s = LONGEST_PAUSE_LEASES * w.lease_s
+        longest_s = MAX_RETRY_PAUSE_LEASES * w.lease_s
         pause_s = w.report_s * 2.0 ** min(task.failed, 30) - w.report_s
         task.not_before = now + min(longest_s, pause_s)
 
     def _any_done(self, uid: str) -> bool:
         """Whether any task of the job has succeeded, by the book."""
-        job = self._book.jobs.get(uid)
+        job = self._replica.jobs.get(uid)
         return job is not None and job.done_count > 0
 
     def _reassess(self) -> None:
@@ -334,7 +338,7 @@
             elif (
                 checkin
                 and (key, task.attempt) in machine.direct
-                and not self._book.is_cancelled(key[0])
+                and not self._replica.is_cancelled(key[0])
             ):
                 # No longer wanted, but its direct `run` got no answer and may still arrive. `run`
                 # and `kill` in order make the worker record the attempt as ended, and it keeps
@@ -358,7 +362,8 @@
         return [
             Kill(key, entry.attempt, 0.0)
             for entry in report.tasks
-            if entry.state != "ended" and self._book.is_cancelled((key := task_key(entry.task))[0])
+            if entry.state != "ended"
+            and self._replica.is_cancelled((key := task_key(entry.task))[0])
         ]
 
     def _missing(
@@ -386,7 +391,7 @@
             elif task.withdrawn and checkin:
                 # Only the machine's return ensures that the task does not start.
                 machine.retiring = True
-                stuck = stuck or self._book.is_cancelled(key[0])
+                stuck = stuck or self._replica.is_cancelled(key[0])
         if checkin:
             machine.stuck_at = min(machine.stuck_at, machine.heard_at) if stuck else math.inf
 
@@ -423,7 +428,7 @@
             if task is None:
                 # The share no longer holds it: its outcome is recorded, unless the state service
                 # lost the record.
-                if not self._is_stray(machine, key, entry, now):
+                if not self._check_unrecorded(machine, key, entry, now):
                     commands += forget
             elif mine and entry.why == "done":
                 self._finish(task, machine, now)
@@ -445,13 +450,13 @@
             else:
                 commands += forget
             return
-        if task is None and self._is_stray(machine, key, entry, now):
+        if task is None and self._check_unrecorded(machine, key, entry, now):
             return
         if task is None or not mine:
             commands.append(Kill(key, attempt, 0.0))
             return
         task.phase = "seen"
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         if job is not None:
             self._cache(machine, job.spec.image, job.spec.image_gb)
         if entry.state == "running" and task.running_since is None:
@@ -472,19 +477,21 @@
         if task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
 
-    def _is_stray(self, machine: Machine, key: TaskKey, entry: TaskReport, now: float) -> bool:
+    def _check_unrecorded(
+        self, machine: Machine, key: TaskKey, entry: TaskReport, now: float
+    ) -> bool:
         """Whether an attempt that no share of this part holds may belong to a record that the
         state service lost; if so, it is collected. Without a loss there are none: a share holds
         a task until its attempt has certainly ended."""
-        if not self._looks_for_strays:
+        if not self._detects_unrecorded:
             return False
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         open_ = job is not None and job.is_open(key[1])
         attempt = entry.attempt
         if self._rebuilding:
-            if self._stage == PUTTING_BACK:
+            if self._stage == RESTORING:
                 return True
-            is_stray = open_
+            is_unrecorded = open_
         else:
             # Only attempts started by an earlier owner in this era: those of earlier eras could
             # be adopted while records were restored. An attempt that has ended proves nothing:
@@ -492,25 +499,25 @@
             # `forget`. Counting those made a task that was preempted after a takeover look like
             # data loss in a healthy state service.
             token = attempt >> 20
-            earlier = token != self.token and era_in(token) == era_in(self.token)
-            known = (key, attempt) in self._acquitted
+            earlier = token != self.token and epoch_of_token(token) == epoch_of_token(self.token)
+            known = (key, attempt) in self._cleared
             ended = entry.state == "ended"
-            is_stray = earlier and not ended and not known and (open_ or job is None)
-        if is_stray:
-            zone = machine.zone if job is not None and tracks_zones(job.spec) else ""
-            seen_at = self.strays[key, attempt][0] if (key, attempt) in self.strays else now
-            self.strays[key, attempt] = (seen_at, zone, entry.why == "done")
-        return is_stray
-
-    def acquit(self, key: TaskKey, attempt: int) -> None:
+            is_unrecorded = earlier and not ended and not known and (open_ or job is None)
+        if is_unrecorded:
+            zone = machine.zone if job is not None and records_zones(job.spec) else ""
+            seen_at = self.unrecorded[key, attempt][0] if (key, attempt) in self.unrecorded else now
+            self.unrecorded[key, attempt] = (seen_at, zone, entry.why == "done")
+        return is_unrecorded
+
+    def clear_unrecorded(self, key: TaskKey, attempt: int) -> None:
         """The attempt's record was not lost: from now on the attempt is killed, like every other
         that no share holds."""
-        self.strays.pop((key, attempt), None)
-        self._acquitted.add((key, attempt))
+        self.unrecorded.pop((key, attempt), None)
+        self._cleared.add((key, attempt))
 
-    def is_stray(self, key: TaskKey) -> bool:
+    def is_unrecorded(self, key: TaskKey) -> bool:
         """Whether, by the current book, the task is still held by no share and not finished."""
-        job = self._book.jobs.get(key[0])
+        job = self._replica.jobs.get(key[0])
         return key not in self.tasks and (job is None or job.is_open(key[1]))
 
     def _cache(self, machine: Machine, image: str, gb: float) -> None:
@@ -559,7 +566,7 @@
 
     # -- silence ------------------------------------------------------------------------
 
-    def heard_elsewhere(self, name: str, at: float) -> None:
+    def on_heard_elsewhere(self, name: str, at: float) -> None:
         """Another controller got a report of a machine of this part, at `at`."""
         self._elsewhere.pop(name, None)
         self._elsewhere[name] = at
@@ -570,7 +577,7 @@
         """Whether reports of this part's machines reach other controllers and not this one,
         although this one did not stall."""
         gap_s = self._settings.report_gap_s
-        if not self._elsewhere or self._hearing.attention.stood_still_s(now - 3 * gap_s):
+        if not self._elsewhere or self._hearing.attention.stalled_s(now - 3 * gap_s):
             return False
         if now < self._since + gap_s:
             # Machines that others heard are just being redirected here, or reported before this
@@ -578,9 +585,9 @@
             # reports did reach them, and the unseen tasks there waited for another barrier.
             return False
         heard_at = {m.name: m.heard_at for m in self.machines.values()}
-        return is_deaf(heard_at, self._elsewhere, gap_s, now)
+        return owner_unreachable(heard_at, self._elsewhere, gap_s, now)
 
-    def unheard(self, machines: Iterable[tuple[str, str]]) -> None:
+    def unreported(self, machines: Iterable[tuple[str, str]]) -> None:
         """Machines of this part that the cloud lists as running and this owner has not shown to
         the leader, as (name, address). They are probed."""
         known = self._unheard
@@ -607,7 +614,7 @@
             if all(now - p.at > gap_s for p in probes)
         ]
 
-    def probed(self, name: str, probe: Probe) -> None:
+    def probed(self, name: str, probe: ProbeResult) -> None:
         """Keeps a probe result, the latest of each controller that probed. It is dropped if the
         machine has reported since."""
         machine = self.machines.get(name)
@@ -663,7 +670,7 @@
         self._hearing.attention.look(now)
         if now - self._blamed_at > self._settings.settings.workers.lease_s:
             self._blamed_at = now
-            self._blame.keep(self._book.live, self.machines)
+            self._blame.keep(self._replica.live, self.machines)
             self._reassess()
         for machine in list(self.machines.values()):
             if now > machine.heard_at + self.lease_s:
@@ -674,12 +681,12 @@
                 self._gave_up(machine.name, (self._ended_session(machine), math.inf))
                 del self.machines[machine.name]
         if self._rebuilding:
-            if self._stage != REBUILT:
+            if self._stage != RECOVERED:
                 return
             # From now on attempts that no share holds are killed, so the barrier starts here.
             self._rebuilding = False
             self._barrier_at = max(now, self._authority_ended_at) + self.lease_s
-            self.strays.clear()
+            self.unrecorded.clear()
         # A machine that was answered and has not reported under this token yet had its lease
         # renewed, and with it whatever runs there.
         if self._unseen and now > self._barrier_at + self.lease_s:
@@ -733,18 +740,18 @@
             )
         )
 
-    def _rooms(self, now: float) -> list[Room]:
+    def _rooms(self, now: float) -> list[MachineCapacity]:
         """The free capacity of each machine that takes tasks."""
-        rooms: list[Room] = []
+        rooms: list[MachineCapacity] = []
         types = self._types()
         for machine in self.machines.values():
             type_ = types.get(machine.type)
             if type_ is None or not self._takes_tasks(machine, now):
                 continue
-            room = whole_room(type_, machine.name, machine.zone, machine.spot, self.part)
+            room = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
             room.images = set(machine.images)
             for key in self._occupants(machine):
-                job = self._book.jobs.get(key[0])
+                job = self._replica.jobs.get(key[0])
                 if job is None:
                     room.cpus = -1.0  # an unknown job runs here: place nothing
                     break
@@ -782,20 +789,20 @@
             task = self.tasks[key]
             if task.not_before <= now:
                 groups.setdefault((key[0], task.zone), []).append(key)
-        sizes = task_sizes(self._book)
+        sizes = task_sizes(self._replica)
         for (uid, zone), keys in groups.items():
-            job = self._book.jobs[uid]
+            job = self._replica.jobs[uid]
             zones = {zone: len(keys)} if zone else None
             # The leader weighed the urgency when it assigned the tasks to this part.
-            need = make_need(job, len(keys), zones, self.estimates, math.inf, sizes)
+            need = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
             avoid = set().union(*(self.tasks[key].errors for key in keys))
             open_rooms = [room for room in rooms if room.name not in avoid] if avoid else rooms
             queue = iter(keys)
             # The leader chose between spot and on-demand machines by assigning the task here.
-            taken = place(need, open_rooms, steady_only=False)
+            taken = place(need, open_rooms, on_demand_only=False)
             if avoid and need.count:
                 # Rather on a machine where it failed before than nowhere.
-                taken += place(need, rooms, steady_only=False)
+                taken += place(need, rooms, on_demand_only=False)
             for room, count in taken:
                 for _ in range(count):
                     self._start(self.tasks[next(queue)], room.name)
@@ -812,15 +819,17 @@
 
     # -- records to write and views for the leader ------------------------------------
 
-    def pending(self, wall: float | None = None) -> list[shares.Pending]:
+    def pending(self, wall: float | None = None) -> list[assignment_updates.AssignmentUpdate]:
         """The share updates that are to be written. With `wall`, the wall-clock time, shares
         that are finished get their end time."""
-        over = [self.tasks[key] for key in self.leaving]
-        return shares.pending(self._book, self._settings, self.part, over, self._bulky, wall)
+        over = [self.tasks[key] for key in self.pending_removal]
+        return assignment_updates.pending(
+            self._replica, self._settings, self.shard, over, self._bulky, wall
+        )
 
     def view(
-        self, node: str, leader: int, now: float, overheard: Iterable[tuple[str, float]] = ()
-    ) -> PartView:
+        self, node: str, leader: int, now: float, foreign_reports: Iterable[tuple[str, float]] = ()
+    ) -> ShardView:
         """The next view for the leader with this token: what it has not acknowledged yet.
         `overheard`: machines of other parts that reported here, as (name, seconds ago)."""
         machines, gone = self._showing.next(
@@ -829,25 +838,25 @@
             lambda m: self._signature(m, now),
             lambda m: self._describe(m, now),
         )
-        leaving: dict[str, int] = {}
-        for key in self.leaving:
-            leaving[key[0]] = leaving.get(key[0], 0) + 1
+        pending_removal: dict[str, int] = {}
+        for key in self.pending_removal:
+            pending_removal[key[0]] = pending_removal.get(key[0], 0) + 1
         samples = [RunSample(name, *sums) for name, sums in self._samples.items()]
         self._samples.clear()
         for sample in samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
-        return PartView(
+        return ShardView(
             node,
-            self.part,
+            self.shard,
             self.token,
-            self._book.ledger,
+            self._replica.state_revision,
             machines,
             samples,
             self._showing.seq,
             self._showing.acknowledged,
             gone,
-            list(leaving.items()),
-            list(overheard),
+            list(pending_removal.items()),
+            list(foreign_reports),
             self._silences(machines, now),
             list(self._blame.failing()),
         )
@@ -856,13 +865,13 @@
         self, shown: Iterable[MachineView], now: float
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
         """The evidence on silent machines, in the form of `PartView.silences`."""
-        stood_still_s = self._hearing.attention.stood_still_s
+        stalled_s = self._hearing.attention.stalled_s
         silent = [
             self.machines[view.name]
             for view in shown
             if view.silent_s > SUSPECT_GAPS * self._settings.report_gap_s
         ]
-        result = [(m.name, stood_still_s(m.heard_at), m.probes) for m in silent]
+        result = [(m.name, stalled_s(m.heard_at), m.probes) for m in silent]
         result += [(name, 0.0, probes) for name, (_, probes) in self._unheard.items() if probes]
         return [
             (name, stood_s, [(p.by, p.outcome, now - p.at) for p in probes])
@@ -914,7 +923,7 @@
 
     def _left_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
         """Estimated seconds until the last started of a job's tasks ends."""
-        job = self._book.jobs.get(uid)
+        job = self._replica.jobs.get(uid)
         if job is None:
             return 0.0
         run_s = self.estimates.run_s(job.spec.job_class, job.spec.estimate_s)
--- a/ryegauge/coordination/parting.py
+++ b/ryegauge/coordination/sharding.py
@@ -6,7 +6,7 @@
 from ryegauge.config import Settings
 
 
-class Parting:
+class ShardMap:
     """Assigns machines to parts by a hash of their name, among the parts whose home controller
     is in the machine's zone, if there are any. If zones cannot reach each other, an owner in
     another zone gets no reports from its machines, and their leases expire."""
@@ -16,26 +16,26 @@
         areas.update((peer.node_name, peer.area) for peer in settings.known)
         self._all = list(range(settings.settings.nodes))
         self._by_zone: dict[str, list[int]] = {}
-        for part, name in enumerate(settings.node_names):
-            self._by_zone.setdefault(areas[name], []).append(part)
+        for shard, name in enumerate(settings.node_names):
+            self._by_zone.setdefault(areas[name], []).append(shard)
 
-    def part_of(self, machine: str, zone: str) -> int:
+    def shard_of(self, machine: str, zone: str) -> int:
         """The number of the part that a machine belongs to."""
-        parts = self._by_zone.get(zone) or self._all
-        return parts[zlib.crc32(machine.encode()) % len(parts)]
+        shards = self._by_zone.get(zone) or self._all
+        return shards[zlib.crc32(machine.encode()) % len(shards)]
 
 
-def wanted_owner(
-    part: int, names: list[str], live: Collection[str], deaf: Collection[str] = ()
+def preferred_owner(
+    shard: int, names: list[str], live: Collection[str], deaf: Collection[str] = ()
 ) -> str | None:
     """The name of the controller that should own a part: its home controller, else the next
     live one in the order of `names`. Controllers in `deaf`, which get no reports from the
     part's workers, are taken only if every live one is in it. None if no controller is live."""
-    turns = [names[(part + step) % len(names)] for step in range(len(names))]
+    turns = [names[(shard + step) % len(names)] for step in range(len(names))]
     alive = [name for name in turns if name in live]
     return next((name for name in alive if name not in deaf), alive[0] if alive else None)
 
 
-def wanted_leader(names: list[str], live: Collection[str]) -> str | None:
+def preferred_leader(names: list[str], live: Collection[str]) -> str | None:
     """The name of the controller that should lead; None if no controller is live."""
-    return wanted_owner(0, names, live)
+    return preferred_owner(0, names, live)
--- a/ryegauge/coordination/showing.py
+++ b/ryegauge/coordination/view_publisher.py
@@ -3,10 +3,10 @@
 
 from collections.abc import Callable, Mapping
 
-from ryegauge.coordination.held import Machine
+from ryegauge.coordination.owner_records import Machine
 from ryegauge.protocol.peers import MachineView
 from ryegauge.protocol.workers import TaskKey
-from ryegauge.transport.http import BODY_LIMIT
+from ryegauge.transport.http import MAX_BODY_BYTES
 
 # The values of a machine that the leader is shown, to detect a change: has reported under this
 # token, takes tasks, under notice, retiring or faulty, silence in seconds, running tasks, tasks,
@@ -14,10 +14,10 @@
 Signature = tuple[bool, bool, bool, bool, float, int, frozenset[TaskKey], tuple[str, ...]]
 
 # Estimated size at which a view is cut: half the body limit, since the estimate is rough.
-VIEW_BYTES = BODY_LIMIT // 2
+VIEW_BYTES = MAX_BODY_BYTES // 2
 
 
-class Showing:
+class ViewPublisher:
     """Tracks what one leader has acknowledged of this part's machines."""
 
     def __init__(self) -> None:
--- a/ryegauge/detection/verdicts.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 
-class Outcome(StrEnum):
+class ProbeOutcome(StrEnum):
     """How a probe of a worker ended. The values are sent between controllers."""
 
     ANSWERED = "answered"
@@ -20,41 +20,41 @@
     NO_CONNECTION = "no_connection"  # dead, or cut off from the controller that probed
 
 
-class Probe(NamedTuple):
+class ProbeResult(NamedTuple):
     """The result of one probe of a worker."""
 
     by: str  # the controller that probed
-    outcome: Outcome
+    outcome: ProbeOutcome
     at: float  # time of the probe, in seconds of the evaluating controller's clock
 
     @staticmethod
     def of(by: str, outcome: str, at: float) -> "Probe | None":
         """None for an empty outcome, and for one that only a later version knows."""
-        return Probe(by, Outcome(outcome), at) if outcome in OUTCOMES else None
+        return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
 
-OUTCOMES = frozenset(str(outcome) for outcome in Outcome)
+OUTCOMES = frozenset(str(outcome) for outcome in ProbeOutcome)
 
 
-class Grade(IntEnum):
+class Severity(IntEnum):
     """How certain it is that a machine does not come back in time. Each level also allows the
     steps of those below it."""
 
-    WELL = 0
+    HEALTHY = 0
     SUSPECT = 1  # gets no new tasks and does not count as capacity
-    MISSED = 2  # renting a replacement is worth its cost
+    MISSING = 2  # renting a replacement is worth its cost
     LOST = 3  # releasing it loses less than waiting for it
-    OVER = 4  # its lease has certainly expired: nothing runs there any more
+    EXPIRED = 4  # its lease has certainly expired: nothing runs there any more
 
 
 class Cause(StrEnum):
     """The most likely cause of the silence. The values appear in the log."""
 
     NONE = "none"
-    OWNER_STOOD_STILL = "owner_stood_still"  # the owner's process stalled and read no reports
-    OWNER_DEAF = "owner_deaf"  # the machine lives; its reports do not reach its owner
+    OWNER_STALLED = "owner_stood_still"  # the owner's process stalled and read no reports
+    OWNER_UNREACHABLE = "owner_deaf"  # the machine lives; its reports do not reach its owner
     HUNG = "hung"
-    TAKEN = "taken"  # reclaimed by the cloud after a notice
+    RECLAIMED = "taken"  # reclaimed by the cloud after a notice
     ZONE_CUT = "zone_cut"  # almost no reports from its zone, and most from another zone
     DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers
     UNDECIDED = "undecided"
@@ -66,33 +66,36 @@
     silent_s: float  # seconds since its last report, without those in which its owner stalled
     waited_s: float  # seconds since its last report
     elsewhere_s: float  # seconds since another controller heard it; infinite if none did
-    probes: Collection[Probe] = ()  # since its last report
+    probes: Collection[ProbeResult] = ()  # since its last report
     notice: bool = False  # the cloud has announced that it reclaims the machine
-    stood_still_s: float = 0.0  # seconds in which its owner stalled since its last report
+    stalled_s: float = 0.0  # seconds in which its owner stalled since its last report
     heard_share: float = 1.0  # share of the part's machines that its owner hears
     zone_cut: bool = False  # its zone is one of `cut_zones`
 
 
-class Verdict(NamedTuple):
+class Diagnosis(NamedTuple):
     """The assessment of one machine."""
 
-    grade: Grade
+    severity: Severity
     cause: Cause
     # Most other machines of its part are heard, so the cause concerns this machine alone.
-    isolated: bool = True
+    silent_alone: bool = True
 
 
-WELL = Verdict(Grade.WELL, Cause.NONE)
+HEALTHY = Diagnosis(Severity.HEALTHY, Cause.NONE)
 
 
-def worth_replacing(verdict: Verdict) -> bool:
+def worth_replacing(diagnosis: Diagnosis) -> bool:
     """Whether to rent a replacement before the loss is certain. Not for a machine that hangs: it
     recovers before a replacement is up, or its lease ends soon. Replacing those rented 83
     machines for nothing in simulated days with hangs shorter than a lease."""
-    return verdict.grade >= Grade.MISSED and verdict.cause not in (Cause.OWNER_DEAF, Cause.HUNG)
+    return diagnosis.severity >= Severity.MISSING and diagnosis.cause not in (
+        Cause.OWNER_UNREACHABLE,
+        Cause.HUNG,
+    )
 
 
-class Limits(NamedTuple):
+class DetectionLimits(NamedTuple):
     """The durations that silence is compared with, in seconds, from the settings."""
 
     gap_s: float  # the longest ordinary pause between reports
@@ -106,56 +109,58 @@
 # An owner that hears a smaller share of its machines than this may itself be cut off.
 HEARING_SHARE = 0.75
 # Leases of silence up to which a machine that hangs, or whose zone is cut off, may still recover.
-HOPE_LEASES = 3.0
+RECOVERY_LEASES = 3.0
 # Controllers that must have failed to connect before a machine counts as unreachable.
 ASKED = 2
 
 
-def judge(evidence: Evidence, limits: Limits) -> Verdict:
+def diagnose(evidence: Evidence, limits: DetectionLimits) -> Diagnosis:
     """How certain the loss of a silent machine is, and the most likely cause of its silence.
 
     More evidence that it lives never raises the level; more evidence that it does not never
     lowers it. An owner that hears few of its machines cannot alone cause them to be graded as
     lost: other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
-    isolated = evidence.heard_share >= HEARING_SHARE
+    silent_alone = evidence.heard_share >= HEARING_SHARE
     over = evidence.waited_s > limits.lease_s
     if evidence.waited_s <= SUSPECT_GAPS * gap_s:
-        return Verdict(Grade.WELL, Cause.NONE, isolated)
+        return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
     if evidence.silent_s <= SUSPECT_GAPS * gap_s:
-        cause = Cause.OWNER_STOOD_STILL
-        return Verdict(Grade.OVER if over else Grade.WELL, cause, isolated)
+        cause = Cause.OWNER_STALLED
+        return Diagnosis(Severity.EXPIRED if over else Severity.HEALTHY, cause, silent_alone)
     outcomes = {probe.outcome for probe in evidence.probes}
-    if Outcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
+    if ProbeOutcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
         # It lives, and its tasks run on until its lease ends; its reports do not reach its owner.
-        return Verdict(Grade.OVER if over else Grade.SUSPECT, Cause.OWNER_DEAF, isolated)
+        return Diagnosis(
+            Severity.EXPIRED if over else Severity.SUSPECT, Cause.OWNER_UNREACHABLE, silent_alone
+        )
     cause = _cause(evidence, outcomes)
-    if evidence.waited_s > HOPE_LEASES * limits.lease_s:
+    if evidence.waited_s > RECOVERY_LEASES * limits.lease_s:
         cause = Cause.DEAD_OR_CUT
     if over:
-        grade = Grade.OVER
+        severity = Severity.EXPIRED
     elif cause in (Cause.HUNG, Cause.ZONE_CUT):
         # It may resume at any time within its lease, with all its tasks; the machines of a zone
         # come back together.
-        grade = Grade.MISSED if evidence.silent_s > LOST_GAPS * gap_s else Grade.SUSPECT
-    elif cause is Cause.TAKEN:
-        grade = Grade.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Grade.SUSPECT
+        severity = Severity.MISSING if evidence.silent_s > LOST_GAPS * gap_s else Severity.SUSPECT
+    elif cause is Cause.RECLAIMED:
+        severity = Severity.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Severity.SUSPECT
     elif evidence.silent_s <= LOST_GAPS * gap_s:
-        grade = Grade.MISSED if cause is Cause.DEAD_OR_CUT else Grade.SUSPECT
+        severity = Severity.MISSING if cause is Cause.DEAD_OR_CUT else Severity.SUSPECT
     else:
-        grade = Grade.LOST if cause is Cause.DEAD_OR_CUT or isolated else Grade.MISSED
-    return Verdict(grade, cause, isolated)
+        severity = Severity.LOST if cause is Cause.DEAD_OR_CUT or silent_alone else Severity.MISSING
+    return Diagnosis(severity, cause, silent_alone)
 
 
-def _cause(evidence: Evidence, outcomes: set[Outcome]) -> Cause:
+def _cause(evidence: Evidence, outcomes: set[ProbeOutcome]) -> Cause:
     """The most likely cause, for a machine without evidence that it lives."""
-    if outcomes & {Outcome.NO_ANSWER, Outcome.REFUSED, Outcome.RESET}:
+    if outcomes & {ProbeOutcome.NO_ANSWER, ProbeOutcome.REFUSED, ProbeOutcome.RESET}:
         return Cause.HUNG
     if evidence.notice:
-        return Cause.TAKEN
+        return Cause.RECLAIMED
     if evidence.zone_cut:
         return Cause.ZONE_CUT
-    asked = {p.by for p in evidence.probes if p.outcome is Outcome.NO_CONNECTION}
+    asked = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
     return Cause.DEAD_OR_CUT if len(asked) >= ASKED else Cause.UNDECIDED
 
 
--- a/ryegauge/detection/blame.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -31,7 +31,7 @@
 SHARED_OUTAGE = 0.25
 
 
-class Failing(NamedTuple):
+class FailingJob(NamedTuple):
     """A failing job, as the owner of a part reports it."""
 
     uid: str
@@ -49,7 +49,7 @@
         self.tries = 0
 
 
-class Blame:
+class FaultAttribution:
     """Tracks which tasks failed on which machines of one part."""
 
     def __init__(self, done: Callable[[str], bool]) -> None:
@@ -131,10 +131,10 @@
         sound = sum(not self._looks_faulty(name) for name in job.failed_on)
         return sound >= SEVERAL
 
-    def failing(self) -> list[Failing]:
+    def failing(self) -> list[FailingJob]:
         """The failing jobs of this part, to be reported to the leader."""
         return [
-            Failing(uid, len(job.failed_on), job.tries)
+            FailingJob(uid, len(job.failed_on), job.tries)
             for uid, job in self._jobs.items()
             if self.mistaken(uid)
         ]
@@ -150,7 +150,7 @@
         self.machines = self.tries = self.probes = 0
 
 
-class HeldBack:
+class RetryBackoff:
     """Failing jobs: a single task of each is retried, with exponentially growing pauses, since
     the machines may have been at fault after all. Retries never stop while the job is open."""
 
@@ -159,9 +159,9 @@
         self._first_s, self._longest_s = first_s, longest_s
         self._jobs: dict[str, _Held] = {}
 
-    def told(self, failing: Iterable[Failing], now: float) -> list[Failing]:
+    def told(self, failing: Iterable[FailingJob], now: float) -> list[FailingJob]:
         """Takes what owners report of their parts; returns the jobs that newly enter backoff."""
-        new: list[Failing] = []
+        new: list[FailingJob] = []
         tries: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing:
             m, n = tries.get(uid, (0, 0))
@@ -170,7 +170,7 @@
             held = self._jobs.get(uid)
             if held is None:
                 held = self._jobs[uid] = _Held(now)
-                new.append(Failing(uid, machines, count))
+                new.append(FailingJob(uid, machines, count))
             if count > held.tries:
                 held.tried_at = now
             held.machines, held.tries = max(held.machines, machines), max(held.tries, count)
@@ -187,7 +187,7 @@
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def latest(self, most: int) -> list[str]:
+    def newest(self, most: int) -> list[str]:
         """At most `most` jobs, those that entered backoff last."""
         return list(self._jobs)[-most:]
 
@@ -202,7 +202,7 @@
         """The pause in seconds after so many retries."""
         return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
 
-    def tried(self, uid: str, now: float) -> None:
+    def on_retry(self, uid: str, now: float) -> None:
         """One of its tasks was assigned to a part, which counts as a retry."""
         held = self._jobs.get(uid)
         if held is not None:
--- a/ryegauge/detection/hearing.py
+++ b/ryegauge/detection/last_heard.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 
-class Attention:
+class StallDetector:
     """A clock that stops while its process stalls: it advances by at most `step_s` seconds
     between two readings, and the loops of a healthy controller read it far more often."""
 
@@ -29,15 +29,15 @@
             self._stood = [*self._stood[-7:], (now, passed - self._step_s)]
         return self.time
 
-    def stood_still_s(self, since: float) -> float:
+    def stalled_s(self, since: float) -> float:
         """Seconds of stall, in the latest stalls, of those that ended after `since`."""
         return sum(lasted for until, lasted in self._stood if until > since)
 
 
-class Hearing:
+class LastHeard:
     """When each machine was last heard, by a clock that stops while the process stalls."""
 
-    def __init__(self, attention: Attention) -> None:
+    def __init__(self, attention: StallDetector) -> None:
         self.attention = attention
         self._heard: dict[str, float] = {}
 
@@ -55,7 +55,7 @@
         return math.inf if at is None else self.attention.look(now) - at
 
 
-class Overheard:
+class ForeignReports:
     """Machines of other owners that reported here and were redirected. Such a machine lives,
     even if its owner does not hear it. A worker whose owner does not answer soon tries the next
     controller, so a live machine appears here before its owner gives it up."""
@@ -65,10 +65,10 @@
         self._keep_s = keep_s
         self._at: dict[str, tuple[float, int]] = {}  # machine -> (when, its part)
 
-    def heard(self, machine: str, part: int, now: float) -> None:
+    def heard(self, machine: str, shard: int, now: float) -> None:
         """A machine of the given part reported here."""
         self._at.pop(machine, None)
-        self._at[machine] = (now, part)  # the latest is last
+        self._at[machine] = (now, shard)  # the latest is last
         while self._at and next(iter(self._at.values()))[0] < now - self._keep_s:
             del self._at[next(iter(self._at))]
 
@@ -77,10 +77,10 @@
         at most `most`."""
         result: list[tuple[str, int, float]] = []
         for machine in reversed(self._at):
-            heard_at, part = self._at[machine]
+            heard_at, shard = self._at[machine]
             if heard_at <= at or len(result) >= most:
                 break
-            result.append((machine, part, now - heard_at))
+            result.append((machine, shard, now - heard_at))
         return result
 
 
@@ -93,7 +93,7 @@
 DEAF_LEAST = 3
 
 
-def is_deaf(
+def owner_unreachable(
     heard_at: Mapping[str, float], elsewhere: Mapping[str, float], gap_s: float, now: float
 ) -> bool:
     """Whether workers' reports reach other controllers and not the owner. `heard_at`: when the
--- a/ryegauge/detection/reach.py
+++ b/ryegauge/detection/peer_reachability.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 
-class Reach:
+class PeerReachability:
     """The peers whose latest call timed out, and when."""
 
     def __init__(self, again_s: float) -> None:
@@ -17,11 +17,11 @@
         self._missed: dict[str, float] = {}
         self._turn = 0
 
-    def answered(self, name: str) -> None:
+    def on_answer(self, name: str) -> None:
         """The peer answered or refused a call."""
         self._missed.pop(name, None)
 
-    def missed(self, name: str, now: float) -> None:
+    def on_timeout(self, name: str, now: float) -> None:
         """A call timed out without a refusal: the peer hangs, or the network to it does."""
         self._missed[name] = now
 
@@ -29,7 +29,7 @@
         """Whether the peer's latest call timed out, less than `again_s` seconds ago."""
         return now - self._missed.get(name, float("-inf")) < self._again_s
 
-    def order(self, names: Iterable[str], now: float) -> list[str]:
+    def answering_first(self, names: Iterable[str], now: float) -> list[str]:
         """The peers in the order in which to call them: first those that answer, rotated on each
         call to spread the load, then the silent ones, the earliest timeout first."""
         well: list[str] = []
