--- a/ryegauge/coordination/prober.py
+++ b/ryegauge/coordination/prober.py
@@ -12,8 +12,7 @@
 from ryegauge.coordination.peer_messaging import PeerMessenger
 from ryegauge.coordination.shard_owner import ShardOwner
 from ryegauge.detection.failure_diagnosis import ProbeOutcome, ProbeResult
-from ryegauge.protocol.peers import ProbeAnswer
-from ryegauge.protocol.peers import ProbeResult as ProbeRequest
+from ryegauge.protocol.peers import ProbeAnswer, ProbeRequest
 from ryegauge.transport.http import (
     ConnectionRefused,
     ConnectionReset,
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -28,7 +28,7 @@
     at: float  # time of the probe, in seconds of the evaluating controller's clock
 
     @staticmethod
-    def of(by: str, outcome: str, at: float) -> "Probe | None":
+    def of(by: str, outcome: str, at: float) -> "ProbeResult | None":
         """None for an empty outcome, and for one that only a later version knows."""
         return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
--- a/ryegauge/detection/fault_attribution.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -159,7 +159,7 @@
         self._first_s, self._longest_s = first_s, longest_s
         self._jobs: dict[str, _Held] = {}
 
-    def told(self, failing: Iterable[FailingJob], now: float) -> list[FailingJob]:
+    def on_failing(self, failing: Iterable[FailingJob], now: float) -> list[FailingJob]:
         """Takes what owners report of their parts; returns the jobs that newly enter backoff."""
         new: list[FailingJob] = []
         tries: dict[str, tuple[int, int]] = {}
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -138,10 +138,10 @@
 
 def test_tries_of_a_job_that_is_held_back() -> None:
     held = RetryBackoff(14.0, 112.0)
-    assert held.told([FailingJob("wk-1", 2, 5), FailingJob("wk-1", 1, 4)], 100.0) == [
+    assert held.on_failing([FailingJob("wk-1", 2, 5), FailingJob("wk-1", 1, 4)], 100.0) == [
         FailingJob("wk-1", 3, 9)
     ]
-    assert held.told([FailingJob("wk-1", 3, 9)], 110.0) == []
+    assert held.on_failing([FailingJob("wk-1", 3, 9)], 110.0) == []
     now, tries = 100.0, []
     while now < 700.0:
         now += 0.5
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from ryegauge.protocol.jobs import parse_job
 from ryegauge.protocol.workers import Command, Kill, Report, Run, TaskReport
 
-__all__ = ["part"]  # a fixture
+__all__ = ["shard"]  # a fixture
 
 BEFORE = ((TOKEN - 9) << 20) + 1  # an attempt started by the earlier owner
 EARLIER = TOKEN - 9
