--- a/ryegauge/coordination/assignment_updates.py
+++ b/ryegauge/coordination/assignment_updates.py
@@ -1,4 +1,4 @@
-"""Which share records of a part are to be written. Pure functions of the book and of the tasks
+"""Which share records of a shard are to be written. Pure functions of the replica and of the tasks
 that have ended or are handed back."""
 
 from collections.abc import Collection, Iterable
@@ -11,7 +11,7 @@
 from ryegauge.protocol.jobs import MAX_TASKS, PRIORITIES
 
 # Share of its limit above which a team's waiting work is taken to wait for tasks that have
-# ended and that the book still counts against the team.
+# ended and that the replica still counts against the team.
 NEAR_LIMIT_SHARE = 0.8
 
 
@@ -36,7 +36,7 @@
     oversized: Collection[str],
     wall: float | None = None,
 ) -> list[AssignmentUpdate]:
-    """The writes that bring the part's shares up to date, most urgent first: those that hand
+    """The writes that bring the shard's shares up to date, most urgent first: those that hand
     tasks back or are finished, since users, the leader or dependent jobs wait for them, with
     the lowest priority last; then those that only shrank. `over`: tasks that have ended or are
     handed back; `bulky`: jobs whose share record is too large. With `wall`, the wall-clock time
@@ -81,7 +81,7 @@
 
 
 def _teams_near_limit(replica: StateReplica, settings: Settings) -> set[str]:
-    """Names of the teams close to their limit: tasks that the book still counts against them
+    """Names of the teams close to their limit: tasks that the replica still counts against them
     keep their other jobs waiting."""
     used: dict[str, float] = {}
     for job in replica.live.values():
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -32,12 +32,12 @@
 log = logging.getLogger(__name__)
 
 CHECKIN_PATH = "/checkin"
-# Machines of other parts that one view or message reports at most.
+# Machines of other shards that one view or message reports at most.
 MAX_FOREIGN_REPORTS = 200
 
 
 class Node:
-    """One controller process: owner of parts, and leader when it is elected."""
+    """One controller process: owner of shards, and leader when it is elected."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
             self._rebuild = rebuild.Rebuild(context, self._peer_messenger, self._job_api, disk)
             context.data_loss_suspected = self._rebuild.data_loss_suspected
         self._foreign_reports_sent_at = float("-inf")
-        self._woken_revision = 0  # revision of the book up to which the loops have been woken
+        self._woken_revision = 0  # revision of the replica up to which the loops have been woken
         context.replica.on_job.append(self._on_job)
         context.syncer.on_sync.append(self._on_sync)
 
@@ -154,12 +154,12 @@
                 await trio.sleep(self._context.report_s / 2)
 
     def _on_job(self, uid: str) -> None:
-        """A job's records changed in the book."""
+        """A job's records changed in the replica."""
         for owner in self._context.owned.values():
             owner.on_job(uid)
 
     def _on_sync(self) -> None:
-        """The book was read: takes up the roles that it newly gives this controller, and drops
+        """The replica was read: takes up the roles that it newly gives this controller, and drops
         those that it no longer gives."""
         now = trio.current_time()
         if self._context.replica.epoch != self._context.controller_lease.epoch:
@@ -173,11 +173,11 @@
             token = self._context.controller_lease.shard_token(shard)
             owner = self._context.owned.get(shard)
             if owner is not None and owner.token != token:
-                log.info("no longer owning part %d under token %d", shard, owner.token)
+                log.info("no longer owning shard %d under token %d", shard, owner.token)
                 del self._context.owned[shard]
                 owner = None
             if owner is None and token is not None:
-                log.info("owning part %d under token %d", shard, token)
+                log.info("owning shard %d under token %d", shard, token)
                 self._context.owned[shard] = ShardOwner(
                     shard,
                     token,
@@ -213,7 +213,7 @@
             self._context.wake()
 
     async def _tick_owners(self) -> None:
-        """Lets the owners of parts act on changes, and at regular intervals."""
+        """Lets the owners of shards act on changes, and at regular intervals."""
         while True:
             busy = any(owner.machines or owner.tasks for owner in self._context.owned.values())
             with trio.move_on_after(0.25 if busy else self._context.report_s / 2):
@@ -228,14 +228,14 @@
             await trio.sleep(0.04)
 
     async def _exchange_views(self) -> None:
-        """Sends the leader views of this controller's parts and applies its orders."""
+        """Sends the leader views of this controller's shards and applies its orders."""
         while True:
             for owner in list(self._context.owned.values()):
                 now = trio.current_time()
                 leader = self._context.replica.leader  # may have changed while a call to it hung
                 if leader is None or not self._context.controller_lease.valid(now):
                     continue
-                # Machines of other parts that reported here are included once, in the first view.
+                # Machines of other shards that reported here are included once, in the first view.
                 foreign_reports = self._context.foreign_reports.since(
                     self._foreign_reports_sent_at, now, MAX_FOREIGN_REPORTS
                 )
@@ -256,17 +256,17 @@
                     owner.on_view_answer(view.seq, orders.resync)
                     owner.on_released(orders.gone)
                     owner.retire(orders.retire)
-                    owner.unreported(orders.unreported)
+                    owner.on_unreported(orders.unreported)
                     owner.on_failing_jobs(orders.failing_jobs)
                     for machine, uid, count in orders.evict:
                         owner.evict(machine, uid, count)
-            # Well below the interval after which the leader considers a part out of sight.
+            # Well below the interval after which the leader considers a shard out of sight.
             with trio.move_on_after(self._context.report_s / 2):
                 await self._context.work_available.wait()
             await trio.sleep(self._context.report_s / 8)
 
     async def _hand_over(self) -> None:
-        """Hands parts over that other controllers should own."""
+        """Hands shards over that other controllers should own."""
         while True:
             await trio.sleep(self._context.report_s)
             for shard, token in self._context.controller_lease.surplus_shards():
@@ -276,16 +276,16 @@
                 await self._release_shard(shard, token)
 
     async def _release_shard(self, shard: int, token: int) -> None:
-        """Gives a part up, so that another controller can take it over."""
-        log.info("handing part %d over", shard)
+        """Gives a shard up, so that another controller can take it over."""
+        log.info("handing shard %d over", shard)
         del self._context.owned[shard]
         try:
             await self._context.controller_lease.release_shard(shard, token)
         except RETRYABLE_ERRORS as error:
-            log.info("handing part %d over failed: %s", shard, error)
+            log.info("handing shard %d over failed: %s", shard, error)
 
     async def _exchange_foreign_reports(self) -> None:
-        """Tells owners which of their workers reported here, and gives up a part whose workers
+        """Tells owners which of their workers reported here, and gives up a shard whose workers
         report to others and not here: with this owner their leases would expire."""
         sent_until = trio.current_time()
         while True:
@@ -312,7 +312,7 @@
                     and self._context.controller_lease.on_workers_unreachable(shard, now)
                 ):
                     log.warning(
-                        "giving part %d up: its workers report to other controllers, not here",
+                        "giving shard %d up: its workers report to other controllers, not here",
                         shard,
                     )
                     self._prober.remember_workers(shard, owner)
@@ -320,7 +320,7 @@
                     await self._release_shard(shard, owner.token)
 
     async def _handle_checkin(self, body: bytes) -> Reply:
-        """Answers a worker's check-in; 421 if this controller does not own its part."""
+        """Answers a worker's check-in; 421 if this controller does not own its shard."""
         report = parse_report(decode(body))
         now = trio.current_time()
         if self._rebuild is not None:
@@ -333,7 +333,7 @@
             other = self._context.replica.shards.get(shard)
             # A worker that has seen the owner's token was answered by it and has left it since.
             # Redirected to it, the worker would wait there for an answer while its lease runs
-            # out; instead it tries the other controllers in turn, and finds the part's next
+            # out; instead it tries the other controllers in turn, and finds the shard's next
             # owner.
             left = other is not None and report.token >= other.token
             if other is not None and not left and other.node != self._context.settings.node_name:
@@ -342,7 +342,7 @@
         if not self._context.controller_lease.valid(now):
             return Reply(503, {"error": "no authority"})
         if report.token > owner.token:
-            # Another controller has taken the part over; this one's authority has ended.
+            # Another controller has taken the shard over; this one's authority has ended.
             self._context.syncer.request_read()
             return Reply(421, {})
         before = owner.revision
--- a/ryegauge/coordination/outcome_writer.py
+++ b/ryegauge/coordination/outcome_writer.py
@@ -1,4 +1,4 @@
-"""Writes the outcomes of tasks, as the owners of parts have seen them, to the share records."""
+"""Writes the outcomes of tasks, as the owners of shards have seen them, to the share records."""
 
 import logging
 
@@ -17,19 +17,19 @@
 
 # Report intervals between writes of outcomes that nobody waits for. The rate of changes is
 # limited, each such write takes one from an assignment of tasks, and a later write covers more
-# tasks. The leader learns of the capacity freed meanwhile from the part's views.
+# tasks. The leader learns of the capacity freed meanwhile from the shard's views.
 IDLE_WRITE_PAUSE_REPORTS = 2.0
 # Share of this controller's rate of changes that outcomes of the lowest priority may take.
 LOWEST_PRIORITY_SHARE = 1 / 3
 
 
 class OutcomeWriter:
-    """The loop that writes task outcomes for all parts that this controller owns."""
+    """The loop that writes task outcomes for all shards that this controller owns."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self._date_ends = create_policy(context.settings).uses_ageing
-        self._wrote_at: dict[int, float] = {}  # when a part's outcomes were last written
+        self._wrote_at: dict[int, float] = {}  # when a shard's outcomes were last written
         # How many outcomes of the lowest priority may be written now.
         self._low_budget = Budget(LOWEST_PRIORITY_SHARE * context.state.writes.rate, 1.0)
 
@@ -92,11 +92,11 @@
             )
             self._low_budget.try_take(float(low_count), reserve=0.0)
         except RETRYABLE_ERRORS as error:
-            log.debug("writing outcomes of part %d failed: %s", shard, error)
+            log.debug("writing outcomes of shard %d failed: %s", shard, error)
         try:
             await self._context.syncer.wait_for_read()
         except Unavailable as error:
-            log.debug("reading after writing outcomes of part %d failed: %s", shard, error)
+            log.debug("reading after writing outcomes of shard %d failed: %s", shard, error)
 
     def _low_allowed(self, pending: list[AssignmentUpdate], pause_s: float) -> int:
         """How many outcomes of the lowest priority may go into this transaction; they have a
@@ -115,7 +115,7 @@
         self, shard: int, owner: ShardOwner, entry: AssignmentUpdate
     ) -> None:
         """Copies done tasks of a share that has grown too large to separate records. Once those
-        are in the book, the next write of the share leaves the tasks out."""
+        are in the replica, the next write of the share leaves the tasks out."""
         job = self._context.replica.jobs.get(entry.uid)
         if job is None:
             return
@@ -129,7 +129,7 @@
         try:
             await self._context.state.commit(guards, changes, timeout_s=1.0)
         except RETRYABLE_ERRORS as error:
-            log.debug("writing done tasks of %s in part %d failed: %s", entry.uid, shard, error)
+            log.debug("writing done tasks of %s in shard %d failed: %s", entry.uid, shard, error)
         try:
             await self._context.syncer.wait_for_read()
         except Unavailable as error:
--- a/ryegauge/coordination/owner_records.py
+++ b/ryegauge/coordination/owner_records.py
@@ -1,4 +1,4 @@
-"""The records that the owner of a part keeps of its tasks and machines. Times are in seconds of
+"""The records that the owner of a shard keeps of its tasks and machines. Times are in seconds of
 the controller's clock."""
 
 import math
@@ -15,7 +15,7 @@
 
 
 class Task:
-    """A task that the part's share of a job holds, and its current attempt."""
+    """A task that the shard's share of a job holds, and its current attempt."""
 
     __slots__ = (
         "attempt",
@@ -50,7 +50,7 @@
 
 
 class Machine:
-    """A machine of the part, by its reports under this owner's token."""
+    """A machine of the shard, by its reports under this owner's token."""
 
     __slots__ = (
         "address",
--- a/ryegauge/coordination/prober.py
+++ b/ryegauge/coordination/prober.py
@@ -28,7 +28,7 @@
 
 
 class Prober:
-    """Probes the silent workers of this controller's parts, and any workers for peers."""
+    """Probes the silent workers of this controller's shards, and any workers for peers."""
 
     def __init__(self, context: NodeContext, peer_messenger: PeerMessenger) -> None:
         self._context = context
@@ -36,7 +36,7 @@
         self._max_probes = divide_connections(context.settings).probes
         self._slots = trio.CapacityLimiter(self._max_probes)
         self._rotation = 0
-        # Worker addresses in parts that were given up because no reports arrived here.
+        # Worker addresses in shards that were given up because no reports arrived here.
         self._given_up_addresses: dict[int, list[str]] = {}
         peer_messenger.on_probe = self.probe_all
 
@@ -63,7 +63,7 @@
                     await self._probe_machines(owner, silent, now)
 
     def remember_workers(self, shard: int, owner: ShardOwner) -> None:
-        """Keeps the worker addresses of a part that is given up, to probe whether they can be
+        """Keeps the worker addresses of a shard that is given up, to probe whether they can be
         reached again."""
         self._given_up_addresses[shard] = [m.address for m in owner.machines.values() if m.address]
 
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -1,7 +1,7 @@
-"""The owner of one part: processes its machines' reports, tracks its tasks, issues commands.
+"""The owner of one shard: processes its machines' reports, tracks its tasks, issues commands.
 
 No I/O and no clock: `now` is passed in. One object serves one token. A controller that takes
-the part over under a higher token creates a new one, which knows nothing about the machines
+the shard over under a higher token creates a new one, which knows nothing about the machines
 until they report.
 """
 
@@ -46,11 +46,12 @@
 
 
 def _group_of(key: TaskKey) -> tuple[str, list[TaskKey]]:
+    """The task's job and, as a list, the task alone: arguments of `_remaining_s`."""
     return key[0], [key]
 
 
 class ShardOwner:
-    """Places a part's tasks on its machines and follows them until their outcome is recorded.
+    """Places a shard's tasks on its machines and follows them until their outcome is recorded.
 
     A task is started again only once its previous attempt has certainly ended: a report shows
     it, the machine was released, or the machine's lease has expired."""
@@ -68,8 +69,8 @@
     ) -> None:
         """`types` returns the machine types known so far. Times are in seconds of the
         controller's clock. `authority_ended_at`: when the authority of every owner from before
-        this era has ended. `looks_for_strays`: whether to collect attempts that workers report
-        and no share record holds, since the state service may have lost the record."""
+        this epoch has ended. `detects_unrecorded`: whether to collect attempts that workers
+        report and no assignment holds, since the state service may have lost its record."""
         self.shard = shard
         self.token = token
         self._created_at = now
@@ -82,17 +83,17 @@
         self._authority_ended_at = authority_ended_at
         self._barrier_at = max(now, authority_ended_at) + self.lease_s
         # While data that the state service lost is being restored, nothing is placed, and
-        # attempts that no share holds may be adopted:
+        # attempts that no assignment holds may be adopted:
         # (task, attempt) -> (seen at, zone, whether it has ended as done).
         self._rebuilding = self._stage != RECOVERED
         self._detects_unrecorded = detects_unrecorded
         self.unrecorded: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
         self._cleared: set[tuple[TaskKey, int]] = set()
         self.machines: dict[str, Machine] = {}
-        # Machines of this part that have never reported here or were removed:
+        # Machines of this shard that have never reported here or were removed:
         # name -> (address, results of probing them).
         self._unreported: dict[str, tuple[str, list[ProbeResult]]] = {}
-        # Machine of this part -> when another controller last got a report of it.
+        # Machine of this shard -> when another controller last got a report of it.
         self._heard_elsewhere_at: dict[str, float] = {}
         self._last_heard = LastHeard(StallDetector(settings.settings.workers.report_s, now))
         # Removed machines: reports up to this (session, sequence number) are late.
@@ -103,7 +104,7 @@
         self._unplaced: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
         self.pending_removal: set[TaskKey] = set()
-        self._oversized: set[str] = set()  # jobs whose share record has grown too large
+        self._oversized: set[str] = set()  # jobs whose assignment record has grown too large
         self.estimates = Estimates()
         self._run_samples: dict[str, tuple[int, float, float]] = {}
         # Counts reports that brought something new. Most only renew a lease; a full pass for
@@ -117,19 +118,20 @@
         for uid in list(replica.live):
             self._reconcile(uid, "unseen")
 
-    # -- changes of the book ------------------------------------------------------
+    # -- changes of the replica ------------------------------------------------------
 
     @property
     def _stage(self) -> int:
+        """The stage of recovery after a loss of data."""
         return self._replica.recovery_stage
 
     def on_job(self, uid: str) -> None:
-        """A job's records changed: takes its share of this part over from the book."""
+        """A job's records changed: takes its assignment to this shard over from the replica."""
         self._reconcile(uid, "unseen" if self._rebuilding else "unplaced")
 
     def _reconcile(self, uid: str, phase: Phase) -> None:
-        """Adds tasks that the job's share newly holds, in `phase`, and drops those that it no
-        longer holds."""
+        """Adds tasks that the job's assignment newly holds, in `phase`, and drops those that it
+        no longer holds."""
         job = self._replica.jobs.get(uid)
         assignment = job.assignments.get(self.shard) if job is not None else None
         known = self._by_job.get(uid)
@@ -164,8 +166,8 @@
                 self._withdraw(self.tasks[key])
 
     def _drop(self, key: TaskKey) -> None:
-        """Forgets a task that the share no longer holds; that is written only once the task's
-        attempt has ended."""
+        """Forgets a task that the assignment no longer holds; that is written only once the
+        task's attempt has ended."""
         task = self.tasks.pop(key)
         for keys in (self._unplaced, self._unseen, self.pending_removal):
             keys.discard(key)
@@ -183,9 +185,9 @@
             self._end_attempt(task)
 
     def _mark_for_removal(self, task: Task, *, done: bool) -> None:
-        """This owner never places the task again: the write that removes it from the share may
-        already be in flight with an unknown result, and the leader may then assign the task to
-        another part."""
+        """This owner never places the task again: the write that removes it from the assignment
+        may already be in flight with an unknown result, and the leader may then assign the task
+        to another shard."""
         self._unplaced.discard(task.key)
         self._unseen.discard(task.key)
         task.phase = "pending_removal"
@@ -212,8 +214,8 @@
             self._update_machine_faults()
         job = self._replica.jobs.get(task.key[0])
         if job is not None and task.running_since is not None and job.spec.estimate_s > 0:
-            took = max(0.1, now - task.running_since)
-            ratio = math.log(took / job.spec.estimate_s)
+            run_s = max(0.1, now - task.running_since)
+            ratio = math.log(run_s / job.spec.estimate_s)
             count, total, squares = self._run_samples.get(job.spec.job_class, (0, 0.0, 0.0))
             self._run_samples[job.spec.job_class] = (count + 1, total + ratio, squares + ratio**2)
         task.machine = None
@@ -221,19 +223,19 @@
 
     def _record_failure(self, task: Task, machine: Machine, now: float) -> None:
         """A task failed, by its own fault or its machine's. It is retried after growing pauses,
-        on the same machine too. Without the pause, in a part with a single machine, a task that
+        on the same machine too. Without the pause, in a shard with a single machine, a task that
         fails everywhere was retried there every second and never seen to fail elsewhere."""
         task.failed_on.add(machine.name)
         task.failures += 1
         self._faults.record_failure(task.key[0], machine.name, len(task.failed_on))
         self._update_machine_faults()
-        w = self._settings.settings.workers
-        max_pause_s = MAX_RETRY_PAUSE_LEASES * w.lease_s
-        pause_s = w.report_s * 2.0 ** min(task.failures, 30) - w.report_s
+        workers = self._settings.settings.workers
+        max_pause_s = MAX_RETRY_PAUSE_LEASES * workers.lease_s
+        pause_s = workers.report_s * 2.0 ** min(task.failures, 30) - workers.report_s
         task.not_before = now + min(max_pause_s, pause_s)
 
     def _has_done_tasks(self, uid: str) -> bool:
-        """Whether any task of the job has succeeded, by the book."""
+        """Whether any task of the job has succeeded, according to the replica."""
         job = self._replica.jobs.get(uid)
         return job is not None and job.done_count > 0
 
@@ -249,7 +251,7 @@
             self.revision += 1
 
     def on_failing_jobs(self, uids: Iterable[str]) -> None:
-        """The leader's list of jobs that fail in all parts and are in retry backoff."""
+        """The leader's list of jobs that fail in all shards and are in retry backoff."""
         if self._faults.set_failing_elsewhere(frozenset(uids)):
             self._update_machine_faults()
 
@@ -299,12 +301,12 @@
             return self._kill_cancelled(report)
         if machine.token_confirmed and report_id <= machine.last_report_id:
             return self._kill_cancelled(report)
-        first = not machine.token_confirmed
+        first_report = not machine.token_confirmed
         new_session = machine.token_confirmed and report.session != machine.last_report_id[0]
         if new_session:
             machine.unanswered_runs.clear()
             if now - machine.heard_steadily_since > self.lease_s / 2:
-                # Its lease expired although its reports were answered: our answers do not reach
+                # Its lease expired although its reports were answered: the answers do not reach
                 # it. Once a session lasts longer than a lease, they do again.
                 machine.unreachable_until = now + self.lease_s + self._settings.report_gap_s
         machine.last_report_id = report_id
@@ -315,7 +317,7 @@
         reported = {(task_key(t.task), t.attempt): t for t in report.tasks}
         self._process_unlisted(machine, reported, new_session, checkin)
         alive_attempts = {k: t for k, t in reported.items() if t.state != "ended"}
-        if first or noticed or new_session or alive_attempts != machine.alive_attempts:
+        if first_report or noticed or new_session or alive_attempts != machine.alive_attempts:
             self.revision += 1
         machine.alive_attempts = alive_attempts
         commands: list[Command] = []
@@ -323,7 +325,7 @@
             for (key, attempt), entry in reported.items():
                 self._process_entry(machine, key, attempt, entry, now, commands)
         except Exception:
-            # An internal error: the report was processed only in part, so the machine must not
+            # An internal error: the report was processed only partially, so the machine must not
             # count as having reported. Otherwise unseen tasks that the report lists would be
             # started elsewhere.
             machine.token_confirmed = False
@@ -433,8 +435,8 @@
             else:
                 forget = [Forget(key, attempt)]
             if task is None:
-                # The share no longer holds it: its outcome is recorded, unless the state service
-                # lost the record.
+                # The assignment no longer holds it: its outcome is recorded, unless the state
+                # service lost the record.
                 if not self._check_unrecorded(machine, key, entry, now):
                     commands += forget
             elif is_current and entry.why == "done":
@@ -452,8 +454,8 @@
             elif entry.why == "done":
                 if task.phase == "unplaced":
                     self._mark_for_removal(task, done=True)
-                # The worker keeps the attempt until the outcome is recorded and the share no
-                # longer holds the task.
+                # The worker keeps the attempt until the outcome is recorded and the assignment
+                # no longer holds the task.
             else:
                 commands += forget
             return
@@ -490,9 +492,9 @@
     def _check_unrecorded(
         self, machine: Machine, key: TaskKey, entry: TaskReport, now: float
     ) -> bool:
-        """Whether an attempt that no share of this part holds may belong to a record that the
-        state service lost; if so, it is collected. Without a loss there are none: a share holds
-        a task until its attempt has certainly ended."""
+        """Whether an attempt that no assignment to this shard holds may belong to a record that
+        the state service lost; if so, it is collected. Without a loss there are none: an
+        assignment holds a task until its attempt has certainly ended."""
         if not self._detects_unrecorded:
             return False
         job = self._replica.jobs.get(key[0])
@@ -503,9 +505,9 @@
                 return True
             is_unrecorded = open_
         else:
-            # Only attempts started by an earlier owner in this era: those of earlier eras could
+            # Only attempts started by an earlier owner in this epoch: those of earlier epochs could
             # be adopted while records were restored. An attempt that has ended proves nothing:
-            # once handed back, its task is open by the book until the worker has processed
+            # once handed back, its task is open in the replica until the worker has processed
             # `forget`. Counting those made a task that was preempted after a takeover look like
             # data loss in a healthy state service.
             token = attempt >> 20
@@ -521,12 +523,13 @@
 
     def clear_unrecorded(self, key: TaskKey, attempt: int) -> None:
         """The attempt's record was not lost: from now on the attempt is killed, like every other
-        that no share holds."""
+        that no assignment holds."""
         self.unrecorded.pop((key, attempt), None)
         self._cleared.add((key, attempt))
 
     def is_unrecorded(self, key: TaskKey) -> bool:
-        """Whether, by the current book, the task is still held by no share and not finished."""
+        """Whether, according to the current replica, the task is still unfinished and held by no
+        assignment."""
         job = self._replica.jobs.get(key[0])
         return key not in self.tasks and (job is None or job.is_open(key[1]))
 
@@ -544,9 +547,9 @@
     def take_direct_runs(
         self, now: float, max_machines: int
     ) -> list[tuple[str, str, int, list[Command]]]:
-        """`run` commands that need not wait for the next check-in, of at most `max_machines`:
-        (machine, address, session, commands). Only for workers that reported lately. From here
-        on each attempt counts as possibly on the machine, whatever becomes of the request."""
+        """`run` commands that need not wait for the next check-in, for at most `max_machines`
+        workers: (machine, address, session, commands). Only for workers that reported lately.
+        From here on each attempt counts as possibly started, whatever becomes of the request."""
         result: list[tuple[str, str, int, list[Command]]] = []
         for m in self.machines.values():
             if len(result) >= max_machines:
@@ -571,8 +574,8 @@
             machine.unanswered_runs -= {(c.task, c.attempt) for c in commands}
 
     def on_direct_timeout(self, name: str, now: float) -> None:
-        """A worker that reported lately did not answer direct commands: our messages may not
-        reach it. Tasks placed there wait for its session to end; no more are placed for now."""
+        """A worker that reported lately did not answer direct commands: messages may not reach
+        it. Tasks placed there wait for its session to end; no more are placed for now."""
         if (machine := self.machines.get(name)) is not None:
             machine.unreachable_until = max(
                 machine.unreachable_until, now + 2 * self._settings.report_gap_s
@@ -581,14 +584,14 @@
     # -- silence ------------------------------------------------------------------------
 
     def on_heard_elsewhere(self, name: str, at: float) -> None:
-        """Another controller got a report of a machine of this part, at `at`."""
+        """Another controller got a report of a machine of this shard, at `at`."""
         self._heard_elsewhere_at.pop(name, None)
         self._heard_elsewhere_at[name] = at
         if len(self._heard_elsewhere_at) > MAX_REMEMBERED_MACHINES:
             del self._heard_elsewhere_at[next(iter(self._heard_elsewhere_at))]
 
     def is_unreachable(self, now: float) -> bool:
-        """Whether reports of this part's machines reach other controllers and not this one,
+        """Whether reports of this shard's machines reach other controllers and not this one,
         although this one did not stall."""
         gap_s = self._settings.report_gap_s
         if not self._heard_elsewhere_at or self._last_heard.stall_detector.stalled_s(
@@ -597,14 +600,14 @@
             return False
         if now < self._created_at + gap_s:
             # Machines that others heard are just being redirected here, or reported before this
-            # owner existed. Without this wait, owners half a second old gave up parts whose
+            # owner existed. Without this wait, owners half a second old gave up shards whose
             # reports did reach them, and the unseen tasks there waited for another barrier.
             return False
         heard_at = {m.name: m.heard_at for m in self.machines.values()}
         return owner_unreachable(heard_at, self._heard_elsewhere_at, gap_s, now)
 
-    def unreported(self, machines: Iterable[tuple[str, str]]) -> None:
-        """Machines of this part that the cloud lists as running and this owner has not shown to
+    def on_unreported(self, machines: Iterable[tuple[str, str]]) -> None:
+        """Machines of this shard that the cloud lists as running and this owner has not shown to
         the leader, as (name, address). They are probed."""
         known = self._unreported
         self._unreported = {
@@ -699,7 +702,7 @@
         if self._rebuilding:
             if self._stage != RECOVERED:
                 return
-            # From now on attempts that no share holds are killed, so the barrier starts here.
+            # From now on attempts that no assignment holds are killed, so the barrier starts here.
             self._rebuilding = False
             self._barrier_at = max(now, self._authority_ended_at) + self.lease_s
             self.unrecorded.clear()
@@ -763,27 +766,27 @@
             )
         )
 
-    def _rooms(self, now: float) -> list[MachineCapacity]:
+    def _free_capacities(self, now: float) -> list[MachineCapacity]:
         """The free capacity of each machine that takes tasks."""
-        rooms: list[MachineCapacity] = []
+        capacities: list[MachineCapacity] = []
         types = self._types()
         for machine in self.machines.values():
             type_ = types.get(machine.type)
             if type_ is None or not self._takes_tasks(machine, now):
                 continue
-            room = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
-            room.images = set(machine.images)
+            capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
+            capacity.images = set(machine.images)
             for key in self._occupants(machine):
                 job = self._replica.jobs.get(key[0])
                 if job is None:
-                    room.cpus = -1.0  # an unknown job runs here: place nothing
+                    capacity.cpus = -1.0  # an unknown job runs here: place nothing
                     break
-                room.cpus -= job.spec.cpus
-                room.memory_gb -= job.spec.memory_gb
-                room.gpus -= job.spec.gpus
-            if room.cpus > 0:
-                rooms.append(room)
-        return rooms
+                capacity.cpus -= job.spec.cpus
+                capacity.memory_gb -= job.spec.memory_gb
+                capacity.gpus -= job.spec.gpus
+            if capacity.cpus > 0:
+                capacities.append(capacity)
+        return capacities
 
     def _occupants(self, machine: Machine) -> set[TaskKey]:
         """The tasks placed on the machine or reported by it."""
@@ -803,10 +806,10 @@
         )
 
     def _place(self, now: float, wall: float) -> None:
-        """Places the unplaced tasks whose retry pause is over; hands back those without room."""
+        """Places the unplaced tasks whose retry pause is over; hands back those that fit nowhere."""
         if not self._unplaced:
             return
-        rooms = self._rooms(now)
+        capacities = self._free_capacities(now)
         groups: dict[tuple[str, str], list[TaskKey]] = {}
         for key in sorted(self._unplaced):
             task = self.tasks[key]
@@ -816,24 +819,29 @@
         for (uid, zone), keys in groups.items():
             job = self._replica.jobs[uid]
             zones = {zone: len(keys)} if zone else None
-            # The leader weighed the urgency when it assigned the tasks to this part.
-            need = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
+            # The leader weighed the urgency when it assigned the tasks to this shard.
+            demand = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
             avoid = set().union(*(self.tasks[key].failed_on for key in keys))
-            open_rooms = [room for room in rooms if room.name not in avoid] if avoid else rooms
+            usable = (
+                [capacity for capacity in capacities if capacity.name not in avoid]
+                if avoid
+                else capacities
+            )
             queue = iter(keys)
             # The leader chose between spot and on-demand machines by assigning the task here.
-            taken = place(need, open_rooms, on_demand_only=False)
-            if avoid and need.count:
+            placements = place(demand, usable, on_demand_only=False)
+            if avoid and demand.count:
                 # Rather on a machine where it failed before than nowhere.
-                taken += place(need, rooms, on_demand_only=False)
-            for room, count in taken:
+                placements += place(demand, capacities, on_demand_only=False)
+            for capacity, count in placements:
                 for _ in range(count):
-                    self._start(self.tasks[next(queue)], room.name)
+                    self._start(self.tasks[next(queue)], capacity.name)
             for key in queue:
-                # No room here after all; another part may have some.
+                # No capacity here after all; another shard may have some.
                 self._mark_for_removal(self.tasks[key], done=False)
 
     def _start(self, task: Task, machine: str) -> None:
+        """Places a task on a machine under a new attempt number; `run` is sent later."""
         self._attempts += 1
         self._unplaced.discard(task.key)
         task.phase, task.machine, task.attempt = "placed", machine, self._attempts
@@ -843,18 +851,18 @@
     # -- records to write and views for the leader ------------------------------------
 
     def pending(self, wall: float | None = None) -> list[assignment_updates.AssignmentUpdate]:
-        """The share updates that are to be written. With `wall`, the wall-clock time, shares
-        that are finished get their end time."""
-        over = [self.tasks[key] for key in self.pending_removal]
+        """The assignment updates that are to be written. With `wall`, the wall-clock time,
+        assignments that are finished get their end time."""
+        removed = [self.tasks[key] for key in self.pending_removal]
         return assignment_updates.pending_updates(
-            self._replica, self._settings, self.shard, over, self._oversized, wall
+            self._replica, self._settings, self.shard, removed, self._oversized, wall
         )
 
     def view(
         self, node: str, leader: int, now: float, foreign_reports: Iterable[tuple[str, float]] = ()
     ) -> ShardView:
         """The next view for the leader with this token: what it has not acknowledged yet.
-        `overheard`: machines of other parts that reported here, as (name, seconds ago)."""
+        `foreign_reports`: machines of other shards that reported here, as (name, seconds ago)."""
         machines, gone = self._view_publisher.next_view(
             leader,
             self.machines,
@@ -887,7 +895,7 @@
     def _silences(
         self, shown: Iterable[MachineView], now: float
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
-        """The evidence on silent machines, in the form of `PartView.silences`."""
+        """The evidence on silent machines, in the form of `ShardView.silences`."""
         stalled_s = self._last_heard.stall_detector.stalled_s
         silent = [
             self.machines[view.name]
@@ -897,8 +905,8 @@
         result = [(m.name, stalled_s(m.heard_at), m.probes) for m in silent]
         result += [(name, 0.0, probes) for name, (_, probes) in self._unreported.items() if probes]
         return [
-            (name, stood_s, [(p.by, p.outcome, now - p.at) for p in probes])
-            for name, stood_s, probes in result
+            (name, stall_s, [(p.by, p.outcome, now - p.at) for p in probes])
+            for name, stall_s, probes in result
         ]
 
     def on_view_answer(self, seq: int, resync: bool) -> None:
--- a/ryegauge/coordination/sharding.py
+++ b/ryegauge/coordination/sharding.py
@@ -1,4 +1,4 @@
-"""Which part a machine belongs to, and which controller should own a part."""
+"""Which shard a machine belongs to, and which controller should own a shard."""
 
 import zlib
 from collections.abc import Collection
@@ -7,7 +7,7 @@
 
 
 class ShardMap:
-    """Assigns machines to parts by a hash of their name, among the parts whose home controller
+    """Assigns machines to shards by a hash of their name, among the shards whose home controller
     is in the machine's zone, if there are any. If zones cannot reach each other, an owner in
     another zone gets no reports from its machines, and their leases expire."""
 
@@ -20,7 +20,7 @@
             self._by_zone.setdefault(areas[name], []).append(shard)
 
     def shard_of(self, machine: str, zone: str) -> int:
-        """The number of the part that a machine belongs to."""
+        """The number of the shard that a machine belongs to."""
         shards = self._by_zone.get(zone) or self._all_shards
         return shards[zlib.crc32(machine.encode()) % len(shards)]
 
@@ -28,9 +28,9 @@
 def preferred_owner(
     shard: int, names: list[str], live: Collection[str], cut_off: Collection[str] = ()
 ) -> str | None:
-    """The name of the controller that should own a part: its home controller, else the next
+    """The name of the controller that should own a shard: its home controller, else the next
     live one in the order of `names`. Controllers in `deaf`, which get no reports from the
-    part's workers, are taken only if every live one is in it. None if no controller is live."""
+    shard's workers, are taken only if every live one is in it. None if no controller is live."""
     in_turn = [names[(shard + step) % len(names)] for step in range(len(names))]
     alive = [name for name in in_turn if name in live]
     return next((name for name in alive if name not in cut_off), alive[0] if alive else None)
--- a/ryegauge/coordination/view_publisher.py
+++ b/ryegauge/coordination/view_publisher.py
@@ -1,4 +1,4 @@
-"""Incremental views of a part for the leader: each holds what has changed since the view that
+"""Incremental views of a shard for the leader: each holds what has changed since the view that
 the leader last acknowledged. No I/O and no clock."""
 
 from collections.abc import Callable, Mapping
@@ -18,7 +18,7 @@
 
 
 class ViewPublisher:
-    """Tracks what one leader has acknowledged of this part's machines."""
+    """Tracks what one leader has acknowledged of this shard's machines."""
 
     def __init__(self) -> None:
         # The leader's token, the number of the latest view, the last view acknowledged and the
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -69,7 +69,7 @@
     probes: Collection[ProbeResult] = ()  # since its last report
     notice: bool = False  # the cloud has announced that it reclaims the machine
     stalled_s: float = 0.0  # seconds in which its owner stalled since its last report
-    heard_share: float = 1.0  # share of the part's machines that its owner hears
+    heard_share: float = 1.0  # share of the shard's machines that its owner hears
     zone_cut: bool = False  # its zone is one of `cut_zones`
 
 
@@ -78,7 +78,7 @@
 
     severity: Severity
     cause: Cause
-    # Most other machines of its part are heard, so the cause concerns this machine alone.
+    # Most other machines of its shard are heard, so the cause concerns this machine alone.
     silent_alone: bool = True
 
 
--- a/ryegauge/detection/fault_attribution.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -1,7 +1,7 @@
 """Decides whether a failed task is its job's fault or its machine's, and when a failing job is
 retried.
 
-The owner of a part keeps `Blame`, the leader `HeldBack`. No I/O; times are passed in, in seconds.
+The owner of a shard keeps `Blame`, the leader `HeldBack`. No I/O; times are passed in, in seconds.
 
 A faulty machine fails tasks of every job; a failing job fails on every machine. So
 
@@ -9,13 +9,13 @@
   themselves, and none of its tasks has ever succeeded;
 - a machine counts as faulty once, since a task last succeeded there, several attempts failed on
   it of jobs that are certainly sound (some of their tasks have succeeded), even if all were
-  attempts of one task. Otherwise, in a part with a single machine, the last task of a job would
+  attempts of one task. Otherwise, in a shard with a single machine, the last task of a job would
   be retried on a faulty one for good;
 - a machine is suspected if several jobs failed there that have failed on no other machine, nor
-  in another part by the leader's list, and of which no task has succeeded. It gets no new tasks,
+  in another shard by the leader's list, and of which no task has succeeded. It gets no new tasks,
   but is not returned for that: further attempts of those jobs elsewhere confirm or clear it.
 
-If more than a certain share of a part's machines look faulty at once, the cause is something
+If more than a certain share of a shard's machines look faulty at once, the cause is something
 that they have in common, and none of them is returned.
 """
 
@@ -27,12 +27,12 @@
 
 # How many machines, jobs or attempts are evidence; a single failure may be chance.
 MIN_EVIDENCE = 2
-# Share of a part's machines above which simultaneous faults are taken for a common cause.
+# Share of a shard's machines above which simultaneous faults are taken for a common cause.
 COMMON_CAUSE_SHARE = 0.25
 
 
 class FailingJob(NamedTuple):
-    """A failing job, as the owner of a part reports it."""
+    """A failing job, as the owner of a shard reports it."""
 
     uid: str
     machines: int  # machines on which its tasks failed
@@ -40,7 +40,7 @@
 
 
 class _JobFailures:
-    """The failures of one job in this part."""
+    """The failures of one job in this shard."""
 
     __slots__ = ("failed_on", "tries")
 
@@ -50,7 +50,7 @@
 
 
 class FaultAttribution:
-    """Tracks which tasks failed on which machines of one part."""
+    """Tracks which tasks failed on which machines of one shard."""
 
     def __init__(self, done: Callable[[str], bool]) -> None:
         """`done`: whether any task of a job is known to have succeeded."""
@@ -61,7 +61,7 @@
         self._failing_elsewhere: frozenset[str] = frozenset()
 
     def set_failing_elsewhere(self, is_failing: Collection[str]) -> bool:
-        """Takes the leader's list of jobs that fail in other parts too; returns whether it has
+        """Takes the leader's list of jobs that fail in other shards too; returns whether it has
         changed."""
         before, self._failing_elsewhere = self._failing_elsewhere, frozenset(is_failing)
         return before != self._failing_elsewhere
@@ -116,7 +116,7 @@
         )
 
     def classify_machines(self, machines: int) -> tuple[set[str], set[str]]:
-        """The faulty machines, which are to be returned, and the suspected ones, in a part with
+        """The faulty machines, which are to be returned, and the suspected ones, in a shard with
         this number of machines. Suspected ones are kept: after all controllers had restarted, the
         first attempts of two failing jobs on the same good machine caused its return."""
         found = {name for name in self._failures_since_success if self._looks_faulty(name)}
@@ -126,7 +126,7 @@
         return faulty, found - faulty
 
     def is_failing(self, uid: str) -> bool:
-        """Whether a job fails on every machine, by the evidence of this part alone. The leader's
+        """Whether a job fails on every machine, by the evidence of this shard alone. The leader's
         list does not count, since it is itself built from these answers."""
         job = self._jobs.get(uid)
         if job is None or len(job.failed_on) < MIN_EVIDENCE or self._done(uid):
@@ -135,7 +135,7 @@
         return sound >= MIN_EVIDENCE
 
     def failing_jobs(self) -> list[FailingJob]:
-        """The failing jobs of this part, to be reported to the leader."""
+        """The failing jobs of this shard, to be reported to the leader."""
         return [
             FailingJob(uid, len(job.failed_on), job.tries)
             for uid, job in self._jobs.items()
@@ -163,7 +163,7 @@
         self._jobs: dict[str, _RetryState] = {}
 
     def on_failing(self, failing_jobs: Iterable[FailingJob], now: float) -> list[FailingJob]:
-        """Takes what owners report of their parts; returns the jobs that newly enter backoff."""
+        """Takes what owners report of their shards; returns the jobs that newly enter backoff."""
         new: list[FailingJob] = []
         tries: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing_jobs:
@@ -206,7 +206,7 @@
         return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
 
     def on_retry(self, uid: str, now: float) -> None:
-        """One of its tasks was assigned to a part, which counts as a retry."""
+        """One of its tasks was assigned to a shard, which counts as a retry."""
         held = self._jobs.get(uid)
         if held is not None:
             held.tried_at, held.probes = now, held.probes + 1
--- a/ryegauge/detection/last_heard.py
+++ b/ryegauge/detection/last_heard.py
@@ -63,17 +63,17 @@
     def __init__(self, keep_s: float) -> None:
         """`keep_s`: for how many seconds a report is kept."""
         self._keep_s = keep_s
-        self._read_at: dict[str, tuple[float, int]] = {}  # machine -> (when, its part)
+        self._read_at: dict[str, tuple[float, int]] = {}  # machine -> (when, its shard)
 
     def on_report(self, machine: str, shard: int, now: float) -> None:
-        """A machine of the given part reported here."""
+        """A machine of the given shard reported here."""
         self._read_at.pop(machine, None)
         self._read_at[machine] = (now, shard)  # the latest is last
         while self._read_at and next(iter(self._read_at.values()))[0] < now - self._keep_s:
             del self._read_at[next(iter(self._read_at))]
 
     def since(self, at: float, now: float, most: int) -> list[tuple[str, int, float]]:
-        """(machine, part, seconds ago) of the machines that reported after `at`, latest first and
+        """(machine, shard, seconds ago) of the machines that reported after `at`, latest first and
         at most `most`."""
         result: list[tuple[str, int, float]] = []
         for machine in reversed(self._read_at):
@@ -99,7 +99,7 @@
     """Whether workers' reports reach other controllers and not the owner. `heard_at`: when the
     owner last heard each of its machines; `elsewhere`: when others did; `gap_s`: the longest
     ordinary pause between reports. Machines that the owner never heard count too: it may have
-    taken the part over although its reports do not reach it."""
+    taken the shard over although its reports do not reach it."""
     others = {
         name
         for name, at in elsewhere.items()
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -67,7 +67,7 @@
     returned: set[str] = set()
     elsewhere: set[str] = set()
     for _ in range(700):
-        if rng.random() < 0.05:  # the leader reports failures in other parts
+        if rng.random() < 0.05:  # the leader reports failures in other shards
             elsewhere = {uid for uid in bad_jobs if rng.random() < 0.5}
             faults.set_failing_elsewhere(elsewhere)
         uid, task = rng.choice(jobs), rng.randrange(6)
@@ -93,7 +93,7 @@
 
 
 def test_one_task_that_has_nowhere_else_to_go_accuses_its_machine() -> None:
-    """In a part with a single machine that is faulty, the last task of a job was never done."""
+    """In a shard with a single machine that is faulty, the last task of a job was never done."""
     faults = FaultAttribution({"wk-1"}.__contains__)
     faults.record_failure("wk-1", "m-1", 1)
     assert faults.classify_machines(1) == (set(), set())
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -201,4 +201,4 @@
         {**heard, "m-9": 95.0, "m-8": 95.0, "m-7": 96.0}, elsewhere, 3.0, 97.0
     )
     assert not owner_unreachable({**heard, **dict.fromkeys(elsewhere, 96.5)}, elsewhere, 3.0, 97.0)
-    assert owner_unreachable({}, elsewhere, 3.0, 97.0)  # took the part over and never heard any
+    assert owner_unreachable({}, elsewhere, 3.0, 97.0)  # took the shard over and never heard any
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -32,7 +32,7 @@
 
 
 def use_tracking_owner(shard: ShardHarness, settings: Settings, authority_ended_at: float) -> None:
-    """Gives the part an owner that looks for tasks whose records were lost."""
+    """Gives the shard an owner that looks for tasks whose records were lost."""
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, authority_ended_at, True
     )
@@ -42,7 +42,7 @@
 def test_a_report_delayed_for_longer_than_its_lease(settings: Settings) -> None:
     """A machine got an answer with this owner's token, and its next report was delayed until its
     lease had expired. The report must not make the machine count as present: its task, long
-    handed back, would look like one whose record was lost, and a new era would begin."""
+    handed back, would look like one whose record was lost, and a new epoch would begin."""
     shard = ShardHarness(settings, [0])
     use_tracking_owner(shard, settings, shard.now)
     shard.report((0, EARLIER_ATTEMPT, "running"), token=EARLIER_TOKEN, seq=1)
@@ -167,7 +167,7 @@
 
 def test_an_owner_is_not_unreachable_before_workers_can_report(shard: ShardHarness) -> None:
     """No machine reports here within half a second of the claim, while three have just been
-    redirected by other controllers. The part must not be given up for that."""
+    redirected by other controllers. The shard must not be given up for that."""
     for age_s, is_unreachable in ((0.5, False), (1.2, False), (1.4, True)):
         now = shard.now + age_s
         for name in ("m-1", "m-2", "m-3"):
@@ -258,7 +258,7 @@
 
 
 def owner_of_busiest_part(world: Day) -> int:
-    """The controller that owns the part with most tasks on its machines."""
+    """The controller that owns the shard with most tasks on its machines."""
     parting = ShardMap(world.settings[0])
     tasks: Counter[int] = Counter()
     for worker in world.workers.values():
@@ -357,7 +357,7 @@
     assert kept[1] == (kept[0] if held_s else 0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # One takeover and one return to the home controller: late reports make no owner give a part
+    # One takeover and one return to the home controller: late reports make no owner give a shard
     # up.
     assert len(claims) == 2
 
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -148,7 +148,7 @@
 
 
 def test_a_machine_that_hangs_after_each_answer_keeps_nothing_cancelled(tmp_path: Path) -> None:
-    """It hangs three times in a row, for almost a lease, while its part changes owners in
+    """It hangs three times in a row, for almost a lease, while its shard changes owners in
     between; the answers in between must kill the cancelled task."""
     controllers = []
     for settings in some_controllers(tmp_path, 5):
@@ -180,7 +180,7 @@
             status, answer = await world.ask("POST", f"/v1/jobs/{uid}/cancel")
             world.checker.answered(uid, status, answer, "cancel")
         for _ in range(2):
-            # All controllers crash, so its part gets a new owner.
+            # All controllers crash, so its shard gets a new owner.
             world.crash(*range(5))
             await hang_when_answered(world, worker)
         await trio.sleep(20.0)
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -1,4 +1,4 @@
-"""The owner of a part, driven message by message: which commands it gives, and when it may start
+"""The owner of a shard, driven message by message: which commands it gives, and when it may start
 a task again."""
 
 import msgspec
@@ -29,7 +29,7 @@
 
 
 class ShardHarness:
-    """An owner with its book, a clock and one job of four tasks of two CPUs."""
+    """An owner with its replica, a clock and one job of four tasks of two CPUs."""
 
     def __init__(self, settings: Settings, before: list[int]) -> None:
         self.replica = StateReplica()
@@ -192,7 +192,7 @@
 
 def test_a_machine_that_never_shows_the_token_is_returned(settings: Settings) -> None:
     """It holds up the barrier for all unseen tasks; only its release proves that they ended. It
-    is not returned while most machines of the part are like that."""
+    is not returned while most machines of the shard are like that."""
     shard = ShardHarness(settings, before=[0])
     for seq in range(1, 25):
         shard.tick(1.0)
@@ -264,7 +264,7 @@
     for _ in range(3):
         shard.tick(1.0)
     assert shard.owner.to_probe(shard.now) == [("m-1", "m:1")]
-    shard.owner.unreported([("m-7", "m:7"), ("m-1", "m:1")])
+    shard.owner.on_unreported([("m-7", "m:7"), ("m-1", "m:1")])
     assert shard.owner.to_probe(shard.now) == [("m-1", "m:1"), ("m-7", "m:7")]
     for by in ("node-0", "node-1"):
         shard.owner.on_probe_result("m-1", ProbeResult(by, ProbeOutcome.NO_CONNECTION, shard.now))
@@ -279,7 +279,7 @@
         "m-1", ProbeResult("node-2", ProbeOutcome.NO_CONNECTION, shard.now - 0.5)
     )
     shard.report(machine="m-7", seq=1)
-    shard.owner.unreported([])
+    shard.owner.on_unreported([])
     assert shard.owner.view("node-0", 9, shard.now).silences == []
 
 
@@ -303,7 +303,7 @@
 
 def test_handing_back_is_final(shard: ShardHarness) -> None:
     """The write that removes the task from the share may be executed late, after which another
-    part may have it. So the task is not placed here again when room appears."""
+    shard may have it. So the task is not placed here again when room appears."""
     shard.report()
     shard.allot([0, 1, 2, 3])
     shard.tick()
@@ -470,7 +470,7 @@
 @pytest.mark.parametrize("why", ["stopped", "error"])
 def test_what_was_handed_back_is_no_sign_of_lost_data(settings: Settings, why: str) -> None:
     """An earlier owner's task is evicted and handed back. The worker reports it until it gets
-    `forget`, while the task is open again in the book."""
+    `forget`, while the task is open again in the replica."""
     shard = ShardHarness(settings, [1])
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -18,12 +18,12 @@
 
 def test_a_predecessors_enrolment_that_comes_late(tmp_path: Path) -> None:
     """The late enrolment replaced the one of the new process and expired with the old lease. The
-    others then took the new process for dead, and it gave up all its parts for good."""
+    others then took the new process for dead, and it gave up all its shards for good."""
     held: list[int] = []
 
     async def script(world: World) -> None:
         await trio.sleep(30.0)
-        # Down until others own its parts: no role of its own guards its next enrolment.
+        # Down until others own its shards: no role of its own guards its next enrolment.
         world.restart_s = 9.0
         world.crash(1)
         await trio.sleep(8.0)
