--- a/ryegauge/coordination/outcome_writer.py
+++ b/ryegauge/coordination/outcome_writer.py
@@ -1,4 +1,4 @@
-"""Writes the outcomes of tasks, as the owners of shards have seen them, to the share records."""
+"""Writes the outcomes of tasks, as the owners of shards have seen them, to assignment records."""
 
 import logging
 
@@ -16,8 +16,8 @@
 log = logging.getLogger(__name__)
 
 # Report intervals between writes of outcomes that nobody waits for. The rate of changes is
-# limited, each such write takes one from an assignment of tasks, and a later write covers more
-# tasks. The leader learns of the capacity freed meanwhile from the shard's views.
+# limited, each such write delays another change that assigns tasks, and a later write covers
+# more tasks. The leader learns of the capacity freed meanwhile from the shard's views.
 IDLE_WRITE_PAUSE_REPORTS = 2.0
 # Share of this controller's rate of changes that outcomes of the lowest priority may take.
 LOWEST_PRIORITY_SHARE = 1 / 3
@@ -28,7 +28,7 @@
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
-        self._date_ends = create_policy(context.settings).uses_ageing
+        self._records_end_times = create_policy(context.settings).uses_ageing
         self._wrote_at: dict[int, float] = {}  # when a shard's outcomes were last written
         # How many outcomes of the lowest priority may be written now.
         self._low_budget = Budget(LOWEST_PRIORITY_SHARE * context.state.writes.rate, 1.0)
@@ -43,45 +43,47 @@
             if self._context.data_loss_suspected():
                 continue
             for shard, owner in list(self._context.owned.items()):
-                await self._write_pending(shard, owner)
+                await self._write_updates(shard, owner)
 
-    async def _write_pending(self, shard: int, owner: ShardOwner) -> None:
+    async def _write_updates(self, shard: int, owner: ShardOwner) -> None:
         """Writes one transaction: the outcomes that somebody waits for and, as far as the
         budget is not needed otherwise, the rest. A job's tasks end one by one, and a write for
         each exceeds the rate limit of the state service."""
-        pending = owner.pending(self._context.wall() if self._date_ends else None)
-        if not pending:
+        updates = owner.pending(self._context.wall() if self._records_end_times else None)
+        if not updates:
             return
         writes = self._context.state.writes
         now = trio.current_time()
-        if (oversized := next((entry for entry in pending if entry.pages), None)) is not None:
+        if (oversized := next((update for update in updates if update.pages), None)) is not None:
             await self._write_done_pages(shard, owner, oversized)
             return
         limits = self._context.settings.state_limits
         pause_s = IDLE_WRITE_PAUSE_REPORTS * self._context.report_s
-        allowed_low = self._low_allowed(pending, pause_s)
-        urgent = sum(entry.awaited and not entry.lowest_priority for entry in pending) + allowed_low
+        allowed_low = self._allowed_lowest_priority(updates, pause_s)
+        urgent = (
+            sum(update.awaited and not update.lowest_priority for update in updates) + allowed_low
+        )
         if not urgent and now < self._wrote_at.get(shard, 0.0) + pause_s:
             return
         self._wrote_at[shard] = now
         count = max(
             min(urgent, max(1, int(writes.available()))), int(writes.available(RESERVE_BACKGROUND))
         )
-        count = min(count, len(pending), limits.txn_ops)
+        count = min(count, len(updates), limits.txn_ops)
         if count <= 0:
             return
         guards = {shard_key(shard): owner.token}
         changes: list[Put | Delete] = []
         low_count = 0
-        for entry in pending:
-            uid, assignment = entry.uid, entry.assignment
+        for update in updates:
+            uid, assignment = update.uid, update.assignment
             record = assignment.to_record()
-            # A share recorded while larger values were allowed waits until enough of its tasks
-            # have ended.
+            # An assignment recorded while larger values were allowed waits until enough of its
+            # tasks have ended.
             if value_bytes(record) <= limits.value_bytes:
                 guards[assignment_key(uid, shard)] = assignment.version
                 changes.append(Put(assignment_key(uid, shard), record))
-                low_count += entry.awaited and entry.lowest_priority
+                low_count += update.awaited and update.lowest_priority
             if len(changes) == count:
                 break
         if not changes:
@@ -98,7 +100,7 @@
         except Unavailable as error:
             log.debug("reading after writing outcomes of shard %d failed: %s", shard, error)
 
-    def _low_allowed(self, pending: list[AssignmentUpdate], pause_s: float) -> int:
+    def _allowed_lowest_priority(self, updates: list[AssignmentUpdate], pause_s: float) -> int:
         """How many outcomes of the lowest priority may go into this transaction; they have a
         rate limit of their own. Many tiny jobs end one by one, and writing each at once used up
         the changes needed to assign urgent work. Giving them only what a transaction had left
@@ -106,30 +108,30 @@
         as done after 180 s."""
         rate = LOWEST_PRIORITY_SHARE * self._context.state.writes.rate
         self._low_budget.resize(rate, rate * pause_s)
-        waiting = sum(entry.awaited and entry.lowest_priority for entry in pending)
+        waiting = sum(update.awaited and update.lowest_priority for update in updates)
         allowed = int(self._low_budget.available(0.0))
-        together = min(waiting, int(self._low_budget.burst / 2))
-        return min(waiting, allowed) if allowed >= together else 0
+        batch = min(waiting, int(self._low_budget.burst / 2))
+        return min(waiting, allowed) if allowed >= batch else 0
 
     async def _write_done_pages(
-        self, shard: int, owner: ShardOwner, entry: AssignmentUpdate
+        self, shard: int, owner: ShardOwner, update: AssignmentUpdate
     ) -> None:
-        """Copies done tasks of a share that has grown too large to separate records. Once those
-        are in the replica, the next write of the share leaves the tasks out."""
-        job = self._context.replica.jobs.get(entry.uid)
+        """Copies done tasks of an assignment that has grown too large to overflow pages. Once
+        those are in the replica, the next write of the assignment leaves the tasks out."""
+        job = self._context.replica.jobs.get(update.uid)
         if job is None:
             return
-        number = 1 + max((n for p, n in job.overflow_pages if p == shard), default=-1)
+        first_page = 1 + max((n for s, n in job.overflow_pages if s == shard), default=-1)
         guards = {shard_key(shard): owner.token}
         changes: list[Put | Delete] = []
-        for page in entry.pages[: self._context.settings.state_limits.txn_ops]:
-            key = overflow_page_key(entry.uid, shard, number + len(changes))
+        for page in update.pages[: self._context.settings.state_limits.txn_ops]:
+            key = overflow_page_key(update.uid, shard, first_page + len(changes))
             guards[key] = 0
             changes.append(Put(key, {"d": page.flat()}))
         try:
             await self._context.state.commit(guards, changes, timeout_s=1.0)
         except RETRYABLE_ERRORS as error:
-            log.debug("writing done tasks of %s in shard %d failed: %s", entry.uid, shard, error)
+            log.debug("writing done tasks of %s in shard %d failed: %s", update.uid, shard, error)
         try:
             await self._context.syncer.wait_for_read()
         except Unavailable as error:
--- a/ryegauge/coordination/owner_records.py
+++ b/ryegauge/coordination/owner_records.py
@@ -8,14 +8,15 @@
 from ryegauge.protocol.workers import Report, TaskKey, TaskReport
 
 # unseen: assigned before this token; may run on a machine that has not reported yet.
-# free: certainly on no machine. placed: to be started on a machine, not reported by it yet.
-# seen: reported alive. leaving: ended or handed back; its removal from the share is not
-# written yet.
+# unplaced: certainly on no machine.
+# placed: to be started on a machine that has not reported it yet.
+# seen: reported alive.
+# pending_removal: ended or handed back; its removal from the assignment is not written yet.
 Phase = Literal["unseen", "unplaced", "placed", "seen", "pending_removal"]
 
 
 class Task:
-    """A task that the shard's share of a job holds, and its current attempt."""
+    """A task that a job's assignment to the shard holds, and its current attempt."""
 
     __slots__ = (
         "attempt",
@@ -87,12 +88,10 @@
         # start at any time in this session.
         self.unanswered_runs: set[tuple[TaskKey, int]] = set()
         self.token_confirmed = False  # has reported under this token
-        self.last_report_id = (
-            0,
-            0,
-        )  # (session, sequence number) of the newest report under this token
+        # (session, sequence number) of the newest report under this token.
+        self.last_report_id = (0, 0)
         self.last_checkin_id = (0, 0)  # the same of the newest check-in, under any token
-        self.unreachable_until = -math.inf  # until then our messages seem not to reach it
+        self.unreachable_until = -math.inf  # until then messages seem not to reach it
         self.first_heard_at = self.heard_at = now
         self.heard_steadily_since = now  # its reports have come without a long pause since then
         self.probes: list[ProbeResult] = []  # results of probes since it was last heard
@@ -100,9 +99,8 @@
         self.retiring = False  # to be returned once empty
         # Since when an unanswered `run` of a cancelled job may still arrive here.
         self.pending_run_since = math.inf
-        self.token_never_confirmed = (
-            False  # it has never shown this owner's token, and is returned for that
-        )
+        # It has never shown this owner's token, and is to be returned for that.
+        self.token_never_confirmed = False
         self.idle_since = now
         self.images: dict[str, float] = {}  # presumed cached, most recently used last
         self.tasks: set[TaskKey] = set()  # tasks placed here
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -806,7 +806,7 @@
         )
 
     def _place(self, now: float, wall: float) -> None:
-        """Places the unplaced tasks whose retry pause is over; hands back those that fit nowhere."""
+        """Places the unplaced tasks whose retry pause is over; hands back those that do not fit."""
         if not self._unplaced:
             return
         capacities = self._free_capacities(now)
--- a/ryegauge/coordination/view_publisher.py
+++ b/ryegauge/coordination/view_publisher.py
@@ -13,7 +13,7 @@
 # images.
 MachineSignature = tuple[bool, bool, bool, bool, float, int, frozenset[TaskKey], tuple[str, ...]]
 
-# Estimated size at which a view is cut: half the body limit, since the estimate is rough.
+# Estimated size in bytes above which a view is cut, well below the limit of a body.
 MAX_VIEW_BYTES = MAX_BODY_BYTES // 2
 
 
