--- a/ryegauge/coordination/command_sender.py
+++ b/ryegauge/coordination/command_sender.py
@@ -15,7 +15,7 @@
 
 class CommandSender:
     """Sends `run` commands to workers as soon as tasks are placed, with at most as many requests
-    in flight as `connection_limits` allows for it."""
+    in flight as `divide_connections` allows for it."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
--- a/ryegauge/coordination/connection_limits.py
+++ b/ryegauge/coordination/connection_limits.py
@@ -21,7 +21,7 @@
     """The most connections at a time, by purpose."""
 
     public: int  # from users and workers
-    inbound_peers: int  # from peers
+    inbound_peers: int  # connections that peers open to this controller
     commands: int  # direct commands in flight
     probes: int  # probes in flight
 
@@ -29,15 +29,15 @@
 def divide_connections(settings: Settings) -> ConnectionLimits:
     """Divides `max_connections` of the settings; at least half of it is for users and workers."""
     limit = settings.settings.quota.max_connections
-    peers = MAX_CONNECTIONS_PER_PEER * len(settings.known)
+    outbound_peers = MAX_CONNECTIONS_PER_PEER * len(settings.known)
     # A restarted peer connects while the connections of its previous process are still open.
-    inbound_peers = 2 * peers + SPARE_CONNECTIONS
+    inbound_peers = 2 * outbound_peers + SPARE_CONNECTIONS
     commands, probes = max(2, limit // COMMANDS_DIVISOR), max(2, limit // PROBES_DIVISOR)
     # Commands count twice: as many idle connections to workers are kept open for later commands.
     reserved = (
         MAX_STATE_CONNECTIONS
         + MAX_CLOUD_CONNECTIONS
-        + peers
+        + outbound_peers
         + inbound_peers
         + 2 * commands
         + probes
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 CHECKIN_PATH = "/checkin"
-# Machines of other shards that one view or message reports at most.
+# Most machines of other shards that are reported in one view or message.
 MAX_FOREIGN_REPORTS = 200
 
 
@@ -67,8 +67,8 @@
         )
         self._extra_source = front
         self._peer_messenger = PeerMessenger(context, self._job_api)
-        self._cloud = CloudClient(context)
-        self._leading = LeaderLoops(context, self._cloud)
+        self._cloud_client = CloudClient(context)
+        self._leader_loops = LeaderLoops(context, self._cloud_client)
         self._outcome_writer = OutcomeWriter(context)
         self._command_sender = CommandSender(context)
         self._prober = Prober(context, self._peer_messenger)
@@ -100,24 +100,24 @@
             self._peer_messenger.request_lease_extensions,
             self._peer_messenger.probe_state,
             self._peer_messenger.announce_to_peers,
-            self._leading.run_rounds,
-            self._leading.archive,
-            self._cloud.watch_catalog,
-            self._cloud.watch_fleet,
+            self._leader_loops.run_rounds,
+            self._leader_loops.archive,
+            self._cloud_client.watch_catalog,
+            self._cloud_client.watch_fleet,
         ]
         if self._rebuild is not None:
             loops.append(self._rebuild.run)
-        if (other := self._extra_source) is not None:
-            loops.append(lambda: other(self._context, self._job_api))
+        if (extra_source := self._extra_source) is not None:
+            loops.append(lambda: extra_source(self._context, self._job_api))
         settings = self._context.settings
         log.info("%s is starting, one of %d", settings.node_name, settings.settings.nodes)
         async with trio.open_nursery() as nursery:
             # Listen first: this process claims what its predecessor held because that one has
             # ended, and being able to bind its addresses shows that it has.
-            sockets = divide_connections(settings)
+            limits = divide_connections(settings)
             for address, handler, limit in (
-                (settings.listen, self._handle_public, sockets.public),
-                (settings.mesh_addr, self._peer_messenger.handle, sockets.inbound_peers),
+                (settings.listen, self._handle_public, limits.public),
+                (settings.mesh_addr, self._peer_messenger.handle, limits.inbound_peers),
             ):
                 listening = trio.Event()
                 nursery.start_soon(self._serve, address, handler, limit, listening.set)
@@ -159,8 +159,8 @@
             owner.on_job(uid)
 
     def _on_sync(self) -> None:
-        """The replica was read: takes up the roles that it newly gives this controller, and drops
-        those that it no longer gives."""
+        """The replica was updated: takes up the roles that it newly gives this controller, and
+        drops those that it no longer gives."""
         now = trio.current_time()
         if self._context.replica.epoch != self._context.controller_lease.epoch:
             self._context.controller_lease.begin_epoch(self._context.replica.epoch, now)
@@ -293,13 +293,13 @@
             now = trio.current_time()
             by_node: dict[str, list[tuple[str, int, float]]] = {}
             for entry in self._context.foreign_reports.since(sent_until, now, MAX_FOREIGN_REPORTS):
-                owner_of = self._context.replica.shards.get(entry[1])
+                role_holder = self._context.replica.shards.get(entry[1])
                 if (
-                    owner_of is not None
-                    and owner_of.node in self._peer_messenger.peers
-                    and not self._peer_messenger.reachability.is_silent(owner_of.node, now)
+                    role_holder is not None
+                    and role_holder.node in self._peer_messenger.peers
+                    and not self._peer_messenger.reachability.is_silent(role_holder.node, now)
                 ):
-                    by_node.setdefault(owner_of.node, []).append(entry)
+                    by_node.setdefault(role_holder.node, []).append(entry)
             sent_until = now
             async with trio.open_nursery() as nursery:
                 for node, entries in by_node.items():
@@ -330,14 +330,18 @@
         if owner is None:
             self._context.foreign_reports.on_report(report.machine, shard, now)
             self._context.controller_lease.on_workers_reachable(shard, now)
-            other = self._context.replica.shards.get(shard)
+            role_holder = self._context.replica.shards.get(shard)
             # A worker that has seen the owner's token was answered by it and has left it since.
             # Redirected to it, the worker would wait there for an answer while its lease runs
             # out; instead it tries the other controllers in turn, and finds the shard's next
             # owner.
-            left = other is not None and report.token >= other.token
-            if other is not None and not left and other.node != self._context.settings.node_name:
-                return Reply(421, {"foreman": other.node})
+            has_left_owner = role_holder is not None and report.token >= role_holder.token
+            if (
+                role_holder is not None
+                and not has_left_owner
+                and role_holder.node != self._context.settings.node_name
+            ):
+                return Reply(421, {"foreman": role_holder.node})
             return Reply(421, {})
         if not self._context.controller_lease.valid(now):
             return Reply(503, {"error": "no authority"})
@@ -345,9 +349,9 @@
             # Another controller has taken the shard over; this one's authority has ended.
             self._context.syncer.request_read()
             return Reply(421, {})
-        before = owner.revision
+        revision_before = owner.revision
         commands = owner.on_report(report, now)
-        if owner.revision != before:
+        if owner.revision != revision_before:
             self._context.wake()
         return Reply(200, report_reply(owner.token, commands))
 
--- a/ryegauge/coordination/prober.py
+++ b/ryegauge/coordination/prober.py
@@ -73,11 +73,11 @@
         """Probes workers, as (machine, address), directly and through peers, and passes the
         results to their owner."""
         addresses = [address for _, address in silent]
-        me = self._context.settings.node_name
+        own_name = self._context.settings.node_name
         answers: list[tuple[str, Sequence[str]]] = []
 
         async def probe_directly() -> None:
-            answers.append((me, await self.probe_all(addresses)))
+            answers.append((own_name, await self.probe_all(addresses)))
 
         async def probe_through(name: str) -> None:
             answer = await self._peer_messenger.ask(
--- a/ryegauge/coordination/sharding.py
+++ b/ryegauge/coordination/sharding.py
@@ -12,12 +12,12 @@
     another zone gets no reports from its machines, and their leases expire."""
 
     def __init__(self, settings: Settings) -> None:
-        areas = {settings.node_name: settings.area}
-        areas.update((peer.node_name, peer.area) for peer in settings.known)
+        zone_of = {settings.node_name: settings.area}
+        zone_of.update((peer.node_name, peer.area) for peer in settings.known)
         self._all_shards = list(range(settings.settings.nodes))
         self._by_zone: dict[str, list[int]] = {}
         for shard, name in enumerate(settings.node_names):
-            self._by_zone.setdefault(areas[name], []).append(shard)
+            self._by_zone.setdefault(zone_of[name], []).append(shard)
 
     def shard_of(self, machine: str, zone: str) -> int:
         """The number of the shard that a machine belongs to."""
@@ -29,11 +29,14 @@
     shard: int, names: list[str], live: Collection[str], cut_off: Collection[str] = ()
 ) -> str | None:
     """The name of the controller that should own a shard: its home controller, else the next
-    live one in the order of `names`. Controllers in `deaf`, which get no reports from the
+    live one in the order of `names`. Controllers in `cut_off`, which get no reports from the
     shard's workers, are taken only if every live one is in it. None if no controller is live."""
-    in_turn = [names[(shard + step) % len(names)] for step in range(len(names))]
-    alive = [name for name in in_turn if name in live]
-    return next((name for name in alive if name not in cut_off), alive[0] if alive else None)
+    candidates = [names[(shard + step) % len(names)] for step in range(len(names))]
+    live_candidates = [name for name in candidates if name in live]
+    return next(
+        (name for name in live_candidates if name not in cut_off),
+        live_candidates[0] if live_candidates else None,
+    )
 
 
 def preferred_leader(names: list[str], live: Collection[str]) -> str | None:
