--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -1,8 +1,8 @@
 # kind: decisions
-"""Assesses the evidence on one silent machine. Pure functions.
+"""Diagnoses a silent machine from the evidence on it. Pure functions.
 
-A verdict never ends a task: only a confirmed release or a lease that has certainly expired does
-(`docs/safety.md`). A verdict decides which steps are worth their cost.
+A diagnosis never ends a task: only a confirmed release or a lease that has certainly expired does
+(`docs/safety.md`). It decides which steps are worth their cost.
 """
 
 from collections.abc import Collection, Mapping
@@ -33,6 +33,7 @@
         return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
 
+# The outcomes that this version knows, as sent between controllers.
 OUTCOMES = frozenset(str(outcome) for outcome in ProbeOutcome)
 
 
@@ -74,7 +75,7 @@
 
 
 class Diagnosis(NamedTuple):
-    """The assessment of one machine."""
+    """How likely the loss of one machine is, and why it is silent."""
 
     severity: Severity
     cause: Cause
@@ -82,6 +83,7 @@
     silent_alone: bool = True
 
 
+# The diagnosis of a machine that is not silent.
 HEALTHY = Diagnosis(Severity.HEALTHY, Cause.NONE)
 
 
@@ -117,27 +119,31 @@
 def diagnose(evidence: Evidence, limits: DetectionLimits) -> Diagnosis:
     """How certain the loss of a silent machine is, and the most likely cause of its silence.
 
-    More evidence that it lives never raises the level; more evidence that it does not never
-    lowers it. An owner that hears few of its machines cannot alone cause them to be graded as
-    lost: other controllers must have failed to reach them too."""
+    More evidence that it lives never raises the severity; more evidence that it does not never
+    lowers it. An owner that hears few of its machines cannot alone have them diagnosed as lost:
+    other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
     silent_alone = evidence.heard_share >= HEARING_SHARE
-    over = evidence.wall_silent_s > limits.lease_s
+    lease_expired = evidence.wall_silent_s > limits.lease_s
     if evidence.wall_silent_s <= SUSPECT_GAPS * gap_s:
         return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
     if evidence.silent_s <= SUSPECT_GAPS * gap_s:
         cause = Cause.OWNER_STALLED
-        return Diagnosis(Severity.EXPIRED if over else Severity.HEALTHY, cause, silent_alone)
+        return Diagnosis(
+            Severity.EXPIRED if lease_expired else Severity.HEALTHY, cause, silent_alone
+        )
     outcomes = {probe.outcome for probe in evidence.probes}
     if ProbeOutcome.ANSWERED in outcomes or evidence.heard_elsewhere_s <= LOST_GAPS * gap_s:
         # It lives, and its tasks run on until its lease ends; its reports do not reach its owner.
         return Diagnosis(
-            Severity.EXPIRED if over else Severity.SUSPECT, Cause.OWNER_UNREACHABLE, silent_alone
+            Severity.EXPIRED if lease_expired else Severity.SUSPECT,
+            Cause.OWNER_UNREACHABLE,
+            silent_alone,
         )
     cause = _cause(evidence, outcomes)
     if evidence.wall_silent_s > RECOVERY_LEASES * limits.lease_s:
         cause = Cause.DEAD_OR_CUT
-    if over:
+    if lease_expired:
         severity = Severity.EXPIRED
     elif cause in (Cause.HUNG, Cause.ZONE_CUT):
         # It may resume at any time within its lease, with all its tasks; the machines of a zone
@@ -160,8 +166,8 @@
         return Cause.RECLAIMED
     if evidence.zone_cut:
         return Cause.ZONE_CUT
-    asked = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
-    return Cause.DEAD_OR_CUT if len(asked) >= MIN_FAILED_PROBERS else Cause.UNDECIDED
+    failed_probers = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
+    return Cause.DEAD_OR_CUT if len(failed_probers) >= MIN_FAILED_PROBERS else Cause.UNDECIDED
 
 
 # A zone counts as cut off if at most this share of its machines is heard, ...
@@ -173,9 +179,13 @@
 def cut_zones(zones: Mapping[str, tuple[int, int]]) -> set[str]:
     """The zones that seem cut off. `zones` has (machines heard, machines) for each. If no other
     zone is heard well, there are none: the controllers may be cut off themselves."""
-    well = {z for z, (heard, of) in zones.items() if of and heard / of >= HEARING_SHARE}
+    heard_well = {
+        zone for zone, (heard, total) in zones.items() if total and heard / total >= HEARING_SHARE
+    }
     return {
-        z
-        for z, (heard, of) in zones.items()
-        if well and of >= CUT_ZONE_MIN_MACHINES and heard <= CUT_ZONE_MAX_HEARD_SHARE * of
+        zone
+        for zone, (heard, total) in zones.items()
+        if heard_well
+        and total >= CUT_ZONE_MIN_MACHINES
+        and heard <= CUT_ZONE_MAX_HEARD_SHARE * total
     }
--- a/ryegauge/detection/fault_attribution.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -1,7 +1,8 @@
 """Decides whether a failed task is its job's fault or its machine's, and when a failing job is
 retried.
 
-The owner of a shard keeps `Blame`, the leader `HeldBack`. No I/O; times are passed in, in seconds.
+The owner of a shard keeps `FaultAttribution`, the leader `RetryBackoff`. No I/O; times are passed
+in, in seconds.
 
 A faulty machine fails tasks of every job; a failing job fails on every machine. So
 
@@ -36,42 +37,42 @@
 
     uid: str
     machines: int  # machines on which its tasks failed
-    tries: int  # failed attempts
+    failed_attempts: int  # failed attempts
 
 
 class _JobFailures:
     """The failures of one job in this shard."""
 
-    __slots__ = ("failed_on", "tries")
+    __slots__ = ("failed_attempts", "failed_on")
 
     def __init__(self) -> None:
         self.failed_on: set[str] = set()
-        self.tries = 0
+        self.failed_attempts = 0
 
 
 class FaultAttribution:
     """Tracks which tasks failed on which machines of one shard."""
 
-    def __init__(self, done: Callable[[str], bool]) -> None:
-        """`done`: whether any task of a job is known to have succeeded."""
-        self._done = done
+    def __init__(self, has_done_tasks: Callable[[str], bool]) -> None:
+        """`has_done_tasks`: whether any task of a job is known to have succeeded."""
+        self._has_done_tasks = has_done_tasks
         self._jobs: dict[str, _JobFailures] = {}
         # Machine -> job -> its failed attempts there since a task last succeeded there.
         self._failures_since_success: dict[str, dict[str, int]] = {}
         self._failing_elsewhere: frozenset[str] = frozenset()
 
-    def set_failing_elsewhere(self, is_failing: Collection[str]) -> bool:
+    def set_failing_elsewhere(self, uids: Collection[str]) -> bool:
         """Takes the leader's list of jobs that fail in other shards too; returns whether it has
         changed."""
-        before, self._failing_elsewhere = self._failing_elsewhere, frozenset(is_failing)
+        before, self._failing_elsewhere = self._failing_elsewhere, frozenset(uids)
         return before != self._failing_elsewhere
 
     def record_success(self, uid: str, machine: str) -> bool:
         """A task succeeded. Returns whether failures of its job or machine were cleared; nearly
         always there were none."""
         job = self._jobs.pop(uid, None)
-        since = self._failures_since_success.pop(machine, None)
-        return job is not None or since is not None
+        failures = self._failures_since_success.pop(machine, None)
+        return job is not None or failures is not None
 
     def record_failure(self, uid: str, machine: str, machines_of_task: int) -> None:
         """A task failed. `machines_of_task`: the machines on which it has failed so far, this one
@@ -79,16 +80,16 @@
         itself and does not count against the machine."""
         job = self._jobs.setdefault(uid, _JobFailures())
         job.failed_on.add(machine)
-        job.tries += 1
+        job.failed_attempts += 1
         if machines_of_task <= MIN_EVIDENCE:
-            since = self._failures_since_success.setdefault(machine, {})
-            since[uid] = since.get(uid, 0) + 1
+            failures = self._failures_since_success.setdefault(machine, {})
+            failures[uid] = failures.get(uid, 0) + 1
 
     def keep(self, uids: Collection[str], machines: Collection[str]) -> None:
         """Forgets all other jobs and machines, which have ended or were removed."""
         self._jobs = {uid: job for uid, job in self._jobs.items() if uid in uids}
         self._failures_since_success = {
-            name: {uid: tries for uid, tries in jobs.items() if uid in uids}
+            name: {uid: failed_attempts for uid, failed_attempts in jobs.items() if uid in uids}
             for name, jobs in self._failures_since_success.items()
             if name in machines
         }
@@ -103,13 +104,15 @@
     def _sound_job_failures(self, machine: str) -> int:
         """Failed attempts there of jobs that are certainly sound."""
         jobs = self._failures_since_success.get(machine, {})
-        return sum(tries for uid, tries in jobs.items() if self._done(uid))
+        return sum(
+            failed_attempts for uid, failed_attempts in jobs.items() if self._has_done_tasks(uid)
+        )
 
     def _jobs_failing_only_here(self, machine: str) -> int:
         """How many jobs failed there, have so far failed nowhere else and never succeeded."""
         return sum(
             uid not in self._failing_elsewhere
-            and not self._done(uid)
+            and not self._has_done_tasks(uid)
             and (job := self._jobs.get(uid)) is not None
             and job.failed_on == {machine}
             for uid in self._failures_since_success.get(machine, {})
@@ -119,17 +122,17 @@
         """The faulty machines, which are to be returned, and the suspected ones, in a shard with
         this number of machines. Suspected ones are kept: after all controllers had restarted, the
         first attempts of two failing jobs on the same good machine caused its return."""
-        found = {name for name in self._failures_since_success if self._looks_faulty(name)}
-        if len(found) > max(1, int(COMMON_CAUSE_SHARE * machines)):
+        accused = {name for name in self._failures_since_success if self._looks_faulty(name)}
+        if len(accused) > max(1, int(COMMON_CAUSE_SHARE * machines)):
             return set(), set()
-        faulty = {name for name in found if self._sound_job_failures(name) >= MIN_EVIDENCE}
-        return faulty, found - faulty
+        faulty = {name for name in accused if self._sound_job_failures(name) >= MIN_EVIDENCE}
+        return faulty, accused - faulty
 
     def is_failing(self, uid: str) -> bool:
         """Whether a job fails on every machine, by the evidence of this shard alone. The leader's
         list does not count, since it is itself built from these answers."""
         job = self._jobs.get(uid)
-        if job is None or len(job.failed_on) < MIN_EVIDENCE or self._done(uid):
+        if job is None or len(job.failed_on) < MIN_EVIDENCE or self._has_done_tasks(uid):
             return False
         sound = sum(not self._looks_faulty(name) for name in job.failed_on)
         return sound >= MIN_EVIDENCE
@@ -137,7 +140,7 @@
     def failing_jobs(self) -> list[FailingJob]:
         """The failing jobs of this shard, to be reported to the leader."""
         return [
-            FailingJob(uid, len(job.failed_on), job.tries)
+            FailingJob(uid, len(job.failed_on), job.failed_attempts)
             for uid, job in self._jobs.items()
             if self.is_failing(uid)
         ]
@@ -146,11 +149,11 @@
 class _RetryState:
     """The retry state of one failing job."""
 
-    __slots__ = ("machines", "probes", "tried_at", "tries")
+    __slots__ = ("failed_attempts", "last_try_at", "machines", "retries")
 
     def __init__(self, now: float) -> None:
-        self.tried_at = now
-        self.machines = self.tries = self.probes = 0
+        self.last_try_at = now
+        self.machines = self.failed_attempts = self.retries = 0
 
 
 class RetryBackoff:
@@ -164,25 +167,28 @@
 
     def on_failing(self, failing_jobs: Iterable[FailingJob], now: float) -> list[FailingJob]:
         """Takes what owners report of their shards; returns the jobs that newly enter backoff."""
-        new: list[FailingJob] = []
-        tries: dict[str, tuple[int, int]] = {}
+        newly_failing: list[FailingJob] = []
+        totals: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing_jobs:
-            m, n = tries.get(uid, (0, 0))
-            tries[uid] = m + machines, n + count
-        for uid, (machines, count) in tries.items():
-            held = self._jobs.get(uid)
-            if held is None:
-                held = self._jobs[uid] = _RetryState(now)
-                new.append(FailingJob(uid, machines, count))
-            if count > held.tries:
-                held.tried_at = now
-            held.machines, held.tries = max(held.machines, machines), max(held.tries, count)
-        return new
+            m, n = totals.get(uid, (0, 0))
+            totals[uid] = m + machines, n + count
+        for uid, (machines, count) in totals.items():
+            state = self._jobs.get(uid)
+            if state is None:
+                state = self._jobs[uid] = _RetryState(now)
+                newly_failing.append(FailingJob(uid, machines, count))
+            if count > state.failed_attempts:
+                state.last_try_at = now
+            state.machines, state.failed_attempts = (
+                max(state.machines, machines),
+                max(state.failed_attempts, count),
+            )
+        return newly_failing
 
     def keep(self, is_failing: Callable[[str], bool]) -> None:
-        """Forgets the jobs for which `mistaken` is false: those that have ended or of which a
+        """Forgets the jobs for which `is_failing` is false: those that have ended or of which a
         task has succeeded."""
-        self._jobs = {uid: held for uid, held in self._jobs.items() if is_failing(uid)}
+        self._jobs = {uid: state for uid, state in self._jobs.items() if is_failing(uid)}
 
     def __contains__(self, uid: object) -> bool:
         return uid in self._jobs
@@ -190,31 +196,31 @@
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def newest(self, most: int) -> list[str]:
-        """At most `most` jobs, those that entered backoff last."""
-        return list(self._jobs)[-most:]
+    def newest(self, limit: int) -> list[str]:
+        """At most `limit` jobs, those that entered backoff last."""
+        return list(self._jobs)[-limit:]
 
     def wait_s(self, uid: str, now: float) -> float:
         """Seconds until one of its tasks may be retried; 0 also for a job not in backoff."""
-        held = self._jobs.get(uid)
-        if held is None:
+        state = self._jobs.get(uid)
+        if state is None:
             return 0.0
-        return max(0.0, held.tried_at + self.pause_s(held.probes) - now)
+        return max(0.0, state.last_try_at + self.pause_s(state.retries) - now)
 
-    def pause_s(self, probes: int) -> float:
+    def pause_s(self, retries: int) -> float:
         """The pause in seconds after so many retries."""
-        return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
+        return min(self._longest_s, self._first_s * math.pow(2.0, min(retries, 30)))
 
     def on_retry(self, uid: str, now: float) -> None:
         """One of its tasks was assigned to a shard, which counts as a retry."""
-        held = self._jobs.get(uid)
-        if held is not None:
-            held.tried_at, held.probes = now, held.probes + 1
+        state = self._jobs.get(uid)
+        if state is not None:
+            state.last_try_at, state.retries = now, state.retries + 1
 
     def describe(self, now: float) -> str:
         """All failing jobs, for the log."""
         return ", ".join(
-            f"{uid} (failed {held.tries} times on {held.machines} machines, none done, "
+            f"{uid} (failed {state.failed_attempts} times on {state.machines} machines, none done, "
             f"next retry in {self.wait_s(uid, now):.0f} s)"
-            for uid, held in sorted(self._jobs.items())
+            for uid, state in sorted(self._jobs.items())
         )
--- a/ryegauge/detection/peer_reachability.py
+++ b/ryegauge/detection/peer_reachability.py
@@ -11,9 +11,9 @@
 class PeerReachability:
     """The peers whose latest call timed out, and when."""
 
-    def __init__(self, again_s: float) -> None:
-        """`again_s`: seconds after a timeout until the peer is treated like any other again."""
-        self._retry_s = again_s
+    def __init__(self, retry_s: float) -> None:
+        """`retry_s`: seconds after a timeout until the peer is treated like any other again."""
+        self._retry_s = retry_s
         self._timed_out_at: dict[str, float] = {}
         self._rotation = 0
 
@@ -26,17 +26,17 @@
         self._timed_out_at[name] = now
 
     def is_silent(self, name: str, now: float) -> bool:
-        """Whether the peer's latest call timed out, less than `again_s` seconds ago."""
+        """Whether the peer's latest call timed out, less than `retry_s` seconds ago."""
         return now - self._timed_out_at.get(name, float("-inf")) < self._retry_s
 
     def answering_first(self, names: Iterable[str], now: float) -> list[str]:
         """The peers in the order in which to call them: first those that answer, rotated on each
         call to spread the load, then the silent ones, the earliest timeout first."""
         answering: list[str] = []
-        is_silent: list[str] = []
+        silent: list[str] = []
         for name in sorted(names):
-            (is_silent if self.is_silent(name, now) else answering).append(name)
-        is_silent.sort(key=lambda name: self._timed_out_at[name])
+            (silent if self.is_silent(name, now) else answering).append(name)
+        silent.sort(key=lambda name: self._timed_out_at[name])
         self._rotation += 1
         first = self._rotation % len(answering) if answering else 0
-        return [*answering[first:], *answering[:first], *is_silent]
+        return [*answering[first:], *answering[:first], *silent]
