--- a/tests/test_away.py
+++ b/tests/test_away.py
@@ -18,24 +18,25 @@
     for _ in range(4)
 ]
 CANCELLED = [f"wk-{n + 1:06d}" for n in range(1, len(JOBS), 2)]
-LATER = [
+LATER_JOBS = [
     {"pieces": 3, "cpus": 1.0, "delay": 45.0 + 4.0 * n, "really": 5.0, "crew": "blue"}
     for n in range(6)
 ]
 
 
 def running(world: Day) -> set[str]:
+    """The tasks on live machines."""
     return {task for w in world.workers.values() if w.alive for task in w.on_machine()}
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease(tmp_path: Path) -> None:
     """Twice; the second time during an outage of the state service, with cancellations confirmed
     just before. No running task is forgotten, and none is started a second time beside it."""
-    began: list[int] = []
+    running_counts: list[int] = []
 
     async def script(world: Day) -> None:
         await trio.sleep(32.0)
-        began.append(len(running(world)))
+        running_counts.append(len(running(world)))
         world.restart_s = 0.9 * world.lease_s
         world.crash(*range(5))
         await trio.sleep(20.0)
@@ -48,8 +49,8 @@
         world.state.end_outage()
         await trio.sleep(12.0)
 
-    world = play(some_controllers(tmp_path, 5), 51, [*JOBS, *LATER], script, 180.0)
-    assert began[0] > 20
+    world = play(some_controllers(tmp_path, 5), 51, [*JOBS, *LATER_JOBS], script, 180.0)
+    assert running_counts[0] > 20
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert sum(w.session - 1 for w in world.workers.values()) > 0
@@ -59,7 +60,7 @@
     """Cut off from everything outside, including the state service and the cloud. The controller
     inside answers the zone's machines as long as it has authority; jobs that are cancelled outside
     meanwhile end there in time."""
-    inside: list[set[str]] = []
+    tasks_inside: list[set[str]] = []
 
     async def script(world: Day) -> None:
         await trio.sleep(32.0)
@@ -71,21 +72,27 @@
             for s in (world.settings[0].outside.state, world.settings[0].outside.cloud)
         }
         rest |= {w.name for w in world.workers.values() if w.zone == "a"}
-        inside.append({t for w in world.workers.values() if w.zone == "b" for t in w.on_machine()})
+        tasks_inside.append(
+            {t for w in world.workers.values() if w.zone == "b" for t in w.on_machine()}
+        )
         with world.cut(names, rest, hold=True):
             await trio.sleep(1.0)
             await cancel_all_along(world, CANCELLED, 6.0)
             await trio.sleep(4.4 * world.lease_s)
 
-    bound = [{**job, "district": "ab"[n // 2 % 2]} for n, job in enumerate(JOBS)]
-    world = play(some_controllers(tmp_path, 5, "ab"), 52, [*bound, *LATER], script, 200.0)
-    assert len(inside[0]) > 4
+    jobs_by_zone = [{**job, "district": "ab"[n // 2 % 2]} for n, job in enumerate(JOBS)]
+    world = play(
+        some_controllers(tmp_path, 5, "ab"), 52, [*jobs_by_zone, *LATER_JOBS], script, 200.0
+    )
+    assert len(tasks_inside[0]) > 4
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert len(world.checker.cancelled_at) > len(CANCELLED) / 2
 
 
 def test_ten_leaders_in_two_minutes_also_inside_an_outage(tmp_path: Path) -> None:
+    """The leader crashes every ten seconds, twice three times more in an outage of the state
+    service, while jobs are cancelled."""
     leaders: list[str] = []
 
     async def script(world: Day) -> None:
@@ -104,7 +111,7 @@
                 await trio.sleep(3.0)
         leaders.extend(value["o"] for key, value in world.written if key == "r/l")
 
-    world = play(some_controllers(tmp_path, 5), 53, [*JOBS, *LATER], script, 250.0)
+    world = play(some_controllers(tmp_path, 5), 53, [*JOBS, *LATER_JOBS], script, 250.0)
     assert len(leaders) >= 10
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -139,10 +146,10 @@
     world = play(some_controllers(tmp_path, 3), 54, jobs, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    first = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
-    asked = {e.uid: (e.at, e.detail) for e in world.happened if e.what == "submitted"}
-    waits: dict[str, list[float]] = {}
-    for uid, at in first.items():
-        waits.setdefault(asked[uid][1], []).append(at - asked[uid][0])
-    mean = {urgency: sum(some) / len(some) for urgency, some in waits.items()}
-    assert mean["high"] < mean["best_effort"]
+    started_at = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
+    submitted = {e.uid: (e.at, e.detail) for e in world.happened if e.what == "submitted"}
+    waits_s: dict[str, list[float]] = {}
+    for uid, at in started_at.items():
+        waits_s.setdefault(submitted[uid][1], []).append(at - submitted[uid][0])
+    mean_s = {urgency: sum(times) / len(times) for urgency, times in waits_s.items()}
+    assert mean_s["high"] < mean_s["best_effort"]
--- a/tests/test_back_at_once.py
+++ b/tests/test_back_at_once.py
@@ -16,17 +16,18 @@
 from ryegauge.transport.http import Reply, Server
 
 
-def as_deployed(tmp_path: Path, count: int) -> list[Settings]:
+def with_rebuilding(tmp_path: Path, count: int) -> list[Settings]:
+    """Settings of controllers that recover from a loss of data, as deployed."""
     return rebuilding(tmp_path, count)
 
 
-async def ends(world: World, back_s: float) -> None:
+async def crash_repeatedly(world: World, restart_s: float) -> None:
     """Crashes an owner, the leader and all; then each repeatedly; then some in an outage of the
     state service and during a network cut."""
-    world.restart_s = back_s
+    world.restart_s = restart_s
     await trio.sleep(30.0)
-    for numbers in ((1,), (0,), range(len(world.settings))):
-        world.crash(*numbers)
+    for indices in ((1,), (0,), range(len(world.settings))):
+        world.crash(*indices)
         await trio.sleep(6.0)
     for n in range(10):
         world.crash(*(range(len(world.settings)) if n % 3 == 2 else (n % len(world.settings),)))
@@ -45,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("back_s", "count", "seed"),
+    ("restart_s", "count", "seed"),
     [
         (0.05, 3, 1),
         (0.2, 5, 2),
@@ -55,12 +56,12 @@
     ],
 )
 def test_safety_rules_hold_across_quick_restarts(
-    tmp_path: Path, back_s: float, count: int, seed: int
+    tmp_path: Path, restart_s: float, count: int, seed: int
 ) -> None:
     async def script(world: World) -> None:
-        await ends(world, back_s)
+        await crash_repeatedly(world, restart_s)
 
-    world = play(as_deployed(tmp_path, count), seed, MIX + PIPES, script, 320.0)
+    world = play(with_rebuilding(tmp_path, count), seed, MIX + PIPES, script, 320.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # A short absence must not cost a controller its roles for long, nor make many tasks rerun.
@@ -95,11 +96,11 @@
 def test_a_port_that_is_still_in_use_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """A process that started 0.05 s after its predecessor had ended found its port still in use,
     exited and was restarted, again and again."""
-    tries: list[float] = []
+    attempts: list[float] = []
 
     async def open_tcp_listeners(port: int, **_: object) -> list[trio.SocketListener]:
-        tries.append(trio.current_time())
-        if len(tries) < 4 or port == 2:
+        attempts.append(trio.current_time())
+        if len(attempts) < 4 or port == 2:
             raise OSError(errno.EADDRINUSE, "in use")
         return []
 
@@ -118,10 +119,10 @@
     async def main() -> None:
         await server.serve("h", 1, lambda: listening.append(trio.current_time()))
         assert listening
-        assert tries[3] - tries[0] < 0.5
+        assert attempts[3] - attempts[0] < 0.5
         with pytest.raises(OSError, match="in use"):  # not for ever
             await server.serve("h", 2)
-        assert tries[-1] - listening[0] >= 5.0
-        assert len(tries) < 120
+        assert attempts[-1] - listening[0] >= 5.0
+        assert len(attempts) < 120
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -25,6 +25,7 @@
         self.good = {uid for uid, _, _, done, _ in events if done}
 
     def failed_on(self, uid: str) -> set[str]:
+        """The machines on which the job's tasks failed."""
         return {m for u, _, m, done, _ in self.events if u == uid and not done}
 
     def evidence(self, machine: str) -> tuple[bool, bool]:
@@ -32,25 +33,27 @@
         here = [e for e in self.events if e[2] == machine]
         last = max((i for i, e in enumerate(here) if e[3]), default=-1)
         since = [e for e in here[last + 1 :] if e[4] <= MIN_EVIDENCE]
-        others = [uid for uid, *_ in since if uid in self.good]
-        alone = {
+        of_sound_jobs = [uid for uid, *_ in since if uid in self.good]
+        failing_only_here = {
             uid
             for uid, *_ in since
             if uid not in self.good | self.elsewhere and self.failed_on(uid) == {machine}
         }
-        return len(others) >= MIN_EVIDENCE, len(alone) >= MIN_EVIDENCE
+        return len(of_sound_jobs) >= MIN_EVIDENCE, len(failing_only_here) >= MIN_EVIDENCE
 
     def is_failing(self, uid: str) -> bool:
+        """Whether the job fails on several machines that are not accused themselves."""
         if uid in self.good:
             return False
         return sum(not any(self.evidence(m)) for m in self.failed_on(uid)) >= MIN_EVIDENCE
 
     def classify_machines(self, machines: list[str]) -> tuple[set[str], set[str]]:
-        found = {m for m in machines if any(self.evidence(m))}
-        if len(found) > max(1, int(COMMON_CAUSE_SHARE * len(machines))):
+        """The faulty machines and the suspected ones."""
+        accused = {m for m in machines if any(self.evidence(m))}
+        if len(accused) > max(1, int(COMMON_CAUSE_SHARE * len(machines))):
             return set(), set()
-        faulty = {m for m in found if self.evidence(m)[0]}
-        return faulty, found - faulty
+        faulty = {m for m in accused if self.evidence(m)[0]}
+        return faulty, accused - faulty
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -73,17 +76,17 @@
         uid, task = rng.choice(jobs), rng.randrange(6)
         if faults.is_failing(uid) and rng.random() < 0.9:
             continue
-        errors = failed.setdefault((uid, task), set())
-        open_ = [m for m in machines if m not in returned | errors] or machines
-        machine = rng.choice(open_)
+        failed_machines = failed.setdefault((uid, task), set())
+        candidates = [m for m in machines if m not in returned | failed_machines] or machines
+        machine = rng.choice(candidates)
         good = uid not in bad_jobs and machine not in bad_machines
         if good:
             done.add(uid)
             faults.record_success(uid, machine)
         else:
-            errors.add(machine)
-            faults.record_failure(uid, machine, len(errors))
-        events.append((uid, task, machine, good, len(errors)))
+            failed_machines.add(machine)
+            faults.record_failure(uid, machine, len(failed_machines))
+        events.append((uid, task, machine, good, len(failed_machines)))
         model = Model(events, elsewhere)
         assert faults.classify_machines(len(machines)) == model.classify_machines(machines)
         assert faults.is_failing(uid) == model.is_failing(uid)
@@ -101,7 +104,7 @@
     assert faults.classify_machines(1) == ({"m-1"}, set())
 
 
-def test_failures_of_jobs_that_fail_in_other_parts_accuse_no_machine() -> None:
+def test_failures_of_jobs_that_fail_in_other_shards_accuse_no_machine() -> None:
     """One task each of two failing jobs was retried here, on the same good machine."""
     faults = FaultAttribution(set().__contains__)
     assert faults.set_failing_elsewhere({"wk-1", "wk-2"})
@@ -114,7 +117,7 @@
     assert faults.classify_machines(20) == (set(), set())
 
 
-def test_a_shared_outage_gives_no_machine_up() -> None:
+def test_a_common_cause_accuses_no_machine() -> None:
     done = {f"wk-{n}" for n in range(5)}
     faults = FaultAttribution(done.__contains__)
     machines = [f"m-{n}" for n in range(10)]
@@ -132,10 +135,8 @@
     for n in range(12):
         faults.record_failure("wk-1", f"m-{n}", n + 1)
         faults.record_failure("wk-1", f"m-{n}", n + 1)
-    assert faults.classify_machines(12) == (
-        {"m-0", "m-1"},
-        set(),
-    )  # only the first machines, not all
+    # Only the first machines are accused, not all.
+    assert faults.classify_machines(12) == ({"m-0", "m-1"}, set())
     assert not faults.is_failing("wk-1")
 
 
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -28,52 +28,61 @@
 LIMITS = DetectionLimits(gap_s=3.0, lease_s=14.0)
 NEVER = math.inf
 
-TRUE_CAUSES = ("dead", "cut_off", "hung", "taken", "owner_deaf", "owner_stood_still", "zone_cut")
-ENDED = {"dead", "taken"}
+TRUE_CAUSES = (
+    "dead",
+    "cut_off",
+    "hung",
+    "reclaimed",
+    "owner_unreachable",
+    "owner_stalled",
+    "zone_cut",
+)
+ENDED = {"dead", "reclaimed"}
 # The causes that may be named for a machine, by what is true of it; the first that applies.
 ALLOWED_CAUSES = [
-    ("owner_stood_still", {Cause.OWNER_STALLED}),
+    ("owner_stalled", {Cause.OWNER_STALLED}),
     ("zone_cut", {Cause.ZONE_CUT, Cause.RECLAIMED}),
-    ("taken", {Cause.RECLAIMED}),
+    ("reclaimed", {Cause.RECLAIMED}),
     ("cut_off", {Cause.DEAD_OR_CUT}),
     ("dead", {Cause.DEAD_OR_CUT}),
     ("hung", {Cause.HUNG}),
-    ("owner_deaf", {Cause.OWNER_UNREACHABLE}),
+    ("owner_unreachable", {Cause.OWNER_UNREACHABLE}),
 ]
 
 
 def evidence_of(truth: frozenset[str], after_s: float, helpers: bool = True) -> Evidence:
     """The simple model: what the controllers would see of a machine `after_s` seconds after all
     that is true began, with unlimited probes."""
-    stalled = after_s - 1.0 if "owner_stood_still" in truth else 0.0
-    gone = truth & {"dead", "cut_off", "taken", "zone_cut"}
+    owner_stalled_s = after_s - 1.0 if "owner_stalled" in truth else 0.0
+    unreachable = truth & {"dead", "cut_off", "reclaimed", "zone_cut"}
 
-    def asked(by_owner: bool) -> ProbeOutcome:
-        if gone or (by_owner and "owner_deaf" in truth):
+    def probe(by_owner: bool) -> ProbeOutcome:
+        if unreachable or (by_owner and "owner_unreachable" in truth):
             return ProbeOutcome.NO_CONNECTION
         return ProbeOutcome.NO_ANSWER if "hung" in truth else ProbeOutcome.ANSWERED
 
     probes = []
-    listened = after_s - stalled
-    if listened > 2 * LIMITS.gap_s:
-        probes = [ProbeResult("owner", asked(True), 0.0)]
+    active_s = after_s - owner_stalled_s
+    if active_s > 2 * LIMITS.gap_s:
+        probes = [ProbeResult("owner", probe(True), 0.0)]
         if helpers:
-            probes.append(ProbeResult("helper", asked(False), 0.0))
+            probes.append(ProbeResult("helper", probe(False), 0.0))
     # A live worker whose owner does not answer tries the next controller in five seconds.
-    heard = "owner_deaf" in truth and not gone and "hung" not in truth and helpers
+    heard = "owner_unreachable" in truth and not unreachable and "hung" not in truth and helpers
     return Evidence(
-        silent_s=listened,
+        silent_s=active_s,
         wall_silent_s=after_s,
         heard_elsewhere_s=1.0 if heard else NEVER,
         probes=probes,
-        notice="taken" in truth,
-        stalled_s=stalled,
-        heard_share=0.0 if truth & {"owner_deaf", "zone_cut"} else 0.9,
+        notice="reclaimed" in truth,
+        stalled_s=owner_stalled_s,
+        heard_share=0.0 if truth & {"owner_unreachable", "zone_cut"} else 0.9,
         zone_cut="zone_cut" in truth,
     )
 
 
 def pairs() -> list[frozenset[str]]:
+    """Every true cause alone, and every two together."""
     return [frozenset(p) for n in (1, 2) for p in itertools.combinations(TRUE_CAUSES, n)]
 
 
@@ -96,9 +105,9 @@
 def test_no_machine_that_a_controller_hears_counts_as_lost(truth: frozenset[str]) -> None:
     for after_s in range(1, 14):
         severity = diagnose(evidence_of(truth, float(after_s)), LIMITS).severity
-        if not truth & {"dead", "cut_off", "taken"}:
+        if not truth & {"dead", "cut_off", "reclaimed"}:
             assert severity < Severity.LOST, (after_s, truth)
-        if truth <= ENDED | {"owner_deaf"} and truth & ENDED and after_s > 9:
+        if truth <= ENDED | {"owner_unreachable"} and truth & ENDED and after_s > 9:
             assert severity == Severity.LOST, (after_s, truth)
 
 
@@ -168,14 +177,14 @@
     """When a frozen controller resumes, all its machines look silent at once, with their reports
     waiting in its sockets. The time in which it was frozen must not count."""
     stall_detector = StallDetector(2.5, 0.0)
-    hearing = LastHeard(stall_detector)
-    hearing.on_report("m-1", 1.0)
+    last_heard = LastHeard(stall_detector)
+    last_heard.on_report("m-1", 1.0)
     for at in (2.0, 3.0, 23.0):
         stall_detector.advance(at)
-    assert hearing.silent_s("m-1", 23.0) == 4.5
+    assert last_heard.silent_s("m-1", 23.0) == 4.5
     assert stall_detector.stalled_s(1.0) == 17.5
     assert stall_detector.stalled_s(23.0) == 0.0
-    assert hearing.silent_s("m-2", 23.0) == NEVER
+    assert last_heard.silent_s("m-2", 23.0) == NEVER
 
 
 def test_foreign_reports_are_returned_once_and_expire() -> None:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -14,6 +14,7 @@
 
 
 def with_guest(tmp_path: Path, count: int = 3) -> list[Settings]:
+    """Settings of controllers with a team that has zeros for guarantee and limit."""
     result = []
     for each in some_controllers(tmp_path, count):
         teams = [*each.settings.teams, Team("guest")]
@@ -22,7 +23,7 @@
     return result
 
 
-GUESTS: list[dict[str, Any]] = [
+GUEST_JOBS: list[dict[str, Any]] = [
     {"pieces": 8, "delay": 1.0},
     {
         "pieces": 600,
@@ -63,11 +64,11 @@
         await trio.sleep(20.0)
         world.crash(2)
 
-    world = play(with_guest(tmp_path), 3, GUESTS, script, 200.0)
+    world = play(with_guest(tmp_path), 3, GUEST_JOBS, script, 200.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # Few tasks run again: less than a tenth of those submitted.
-    assert world.checker.starts < 1.1 * sum(job["pieces"] for job in GUESTS)
+    assert world.checker.starts < 1.1 * sum(job["pieces"] for job in GUEST_JOBS)
 
 
 def test_failing_jobs_next_to_faulty_machines(tmp_path: Path) -> None:
@@ -106,8 +107,8 @@
             failed[e.uid] = failed.get(e.uid, 0) + 1
     # The first attempts of each job and a few retries; without backoff all eight tasks of a job
     # failed every two seconds.
-    mistaken = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
-    assert min(mistaken) >= 2
-    assert max(mistaken) < 40
+    failures = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
+    assert min(failures) >= 2
+    assert max(failures) < 40
     returned = {e.machine for e in world.happened if e.what == "returned"}
     assert faulty <= returned
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -31,7 +31,7 @@
 # -- late reports ---------------------------------------------------------------------------
 
 
-def use_tracking_owner(shard: ShardHarness, settings: Settings, authority_ended_at: float) -> None:
+def use_detecting_owner(shard: ShardHarness, settings: Settings, authority_ended_at: float) -> None:
     """Gives the shard an owner that looks for tasks whose records were lost."""
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, authority_ended_at, True
@@ -44,11 +44,11 @@
     lease had expired. The report must not make the machine count as present: its task, long
     handed back, would look like one whose record was lost, and a new epoch would begin."""
     shard = ShardHarness(settings, [0])
-    use_tracking_owner(shard, settings, shard.now)
+    use_detecting_owner(shard, settings, shard.now)
     shard.report((0, EARLIER_ATTEMPT, "running"), token=EARLIER_TOKEN, seq=1)
     shard.tick(11.0)
     assert shard.phase(0) == "pending_removal"
-    shard.allot([])
+    shard.assign([])
     shard.report((0, EARLIER_ATTEMPT, "running"), seq=2)
     assert shard.owner.machines == {}
     assert shard.owner.unrecorded == {}
@@ -60,7 +60,7 @@
     """An earlier owner may answer until its authority ends, so silence here does not prove before
     then that the lease has expired."""
     shard = ShardHarness(settings, [0])
-    use_tracking_owner(shard, settings, shard.now + 20.0)
+    use_detecting_owner(shard, settings, shard.now + 20.0)
     shard.report((0, EARLIER_ATTEMPT, "running"), token=EARLIER_TOKEN, seq=1)
     shard.tick(11.0)
     shard.report((0, EARLIER_ATTEMPT, "running"), seq=2)
@@ -111,7 +111,7 @@
     shard = ShardHarness(settings, [])
     service = shard.start(3)
     shard.report((3, service, "running"))
-    shard.allot([0, 3])
+    shard.assign([0, 3])
     shard.tick()
     ((_, _, _, (run,)),) = shard.owner.take_direct_runs(shard.now, 10)
     assert isinstance(run, Run)
@@ -143,15 +143,15 @@
 
     def report(*tasks: TaskReport) -> list[Command]:
         shard.seq += 1
-        report = Report("m-1", "small", "a", True, 1, shard.seq, TOKEN, "m:1", None, list(tasks))
-        return shard.owner.on_report(report, shard.now)
+        message = Report("m-1", "small", "a", True, 1, shard.seq, TOKEN, "m:1", None, list(tasks))
+        return shard.owner.on_report(message, shard.now)
 
     report()
     shard.tick()
     (service,) = report()
     running = TaskReport("wk-000002/0", service.attempt, "running")
     assert report(running) == []
-    shard.allot([0])
+    shard.assign([0])
     shard.tick()
     ((_, _, _, (run,)),) = shard.owner.take_direct_runs(shard.now, 10)
     shard.cancel()
@@ -168,12 +168,12 @@
 def test_an_owner_is_not_unreachable_before_workers_can_report(shard: ShardHarness) -> None:
     """No machine reports here within half a second of the claim, while three have just been
     redirected by other controllers. The shard must not be given up for that."""
-    for age_s, is_unreachable in ((0.5, False), (1.2, False), (1.4, True)):
+    for age_s, expected in ((0.5, False), (1.2, False), (1.4, True)):
         now = shard.now + age_s
         for name in ("m-1", "m-2", "m-3"):
             shard.owner.on_heard_elsewhere(name, now - 0.3)
         shard.owner.tick(now, now)
-        assert shard.owner.is_unreachable(now) == is_unreachable
+        assert shard.owner.is_unreachable(now) == expected
     shard.now += 2.0
     for name in ("m-1", "m-2", "m-3"):
         shard.report(machine=name)
@@ -198,15 +198,15 @@
             *tasks: TaskReport, shard: ShardHarness = shard, message: Report = message
         ) -> list[Command]:
             shard.seq += 1
-            report = msgspec.structs.replace(message, seq=shard.seq, tasks=list(tasks))
-            return shard.owner.on_report(report, shard.now)
+            next_message = msgspec.structs.replace(message, seq=shard.seq, tasks=list(tasks))
+            return shard.owner.on_report(next_message, shard.now)
 
         report()
         shard.tick()
         (other,) = report()
         running = TaskReport("wk-000002/0", other.attempt, "running")
         report(running)
-        shard.allot([0])
+        shard.assign([0])
         shard.tick()
         ((name, _, session, commands),) = shard.owner.take_direct_runs(shard.now, 10)
         shard.cancel()
@@ -216,8 +216,8 @@
             if answered and n == 3:
                 shard.owner.on_direct_answer(name, session, commands)
             kills.append(report(running))
-        first = next((n for n, some in enumerate(kills) if some), None)
-        assert first == (None if answered else 6)
+        first_kill = next((n for n, commands in enumerate(kills) if commands), None)
+        assert first_kill == (None if answered else 6)
         assert answered or kills[6] == [Kill(other.task, other.attempt, 0.0)]
 
 
@@ -246,23 +246,26 @@
 
 
 def hosts(world: Day) -> set[str]:
+    """The hosts of all controllers."""
     return {world.host_of(n) for n in range(len(world.settings))}
 
 
 def cut_from_state(world: Day, n: int) -> AbstractContextManager[None]:
+    """Cuts controller `n` off from the state service and its peers, not from workers."""
     return world.cut_from_state_and_peers(n, hold=True)
 
 
-def is_unreachable(world: Day, n: int) -> AbstractContextManager[None]:
+def cut_from_workers(world: Day, n: int) -> AbstractContextManager[None]:
+    """Cuts controller `n` off from all workers."""
     return world.cut({world.host_of(n)}, set(world.workers), hold=False)
 
 
-def owner_of_busiest_part(world: Day) -> int:
+def owner_of_busiest_shard(world: Day) -> int:
     """The controller that owns the shard with most tasks on its machines."""
-    parting = ShardMap(world.settings[0])
+    shard_map = ShardMap(world.settings[0])
     tasks: Counter[int] = Counter()
     for worker in world.workers.values():
-        tasks[parting.shard_of(worker.name, worker.zone)] += len(worker.on_machine())
+        tasks[shard_map.shard_of(worker.name, worker.zone)] += len(worker.on_machine())
     shard, _ = tasks.most_common(1)[0]
     return world.names.index(world.state.data[f"r/p/{shard}"][0]["o"])
 
@@ -272,16 +275,16 @@
     "restarts and gets its shard back": (None, 4.0, 1),
     "back at once": (None, 0.05, 3),
     "its successor crashes too": (None, 9.0, 2),
-    "reports do not arrive": (is_unreachable, 4.0, 1),
+    "reports do not arrive": (cut_from_workers, 4.0, 1),
     "only commands get through": (cut_from_state, 4.0, 1),
 }
 
 
 @pytest.mark.parametrize("how", CHANGES)
-def test_cancellations_while_a_part_changes_owner(tmp_path: Path, how: str) -> None:
+def test_cancellations_while_a_shard_changes_owner(tmp_path: Path, how: str) -> None:
     """Jobs are cancelled before, during and after the change of owner, and the cancellations are
     confirmed by the old owner, the new one and others."""
-    trouble, restart_s, times = CHANGES[how]
+    fault, restart_s, times = CHANGES[how]
     claims: list[int] = []
 
     async def script(world: Day) -> None:
@@ -293,12 +296,12 @@
         before = len(world.written)
         world.nursery.start_soon(cancel_all_along, world, sorted(world.checker.accepted), 20.0)
         await trio.sleep(3.0)
-        owner = owner_of_busiest_part(world)
-        for n in range(times) if trouble is None else ():
+        owner = owner_of_busiest_shard(world)
+        for n in range(times) if fault is None else ():
             world.crash((owner + n) % 3)
             await trio.sleep(4.0)
-        with nullcontext() if trouble is None else trouble(world, owner):
-            await trio.sleep(44.0 if trouble is cut_from_state else 14.0)
+        with nullcontext() if fault is None else fault(world, owner):
+            await trio.sleep(44.0 if fault is cut_from_state else 14.0)
         claims.extend(key.startswith("r/p/") for key, _ in world.written[before:])
 
     world = play(some_controllers(tmp_path, 3), 21, SINGLE_TASK_JOBS, script, 94.0)
@@ -327,7 +330,7 @@
 def test_old_reports_reach_all_as_a_leader_begins(tmp_path: Path, held_s: float) -> None:
     """Delayed reports arrive when the new leader is recorded, or once it has acted, while some of
     the machines are lost."""
-    kept: list[int] = []
+    held_reports: list[int] = []
     claims: list[str] = []
 
     async def script(world: Day) -> None:
@@ -341,11 +344,11 @@
             world.lose(worker)
         leader, before = world.leading, len(world.written)
         assert leader is not None
-        kept.append(len(world.network._kept))
+        held_reports.append(len(world.network._kept))
         world.crash(leader)
         await trio.sleep(8.0)
         assert world.leading not in (leader, None)
-        kept.append(len(world.network._kept))
+        held_reports.append(len(world.network._kept))
         await trio.sleep(max(0.0, held_s - 8.0))
         world._written("r/l", None)
         await confirm(world, "wk-000001", 1)
@@ -353,8 +356,8 @@
         claims.extend(key for key, _ in world.written[before:] if key.startswith("r/p/"))
 
     world = play(some_controllers(tmp_path, 3), 22, MIXED_JOBS, script, 135.0)
-    assert kept[0] > 3
-    assert kept[1] == (kept[0] if held_s else 0)
+    assert held_reports[0] > 3
+    assert held_reports[1] == (held_reports[0] if held_s else 0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # One takeover and one return to the home controller: late reports make no owner give a shard
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -20,12 +20,12 @@
 from ryegauge.protocol.workers import Kill, Run
 from ryegauge.scheduling.planner import Rental
 
-LONG = {"pieces": 8, "delay": 1.0, "really": 35.0, "expectS": 35.0, "cpus": 1.0}
-SHORT = [
+LONG_JOB = {"pieces": 8, "delay": 1.0, "really": 35.0, "expectS": 35.0, "cpus": 1.0}
+SHORT_JOBS = [
     {"pieces": 4, "delay": 31.0 + 4 * n, "really": 3.0, "cpus": 1.0, "crew": "blue"}
     for n in range(14)
 ]
-ALL_ROOM = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
+FULL_FLEET_JOB = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
 
 
 def test_a_direct_start_at_a_machine_that_falls_mute_counts_until_its_lease_is_over(
@@ -34,7 +34,7 @@
     """Its answers to direct commands renew no lease, and it gets no more tasks."""
     shard = ShardHarness(settings, [])
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick(1.0)
     ((name, _, session, commands),) = shard.owner.take_direct_runs(shard.now, 10)
     (run,) = commands
@@ -42,7 +42,7 @@
     shard.owner.on_direct_answer(name, session, commands)
     for n in range(4):
         shard.report((0, run.attempt, "running"), checkin=False)
-        shard.allot([0, *range(1, n)])
+        shard.assign([0, *range(1, n)])
         shard.tick(2.0)
         assert shard.owner.take_direct_runs(shard.now, 10) == []
     shard.report(machine="m-2", seq=shard.seq + 1)
@@ -52,8 +52,8 @@
     assert shard.owner.tasks[UID, 0].machine != "m-1"
 
 
-@pytest.mark.parametrize("who", ["nobody", "leader", "owner"])
-def test_a_day_with_mute_machines(tmp_path: Path, who: str) -> None:
+@pytest.mark.parametrize("crashed", ["nobody", "leader", "owner"])
+def test_a_day_with_mute_machines(tmp_path: Path, crashed: str) -> None:
     """Machines are mute for longer than a lease, twice, the second time with hangs and
     cancellations, while the leader or their owner may crash. Those that recover are used
     again."""
@@ -62,29 +62,35 @@
     async def script(world: Day) -> None:
         await trio.sleep(33.0)
         for n in range(2):
-            some = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
+            muted = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
             began = trio.current_time()
-            with world.mute(some):
+            with world.mute(muted):
                 await trio.sleep(2.0)
                 if n:
                     await world.cancel_now(6, hang_s=8.0)
                 leader = world.leading
-                if who != "nobody" and leader is not None:
-                    world.crash((leader + (who == "owner")) % 3)
+                if crashed != "nobody" and leader is not None:
+                    world.crash((leader + (crashed == "owner")) % 3)
                 await trio.sleep(18.0)
-            mute.append((began, trio.current_time(), some))
+            mute.append((began, trio.current_time(), muted))
             await trio.sleep(20.0)
 
-    world = play(some_controllers(tmp_path, 3), 4, [LONG, LONG, ALL_ROOM, *SHORT], script, 150.0)
+    world = play(
+        some_controllers(tmp_path, 3),
+        4,
+        [LONG_JOB, LONG_JOB, FULL_FLEET_JOB, *SHORT_JOBS],
+        script,
+        150.0,
+    )
     assert world.checker.broken == []
     assert world.unfinished == set()
     starts = [(e.at, e.machine) for e in world.happened if e.what == "started"]
-    for began, over, some in mute:
+    for began, ended, muted in mute:
         # A machine that reported just before may still be given a task, which fetches for 1 s.
-        late = [at for at, name in starts if name in some and began + 5.5 < at < over]
+        late = [at for at, name in starts if name in muted and began + 5.5 < at < ended]
         assert late == []
-    _, over, some = mute[0]
-    assert any(name in some and at > over for at, name in starts)
+    _, ended, muted = mute[0]
+    assert any(name in muted and at > ended for at, name in starts)
 
 
 def test_a_single_silent_machine_is_returned_in_the_end(settings: Settings) -> None:
@@ -97,7 +103,7 @@
         lead.probe_outcomes[name] = "answered"
     lead.round()
 
-    def silent(count: int, seconds: float) -> list[str]:
+    def silence(count: int, seconds: float) -> list[str]:
         lead.now += seconds
         for name in names[:count]:
             silent_s = lead.machines[name].silent_s + seconds
@@ -105,10 +111,10 @@
         lead.round()
         return lead.last_result.releases
 
-    assert silent(1, 11.0) == []
-    assert silent(1, 19.0) == []
-    assert silent(1, 1.0) == [names[0]]
-    assert silent(6, 40.0) == []
+    assert silence(1, 11.0) == []
+    assert silence(1, 19.0) == []
+    assert silence(1, 1.0) == [names[0]]
+    assert silence(6, 40.0) == []
 
 
 def test_a_machine_that_answered_is_not_returned_when_its_owner_gives_it_up(
@@ -185,6 +191,6 @@
             await hang_when_answered(world, worker)
         await trio.sleep(20.0)
 
-    world = play(controllers, 6, [{**LONG, "really": 120.0, "expectS": 120.0}], script, 110.0)
+    world = play(controllers, 6, [{**LONG_JOB, "really": 120.0, "expectS": 120.0}], script, 110.0)
     assert world.checker.broken == []
     assert len(renewed) == 3
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -17,10 +17,11 @@
 from ryegauge.emulator.world import World
 from ryegauge.transport.http import encode
 
-LASTS_S = {"leader": 35, "owner": 35, "both": 75}
+CUT_LASTS_S = {"leader": 35, "owner": 35, "both": 75}
 
 
 def checkin(world: World) -> bytes:
+    """The body of a worker's check-in."""
     worker = next(w for w in world.workers.values() if w.alive and w.up)
     return encode(
         {
@@ -38,7 +39,8 @@
     )
 
 
-def one_side(world: World, kind: str, n: int) -> AbstractContextManager[None]:
+def cut_one_side(world: World, kind: str, n: int) -> AbstractContextManager[None]:
+    """The fault of this kind at controller `n`, for as long as the context lasts."""
     host = {f"10.0.0.{n + 1}"}
     workers = {f"m-{i:06d}" for i in range(1, 400)}
     match kind:
@@ -66,10 +68,11 @@
     ],
 )
 def test_one_sided_cuts(tmp_path: Path, kind: str, who: str) -> None:
+    """Urgent jobs that are submitted meanwhile start about as fast as without the cut."""
     answers: Counter[int] = Counter()
     urgent: dict[str, float] = {}
     changes: list[tuple[float, str]] = []
-    cut: list[float] = []
+    cut_times: list[float] = []
 
     async def script(world: Day) -> None:
         world.state.on_write.append(
@@ -83,16 +86,16 @@
         leader = world.names.index(world.state.data["r/l"][0]["o"])
         n = (leader + 1) % 5 if who == "owner" else leader
         silent = {"from all": {n}, "two from all": {n, (n + 1) % 5}}.get(kind, set())
-        cut.append(trio.current_time())
-        with one_side(world, kind, n):
-            for i in range(LASTS_S[who] // 5):
+        cut_times.append(trio.current_time())
+        with cut_one_side(world, kind, n):
+            for i in range(CUT_LASTS_S[who] // 5):
                 uid = f"wk-7000{i:02d}"
                 body = job_body(uid, pieces=2, cpus=1.0, urgency="high")
                 world.checker.specs[uid] = {**body, "really": 3.0, "broken": False}
                 # First to the one that is cut off, as a load balancer may do, then to others.
                 for other in range(n, n + 5):
                     other %= 5
-                    asked = trio.current_time()
+                    asked_at = trio.current_time()
                     if other in silent:
                         continue  # users cannot reach it either
                     status, answer, _ = await world.network.call(
@@ -102,26 +105,26 @@
                         answers[status] += 1
                     world.checker.answered(uid, status, answer, "submit")
                     if status in (200, 201):
-                        urgent[uid] = asked
+                        urgent[uid] = asked_at
                         break
                 await trio.sleep(5.0)
             for other in silent:
                 reply = await world.nodes[other]._handle_public("POST", "/checkin", checkin(world))
                 assert reply.status in (421, 503)
-        cut.append(trio.current_time())
+        cut_times.append(trio.current_time())
 
     world = play(rebuilding(tmp_path, 5), 21, MIX, script, 170.0)
     assert world.checker.broken == []
     assert world.unfinished <= set(urgent)
-    assert len(urgent) == LASTS_S[who] // 5
+    assert len(urgent) == CUT_LASTS_S[who] // 5
     assert not set(answers) - {200, 201, 429, 503}
-    # No job waits longer than the takeover of its roles, a little more than a term.
+    # No job waits longer than the takeover of its roles, a little more than a controller lease.
     started = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
     delays = sorted(started[uid] - at for uid, at in urgent.items())
     # As without a cut, since the fleet is full; a silent one has to be detected first.
     assert delays[-1] < 13.0 + (world.settings[0].controller_lease_s if "from all" in kind else 0.0)
     assert sum(delays) / len(delays) < 8.0
-    began, ended = cut
+    began, ended = cut_times
     during = Counter(key for at, key in changes if began < at < ended)
     # No role changes hands more than once meanwhile, except that a leader may fence itself once.
     assert all(count <= 1 for key, count in during.items() if key != "r/l"), during
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -32,25 +32,29 @@
     """An owner with its replica, a clock and one job of four tasks of two CPUs."""
 
     def __init__(self, settings: Settings, before: list[int]) -> None:
+        """`before`: tasks that are assigned to the shard before its owner begins."""
         self.replica = StateReplica()
         self.revision = 10
         self.now = 100.0
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, False))
-        self.allot(before)
+        self.assign(before)
         self.owner = ShardOwner(0, TOKEN, self.replica, settings, lambda: TYPES, self.now)
         self.replica.on_job.append(self.owner.on_job)
         self.seq = 0
 
     def put(self, key: str, value: object) -> None:
+        """Writes a record into the replica; None deletes it."""
         self.revision += 1
         self.replica.apply([Event(key, value, self.revision)], self.revision)
 
-    def allot(self, tasks: list[int], done: list[int] | None = None) -> None:
+    def assign(self, tasks: list[int], done: list[int] | None = None) -> None:
+        """Writes the assignment: the tasks that it holds and those that are done."""
         flat = [bound for i in tasks for bound in (i, i + 1)]
         finished = [bound for i in done or [] for bound in (i, i + 1)]
         self.put(assignment_key(UID, 0), {"t": {"": flat}, "d": finished})
 
     def cancel(self) -> None:
+        """Cancels the job in the replica."""
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, True))
 
     def report(
@@ -63,6 +67,8 @@
         checkin: bool = True,
         why: str = "done",
     ) -> list[Command]:
+        """A report of a machine with (index, attempt, state) of its tasks; returns the owner's
+        commands. `why` is the reason of those that have ended."""
         if seq is None:
             self.seq += 1
             seq = self.seq
@@ -74,19 +80,22 @@
         return self.owner.on_report(message, self.now, checkin)
 
     def tick(self, seconds: float = 0.0) -> None:
+        """Lets time pass, then the owner act."""
         self.now += seconds
         self.owner.tick(self.now, self.now)
 
     def pending(self) -> dict[str, Assignment]:
+        """Job -> its assignment as the owner would write it."""
         return {entry.uid: entry.assignment for entry in self.owner.pending()}
 
     def phase(self, task: int) -> str:
+        """The phase of one of the job's tasks."""
         return self.owner.tasks[(UID, task)].phase
 
     def start(self, task: int) -> int:
         """Assigns one task and has the machine commanded to run it; returns the attempt."""
         self.report()
-        self.allot([task])
+        self.assign([task])
         self.tick()
         (command,) = self.report()
         assert isinstance(command, Run)
@@ -110,7 +119,7 @@
     shard.tick(1.5)
     assert shard.phase(0) == "placed"
     # A task assigned after the token cannot run anywhere yet.
-    shard.allot([0, 1, 2])
+    shard.assign([0, 1, 2])
     shard.tick()
     assert shard.phase(2) != "unseen"
 
@@ -221,7 +230,7 @@
     """Guards against a machine that never counted as empty: it was to be returned because an
     unanswered `run` of a cancelled task might still arrive there."""
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick()
     ((name, _, _, _),) = shard.owner.take_direct_runs(shard.now, 10)
     shard.cancel()
@@ -233,12 +242,12 @@
     assert not shard.owner._machine_view(shard.owner.machines[name], shard.now).empty
 
 
-def test_forget_waits_until_the_outcome_is_in_the_book(shard: ShardHarness) -> None:
+def test_forget_waits_until_the_outcome_is_in_the_replica(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     assert shard.report((0, attempt, "ended")) == []
     assert shard.pending()[UID].done.flat() == [0, 1]
     assert shard.report((0, attempt, "ended")) == []
-    shard.allot([], done=[0])
+    shard.assign([], done=[0])
     assert shard.report((0, attempt, "ended")) == [Forget((UID, 0), attempt)]
 
 
@@ -271,8 +280,10 @@
         shard.owner.on_probe_result("m-7", ProbeResult(by, ProbeOutcome.REFUSED, shard.now))
     assert shard.owner.to_probe(shard.now) == []
     view = shard.owner.view("node-0", 9, shard.now)
-    asked = {name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences}
-    assert asked == {"m-1": {"no_connection"}, "m-7": {"refused"}}
+    outcomes_by_machine = {
+        name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences
+    }
+    assert outcomes_by_machine == {"m-1": {"no_connection"}, "m-7": {"refused"}}
     shard.tick(1.0)
     shard.report((0, attempt, "running"))
     shard.owner.on_probe_result(
@@ -302,10 +313,10 @@
 
 
 def test_handing_back_is_final(shard: ShardHarness) -> None:
-    """The write that removes the task from the share may be executed late, after which another
-    shard may have it. So the task is not placed here again when room appears."""
+    """The write that removes the task from the assignment may be executed late, after which
+    another shard may have it. So the task is not placed here again when capacity appears."""
     shard.report()
-    shard.allot([0, 1, 2, 3])
+    shard.assign([0, 1, 2, 3])
     shard.tick()
     assert sorted(shard.phase(i) for i in range(4)) == [
         "pending_removal",
@@ -339,11 +350,10 @@
     that do not list the attempt prove nothing, and a `forget` would let a late `run` start it
     again."""
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick()
-    assert (
-        shard.owner.take_direct_runs(shard.now, 0) == []
-    )  # no connection left: with the next check-in
+    # Without a free connection the `run` waits for the next check-in.
+    assert shard.owner.take_direct_runs(shard.now, 0) == []
     ((name, _, session, commands),) = shard.owner.take_direct_runs(shard.now, 1)
     attempt = commands[0].attempt
     shard.cancel()
@@ -352,7 +362,7 @@
     assert shard.owner.machines["m-1"].retiring
     shard.report((0, attempt, "ended"), why="stopped")
     assert shard.pending()[UID].tasks.flat() == []
-    shard.allot([])
+    shard.assign([])
     assert shard.report((0, attempt, "ended"), why="stopped") == []
     shard.owner.on_direct_answer(name, session, commands)
     assert shard.report((0, attempt, "ended"), why="stopped") == [Forget((UID, 0), attempt)]
@@ -378,14 +388,14 @@
     shard.tick()
     task = shard.owner.tasks[(UID, 0)]
     assert task.machine == "m-2"  # not where it failed
-    shard.allot([0, 1, 2])
+    shard.assign([0, 1, 2])
     shard.report((0, task.attempt, "ended"), machine="m-2", why="error")
     assert [shard.phase(i) for i in (0, 1, 2)] == ["pending_removal"] * 3
     view = shard.owner.view("node-0", 1, shard.now)
     assert view.failing == [(UID, 2, 2)]
     assert all(machine.open for machine in view.machines)
-    shard.allot([])
-    shard.allot([3])
+    shard.assign([])
+    shard.assign([3])
     shard.tick()
     shard.report(machine="m-2")
     task = shard.owner.tasks[(UID, 3)]
@@ -394,10 +404,10 @@
     assert task.phase == "pending_removal"
 
 
-def test_a_machine_that_fails_what_runs_elsewhere_is_given_up(shard: ShardHarness) -> None:
+def test_a_machine_that_fails_what_runs_elsewhere_is_returned(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     shard.report((0, attempt, "ended"), why="done")
-    shard.allot([1, 2], done=[0])
+    shard.assign([1, 2], done=[0])
     shard.tick()
     runs = [c for c in shard.report() if isinstance(c, Run)]
     assert len(runs) == 2
@@ -407,10 +417,10 @@
     assert not machine.open
 
 
-def test_a_share_that_grew_too_large_is_moved_out_piece_by_piece(settings: Settings) -> None:
-    """A share written while larger values were allowed: its done tasks are first copied to
-    separate records and only then removed from the share, so that none is ever missing or
-    counted twice."""
+def test_an_oversized_assignment_moves_to_overflow_pages_first(settings: Settings) -> None:
+    """An assignment written while larger values were allowed: its done tasks are first copied to
+    overflow pages and only then removed from it, so that none is ever missing or counted
+    twice."""
     state = msgspec.structs.replace(
         settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
     )
@@ -421,7 +431,7 @@
     spec = parse_job(job_body(pieces=100_000))
     shard.put(job_key(UID), None)
     shard.put(job_key(UID), job_record(spec, 0.0, False))
-    shard.allot([99_999], list(range(0, 2400, 2)))
+    shard.assign([99_999], list(range(0, 2400, 2)))
     job = shard.replica.jobs[UID]
     assert value_bytes({"d": job.assignments[0].done.flat()}) > 4 * limit
     written = 0
@@ -440,8 +450,8 @@
     assert 1 in job.open_tasks
     assert 2 not in job.open_tasks
     assert shard.pending() == {}
-    again = StateReplica()
-    again.replace(
+    rebuilt = StateReplica()
+    rebuilt.replace(
         [
             Event(job_key(UID), job_record(spec, 0.0, False), 1),
             *(
@@ -451,7 +461,7 @@
         ],
         2,
     )
-    assert again.jobs[UID].done_count == 1200
+    assert rebuilt.jobs[UID].done_count == 1200
 
 
 def test_a_cancellation_fits_whatever_the_job_was_recorded_with() -> None:
@@ -476,16 +486,18 @@
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
     )
     shard.replica.on_job.append(shard.owner.on_job)
-    before = ((TOKEN - 9) << 20) + 1
-    shard.report((1, before, "running"))
+    earlier_attempt = ((TOKEN - 9) << 20) + 1
+    shard.report((1, earlier_attempt, "running"))
     shard.owner.evict("m-1", UID, 1)
-    shard.report((1, before, "ended"), why=why)
-    shard.allot([])
-    assert shard.report((1, before, "ended"), why=why) == [Forget((UID, 1), before)]
+    shard.report((1, earlier_attempt, "ended"), why=why)
+    shard.assign([])
+    assert shard.report((1, earlier_attempt, "ended"), why=why) == [
+        Forget((UID, 1), earlier_attempt)
+    ]
     assert shard.owner.unrecorded == {}
-    # A running attempt that no share holds is a sign of lost data.
-    shard.report((1, before, "running"))
-    assert set(shard.owner.unrecorded) == {((UID, 1), before)}
+    # A running attempt that no assignment holds is a sign of lost data.
+    shard.report((1, earlier_attempt, "running"))
+    assert set(shard.owner.unrecorded) == {((UID, 1), earlier_attempt)}
 
 
 def test_a_report_whose_processing_failed_does_not_count(
@@ -493,7 +505,7 @@
 ) -> None:
     """An internal error while a report is processed: tasks listed further on in it still run."""
     shard = ShardHarness(settings, [0, 1])
-    before = ((TOKEN - 9) << 20) + 1
+    earlier_attempt = ((TOKEN - 9) << 20) + 1
 
     def fail(*_: object) -> None:
         raise RuntimeError("injected error")
@@ -501,15 +513,15 @@
     with monkeypatch.context() as patch:
         patch.setattr(shard.owner, "_process_entry", fail)
         with pytest.raises(RuntimeError):
-            shard.report((0, before, "running"))
+            shard.report((0, earlier_attempt, "running"))
     for _ in range(3):
         shard.tick(5.0)
         assert shard.phase(0) == "unseen"
         with monkeypatch.context() as patch:
             patch.setattr(shard.owner, "_process_entry", fail)
             with pytest.raises(RuntimeError):
-                shard.report((0, before, "running"))
-    shard.report((0, before, "running"))
+                shard.report((0, earlier_attempt, "running"))
+    shard.report((0, earlier_attempt, "running"))
     shard.tick()
     assert shard.phase(0) == "seen"
     assert shard.phase(1) == "placed"
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -95,18 +95,18 @@
     took a second for one difference."""
 
     class Counting(tuple[tuple[int, int], ...]):
-        looks = 0
+        accesses = 0
 
         def __getitem__(self, index: Any) -> Any:
-            Counting.looks += 1
+            Counting.accesses += 1
             return super().__getitem__(index)
 
         def __iter__(self) -> Iterator[tuple[int, int]]:
             for span in super().__iter__():
-                Counting.looks += 1
+                Counting.accesses += 1
                 yield span
 
     spans = Counting((4 * n, 4 * n + 1) for n in range(5000))
     evens = Ranges(tuple((4 * n, 4 * n + 2) for n in range(5000)))
     assert len(evens - Ranges(spans)) == 5000
-    assert Counting.looks < 40_000  # a few for each span, not for each pair
+    assert Counting.accesses < 40_000  # a few for each span, not for each pair
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -19,7 +19,7 @@
 def test_a_predecessors_enrolment_that_comes_late(tmp_path: Path) -> None:
     """The late enrolment replaced the one of the new process and expired with the old lease. The
     others then took the new process for dead, and it gave up all its shards for good."""
-    held: list[int] = []
+    late_statuses: list[int] = []
 
     async def script(world: World) -> None:
         await trio.sleep(30.0)
@@ -33,20 +33,24 @@
 
         async def late(method: str, target: str, body: bytes) -> Reply:
             raw: Any = decode(body) if target == "/multi" else None
-            if raw and not held and any(c.get("write") == "r/n/node-1" for c in raw["apply"]):
-                held.append(0)
+            if (
+                raw
+                and not late_statuses
+                and any(c.get("write") == "r/n/node-1" for c in raw["apply"])
+            ):
+                late_statuses.append(0)
                 await trio.sleep(2.0)
                 reply = await service(method, target, body)
-                held.append(reply.status)
+                late_statuses.append(reply.status)
                 return reply
             return await service(method, target, body)
 
         world.network.handlers[address] = late
-        while not held:
+        while not late_statuses:
             await trio.sleep(0.01)
         world.crash(1)
         await trio.sleep(20.0)
-        assert held == [0, 200]  # its lease had not ended yet
+        assert late_statuses == [0, 200]  # its lease had not ended yet
         node = world.nodes[1]
         assert isinstance(node, Node)
         assert world.state.data["r/n/node-1"][0]["i"] == node._context.controller_lease.incarnation
@@ -68,16 +72,18 @@
         await trio.sleep(20.0)
         node = world.nodes[0]
         state, reachability = node._context.state, node._peer_messenger.reachability
-        deaf_to = {"10.0.0.1"}
-        with world.cut(deaf_to, {"10.2.0.1"}, hold=False):
+        own_host = {"10.0.0.1"}
+        with world.cut(own_host, {"10.2.0.1"}, hold=False):
             await trio.sleep(5.0)  # by now its peers relay its requests
             assert state.failing_since is not None
             for n in range(1, 5):
                 address = world.settings[n].mesh_addr
-                usual = world.network.handlers[address]
+                handler = world.network.handlers[address]
 
-                async def hangs(method: str, target: str, body: bytes, usual: Any = usual) -> Reply:
-                    await usual(method, target, body)
+                async def hangs(
+                    method: str, target: str, body: bytes, handler: Any = handler
+                ) -> Reply:
+                    await handler(method, target, body)
                     await trio.sleep_forever()
                     raise AssertionError
 
