--- a/ryegauge/coordination/command_sender.py
+++ b/ryegauge/coordination/command_sender.py
@@ -45,6 +45,7 @@
     async def _send(
         self, owner: ShardOwner, name: str, address: str, session: int, commands: list[Command]
     ) -> None:
+        """Sends commands to one worker and processes its answer, which is a report."""
         body = report_reply(owner.token, commands)
         body["shift"] = session
         try:
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -128,6 +128,7 @@
     async def _serve(
         self, address: str, handler: Handler, limit: int, listening: Callable[[], None]
     ) -> None:
+        """Serves one address, with at most `limit` connections; calls `listening` once bound."""
         await self._context.network.serve(
             address,
             handler,
@@ -239,7 +240,7 @@
                 foreign_reports = self._context.foreign_reports.since(
                     self._foreign_reports_sent_at, now, MAX_FOREIGN_REPORTS
                 )
-                view = owner.view(
+                view = owner.next_view(
                     self._context.settings.node_name,
                     leader.token,
                     now,
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -858,12 +858,12 @@
             self._replica, self._settings, self.shard, removed, self._oversized, wall
         )
 
-    def view(
+    def next_view(
         self, node: str, leader: int, now: float, foreign_reports: Iterable[tuple[str, float]] = ()
     ) -> ShardView:
         """The next view for the leader with this token: what it has not acknowledged yet.
         `foreign_reports`: machines of other shards that reported here, as (name, seconds ago)."""
-        machines, gone = self._view_publisher.next_view(
+        machines, gone = self._view_publisher.next_delta(
             leader,
             self.machines,
             lambda m: self._signature(m, now),
--- a/ryegauge/coordination/view_publisher.py
+++ b/ryegauge/coordination/view_publisher.py
@@ -30,7 +30,7 @@
         self._acknowledged_machines: dict[str, MachineSignature] = {}
         self._in_flight: tuple[int, dict[str, MachineSignature], list[str]] | None = None
 
-    def next_view(
+    def next_delta(
         self,
         leader: int,
         machines: Mapping[str, Machine],
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -65,7 +65,7 @@
     """What the leader knows of one silent machine."""
 
     silent_s: float  # seconds since its last report, without those in which its owner stalled
-    wall_silent_s: float  # seconds since its last report
+    total_silent_s: float  # seconds since its last report
     heard_elsewhere_s: float  # seconds since another controller heard it; infinite if none did
     probes: Collection[ProbeResult] = ()  # since its last report
     notice: bool = False  # the cloud has announced that it reclaims the machine
@@ -124,8 +124,8 @@
     other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
     silent_alone = evidence.heard_share >= HEARING_SHARE
-    lease_expired = evidence.wall_silent_s > limits.lease_s
-    if evidence.wall_silent_s <= SUSPECT_GAPS * gap_s:
+    lease_expired = evidence.total_silent_s > limits.lease_s
+    if evidence.total_silent_s <= SUSPECT_GAPS * gap_s:
         return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
     if evidence.silent_s <= SUSPECT_GAPS * gap_s:
         cause = Cause.OWNER_STALLED
@@ -141,7 +141,7 @@
             silent_alone,
         )
     cause = _cause(evidence, outcomes)
-    if evidence.wall_silent_s > RECOVERY_LEASES * limits.lease_s:
+    if evidence.total_silent_s > RECOVERY_LEASES * limits.lease_s:
         cause = Cause.DEAD_OR_CUT
     if lease_expired:
         severity = Severity.EXPIRED
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -71,7 +71,7 @@
     heard = "owner_unreachable" in truth and not unreachable and "hung" not in truth and helpers
     return Evidence(
         silent_s=active_s,
-        wall_silent_s=after_s,
+        total_silent_s=after_s,
         heard_elsewhere_s=1.0 if heard else NEVER,
         probes=probes,
         notice="reclaimed" in truth,
@@ -150,7 +150,7 @@
 @given(evidence, st.floats(0, 20))
 def test_longer_silence_never_lowers_the_severity(seen: Evidence, more_s: float) -> None:
     later = seen._replace(
-        silent_s=seen.silent_s + more_s, wall_silent_s=seen.wall_silent_s + more_s
+        silent_s=seen.silent_s + more_s, total_silent_s=seen.total_silent_s + more_s
     )
     assert diagnose(later, LIMITS).severity >= diagnose(seen, LIMITS).severity
 
@@ -162,7 +162,7 @@
     alone = seen._replace(
         probes=tuple(p for p in seen.probes if p.by == "a"), heard_share=0.5, notice=False
     )
-    if alone.wall_silent_s <= LIMITS.lease_s:
+    if alone.total_silent_s <= LIMITS.lease_s:
         assert diagnose(alone, LIMITS).severity < Severity.LOST
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -162,7 +162,7 @@
     assert commands == [Kill(service.task, service.attempt, 0.0)]
     report(TaskReport("wk-000002/0", service.attempt, "ended", "stopped"))
     report()
-    assert shard.owner.view("n", 1, shard.now).machines[0].empty
+    assert shard.owner.next_view("n", 1, shard.now).machines[0].empty
 
 
 def test_an_owner_is_not_unreachable_before_workers_can_report(shard: ShardHarness) -> None:
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -279,7 +279,7 @@
         shard.owner.on_probe_result("m-1", ProbeResult(by, ProbeOutcome.NO_CONNECTION, shard.now))
         shard.owner.on_probe_result("m-7", ProbeResult(by, ProbeOutcome.REFUSED, shard.now))
     assert shard.owner.to_probe(shard.now) == []
-    view = shard.owner.view("node-0", 9, shard.now)
+    view = shard.owner.next_view("node-0", 9, shard.now)
     outcomes_by_machine = {
         name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences
     }
@@ -291,7 +291,7 @@
     )
     shard.report(machine="m-7", seq=1)
     shard.owner.on_unreported([])
-    assert shard.owner.view("node-0", 9, shard.now).silences == []
+    assert shard.owner.next_view("node-0", 9, shard.now).silences == []
 
 
 def test_a_release_frees_the_tasks_at_once(shard: ShardHarness) -> None:
@@ -391,7 +391,7 @@
     shard.assign([0, 1, 2])
     shard.report((0, task.attempt, "ended"), machine="m-2", why="error")
     assert [shard.phase(i) for i in (0, 1, 2)] == ["pending_removal"] * 3
-    view = shard.owner.view("node-0", 1, shard.now)
+    view = shard.owner.next_view("node-0", 1, shard.now)
     assert view.failing == [(UID, 2, 2)]
     assert all(machine.open for machine in view.machines)
     shard.assign([])
@@ -412,7 +412,7 @@
     runs = [c for c in shard.report() if isinstance(c, Run)]
     assert len(runs) == 2
     shard.report(*((run.task[1], run.attempt, "ended") for run in runs), why="error")
-    (machine,) = shard.owner.view("node-0", 1, shard.now).machines
+    (machine,) = shard.owner.next_view("node-0", 1, shard.now).machines
     assert machine.retiring
     assert not machine.open
 
