--- a/ryegauge/coordination/assignment_updates.py
+++ b/ryegauge/coordination/assignment_updates.py
@@ -1,5 +1,5 @@
-"""What is to be written of a part's shares. Pure functions of the book and of the tasks
-that are over or handed back."""
+"""Which assignment records of a shard are to be written. Pure functions of the state replica and
+of the tasks that have ended or are handed back."""
 
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
@@ -10,73 +10,81 @@
 from ryegauge.coordination.owner_records import Task
 from ryegauge.protocol.jobs import MAX_TASKS, PRIORITIES
 
-# From this share of its limit on a team's work waits for what it holds by the book.
-FULL_SHARE = 0.8
+# Share of its limit above which a team's waiting work is taken to wait for tasks that have
+# ended and that the replica still counts against the team.
+NEAR_LIMIT_SHARE = 0.8
 
 
 class AssignmentUpdate(NamedTuple):
-    """What is to be written of a job's share."""
+    """A write that brings a job's assignment to a shard up to date."""
 
-    waited_for: bool  # somebody waits for it
-    low: bool  # nobody but users of the lowest priority
-    opens: bool  # perhaps the last that jobs after this one wait for
-    tasks: int  # over or handed back, for one change
+    awaited: bool  # a user, the leader or another job waits for it
+    lowest_priority: bool  # the job has the lowest priority, and no other job depends on it
+    unblocks_jobs: bool  # may be the last write that jobs depending on this one wait for
+    tasks: int  # ended or handed back, recorded by this one write
     uid: str
     assignment: Assignment
-    # Done tasks of the book's share that have to stand in records of their own first.
+    # Done tasks of the assignment that have to be copied to overflow pages first.
     pages: list[Ranges]
 
 
-def pending(
+def pending_updates(
     replica: StateReplica,
     settings: Settings,
     shard: int,
-    over: Iterable[Task],
-    bulky: Collection[str],
+    ended: Iterable[Task],
+    oversized: Collection[str],
     wall: float | None = None,
 ) -> list[AssignmentUpdate]:
-    """The shares as they should be, where they differ from the book: first those
-    that give tasks back or are all over, since their users, the leader or the jobs
-    after them wait, the lowest priority last; then those that shrank. With `wall` their
-    ends are dated."""
-    pending_removal: dict[str, list[Task]] = {uid: [] for uid in bulky}
-    for task in over:
-        pending_removal.setdefault(task.key[0], []).append(task)
-    full = _full_teams(replica, settings)
+    """The writes that bring the shard's assignments up to date, most urgent first: those that
+    hand tasks back or are finished, since users, the leader or dependent jobs wait for them,
+    with the lowest priority last; then those that only shrank. `ended`: tasks that have ended or
+    are handed back; `oversized`: jobs whose assignment record is too large. With `wall`, the
+    wall-clock time in seconds, finished assignments get their end time."""
+    tasks_by_job: dict[str, list[Task]] = {uid: [] for uid in oversized}
+    for task in ended:
+        tasks_by_job.setdefault(task.key[0], []).append(task)
+    near_limit = _teams_near_limit(replica, settings)
     result: list[AssignmentUpdate] = []
-    for uid, tasks in pending_removal.items():
+    for uid, tasks in tasks_by_job.items():
         job: Job | None = replica.jobs.get(uid)
         if job is None or (assignment := job.assignments.get(shard)) is None:
             continue
-        out = Ranges.of(t.key[1] for t in tasks)
+        removed = Ranges.of(t.key[1] for t in tasks)
         done = Ranges.of(t.key[1] for t in tasks if t.done)
-        assigned = {zone: r - out for zone, r in assignment.assigned.items()}
+        assigned = {zone: r - removed for zone, r in assignment.assigned.items()}
         all_done, pages = assignment.done | done, []
-        if uid in bulky:
-            pages = _pages(assignment.done - job.overflow_tasks, settings)
+        if uid in oversized:
+            pages = _split_pages(assignment.done - job.overflow_tasks, settings)
             all_done = all_done - job.overflow_tasks
-        after = Assignment(assigned, all_done, assignment.version)
-        if wall is not None and done and not after.count:
-            after.ended_at = round(wall, 3)
-        waited_for = not after.count or len(done) < len(out) or job.spec.team in full
-        opens = uid in replica.dependents and not after.count
-        low = job.spec.priority == PRIORITIES[-1] and uid not in replica.dependents
-        result.append(AssignmentUpdate(waited_for, low, opens, len(out), uid, after, pages))
-    # Of the lowest priority what lets go of most tasks: an array of thousands got its next
-    # hundred only after the single tasks of hundreds of jobs had been written.
+        updated = Assignment(assigned, all_done, assignment.version)
+        if wall is not None and done and not updated.count:
+            updated.ended_at = round(wall, 3)
+        awaited = not updated.count or len(done) < len(removed) or job.spec.team in near_limit
+        unblocks_jobs = uid in replica.dependents and not updated.count
+        lowest_priority = job.spec.priority == PRIORITIES[-1] and uid not in replica.dependents
+        result.append(
+            AssignmentUpdate(
+                awaited, lowest_priority, unblocks_jobs, len(removed), uid, updated, pages
+            )
+        )
+    # In the lowest priority, the writes that release most tasks come first: otherwise an array
+    # of thousands gets its next hundred tasks only after the single tasks of hundreds of jobs
+    # have been written.
     result.sort(
         key=lambda entry: (
-            not entry.waited_for,
-            entry.low,
-            not entry.opens,
-            -entry.tasks if entry.low else 0,
+            not entry.awaited,
+            entry.lowest_priority,
+            not entry.unblocks_jobs,
+            -entry.tasks if entry.lowest_priority else 0,
         )
     )
     return result
 
 
-def _full_teams(replica: StateReplica, settings: Settings) -> set[str]:
-    """Teams close to their limit: what they hold by the book keeps their jobs waiting."""
+def _teams_near_limit(replica: StateReplica, settings: Settings) -> set[str]:
+    """Names of the teams close to their limit: tasks that the replica still counts against them
+    keep their other jobs waiting."""
     used: dict[str, float] = {}
     for job in replica.live.values():
         cpus = job.assigned_count * job.spec.cpus
@@ -84,20 +92,23 @@
     return {
         team.name
         for team in settings.settings.teams
-        if used.get(team.name, 0.0) > FULL_SHARE * team.cpu_limit
+        if used.get(team.name, 0.0) > NEAR_LIMIT_SHARE * team.cpu_limit
     }
 
 
-def is_bulky(job: Job, assignment: Assignment, settings: Settings) -> bool:
-    """Whether the done tasks of a share take so much of its record that the leader
-    can hardly add to it: they are moved to records of their own."""
+def is_oversized(job: Job, assignment: Assignment, settings: Settings) -> bool:
+    """Whether the done tasks of an assignment fill so much of its record that the leader can
+    hardly add to it. They are then moved to overflow pages."""
     size = len(assignment.done.spans) * max_range_bytes(job.spec.tasks)
     return 2 * size > settings.state_limits.value_bytes
 
 
-def _pages(tasks: Ranges, settings: Settings) -> list[Ranges]:
-    """Done tasks cut into values within the limit."""
+def _split_pages(tasks: Ranges, settings: Settings) -> list[Ranges]:
+    """Done tasks, divided into pages within the size limit of a value."""
     if not tasks:
         return []
-    each = settings.state_limits.value_bytes // (2 * max_range_bytes(MAX_TASKS))
-    return [Ranges(tasks.spans[first : first + each]) for first in range(0, len(tasks.spans), each)]
+    spans_per_page = settings.state_limits.value_bytes // (2 * max_range_bytes(MAX_TASKS))
+    return [
+        Ranges(tasks.spans[first : first + spans_per_page])
+        for first in range(0, len(tasks.spans), spans_per_page)
+    ]
--- a/ryegauge/coordination/command_sender.py
+++ b/ryegauge/coordination/command_sender.py
@@ -1,4 +1,4 @@
-"""Commands sent straight to the workers."""
+"""Sends commands straight to workers, instead of in the answers to their reports."""
 
 import logging
 
@@ -14,33 +14,38 @@
 
 
 class CommandSender:
+    """Sends `run` commands to workers as soon as tasks are placed, with at most as many requests
+    in flight as `divide_connections` allows for it."""
+
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self._workers: dict[str, HttpClient] = {}
-        self._most = divide_connections(context.settings).commands
-        self._under_way = 0
-        self.placed = trio.Event()
+        self._max_in_flight = divide_connections(context.settings).commands
+        self._in_flight = 0
+        self.tasks_placed = trio.Event()
 
-    async def push(self) -> None:
-        """Sends starts straight to the workers instead of waiting for their reports, as far as
-        there are sockets for it. (A controller that was left alone with 700 machines sent to
-        hundreds of them at once, had no socket left, and could not reach the state service.)"""
+    async def run(self) -> None:
+        """Runs forever: whenever tasks were placed, sends their `run` commands without waiting
+        for the workers' reports. The number of requests is limited, since a controller that was
+        left alone with 700 machines sent to hundreds of them at once, used up its connections
+        and could not reach the state service."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self.placed.wait()
-                self.placed = trio.Event()
+                await self.tasks_placed.wait()
+                self.tasks_placed = trio.Event()
                 now = trio.current_time()
                 if not self._context.controller_lease.valid(now):
                     continue
                 for owner in list(self._context.owned.values()):
-                    free = self._most - self._under_way
-                    for name, address, session, commands in owner.to_push(now, free):
-                        self._under_way += 1
-                        nursery.start_soon(self._push, owner, name, address, session, commands)
+                    free = self._max_in_flight - self._in_flight
+                    for name, address, session, commands in owner.take_direct_runs(now, free):
+                        self._in_flight += 1
+                        nursery.start_soon(self._send, owner, name, address, session, commands)
 
-    async def _push(
+    async def _send(
         self, owner: ShardOwner, name: str, address: str, session: int, commands: list[Command]
     ) -> None:
+        """Sends commands to one worker and processes its answer, which is a report."""
         body = report_reply(owner.token, commands)
         body["shift"] = session
         try:
@@ -52,24 +57,25 @@
                 return
             report = parse_report(answer)
         except (Unreachable, Malformed, ValueError) as error:
-            log.debug("%s: commands without an answer: %s", name, error)
-            owner.unanswered(name, trio.current_time())
+            log.debug("%s: no answer to direct commands: %s", name, error)
+            owner.on_direct_timeout(name, trio.current_time())
             return
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
         if self._context.owned.get(owner.shard) is owner:
-            owner.pushed(name, session, commands)
+            owner.on_direct_answer(name, session, commands)
             if report.token <= owner.token:
                 owner.on_report(report, trio.current_time(), checkin=False)
 
     def _worker_client(self, address: str) -> HttpClient:
+        """The client for a worker's address. Raises ValueError for a malformed address."""
         client = self._workers.pop(address, None)
         if client is None:
-            split_address(address)  # raises ValueError for what is none
+            split_address(address)  # raises ValueError
             client = self._context.network.client(
                 address, max_connections=2, idle_s=self._context.idle_s
             )
-        self._workers[address] = client  # the latest used is last
-        if len(self._workers) > self._most // 2:  # two connections each at most
+        self._workers[address] = client  # the most recently used is last
+        if len(self._workers) > self._max_in_flight // 2:  # each has at most two connections
             self._workers.pop(next(iter(self._workers))).close()
         return client
--- a/ryegauge/coordination/connection_limits.py
+++ b/ryegauge/coordination/connection_limits.py
@@ -1,43 +1,46 @@
 # kind: decisions
-"""What a controller's sockets are for. Together never more than it may have: once the limit is
-passed, new connections fail, those to the state service among them."""
+"""How a controller's connections are divided among their purposes. The sum stays within its
+limit: beyond it new connections fail, including those to the state service."""
 
 from typing import NamedTuple
 
 from ryegauge.config import Settings
 
-# Of all: direct commands to workers that are under way at once, and attempts to reach silent
-# ones: one in so many.
-COMMANDS = 24
-PROBES = 24
+# Direct commands in flight, and probes of silent workers in flight: at most one connection in
+# so many of the limit, each.
+COMMANDS_DIVISOR = 24
+PROBES_DIVISOR = 24
 MAX_STATE_CONNECTIONS = 16
 MAX_CLOUD_CONNECTIONS = 8
 MAX_CONNECTIONS_PER_PEER = 4
-# Listening, logs, and what closes while the next opens.
-SPARE = 8
+# For listening sockets, log files, and connections that close while their successors open.
+SPARE_CONNECTIONS = 8
 
 
 class ConnectionLimits(NamedTuple):
-    public: int  # users and workers
-    inbound_peers: int  # peers that call us
-    commands: int
-    probes: int
+    """The most connections at a time, by purpose."""
+
+    public: int  # from users and workers
+    inbound_peers: int  # connections that peers open to this controller
+    commands: int  # direct commands in flight
+    probes: int  # probes in flight
 
 
 def divide_connections(settings: Settings) -> ConnectionLimits:
-    most = settings.settings.quota.max_connections
-    peers = MAX_CONNECTIONS_PER_PEER * len(settings.known)
-    # A successor connects while its predecessor's connections still stand.
-    inbound_peers = 2 * peers + SPARE
-    commands, probes = max(2, most // COMMANDS), max(2, most // PROBES)
-    # As many connections to workers again are kept open for the next commands.
-    ours = (
+    """Divides `max_connections` of the settings; at least half of it is for users and workers."""
+    limit = settings.settings.quota.max_connections
+    outbound_peers = MAX_CONNECTIONS_PER_PEER * len(settings.known)
+    # A restarted peer connects while the connections of its previous process are still open.
+    inbound_peers = 2 * outbound_peers + SPARE_CONNECTIONS
+    commands, probes = max(2, limit // COMMANDS_DIVISOR), max(2, limit // PROBES_DIVISOR)
+    # Commands count twice: as many idle connections to workers are kept open for later commands.
+    reserved = (
         MAX_STATE_CONNECTIONS
         + MAX_CLOUD_CONNECTIONS
-        + peers
+        + outbound_peers
         + inbound_peers
         + 2 * commands
         + probes
-        + SPARE
+        + SPARE_CONNECTIONS
     )
-    return ConnectionLimits(max(most // 2, most - ours), inbound_peers, commands, probes)
+    return ConnectionLimits(max(limit // 2, limit - reserved), inbound_peers, commands, probes)
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -1,4 +1,4 @@
-"""One controller: the loops that bring what is towards what is wanted."""
+"""One controller: starts its loops and handles the requests of workers."""
 
 import logging
 import random
@@ -31,12 +31,14 @@
 
 log = logging.getLogger(__name__)
 
-CHECKIN = "/checkin"
-# Machines of others that are told of in one view.
-MOST_OVERHEARD = 200
+CHECKIN_PATH = "/checkin"
+# Most machines of other shards that are reported in one view or message.
+MAX_FOREIGN_REPORTS = 200
 
 
 class Node:
+    """One controller process: owner of shards, and leader when it is elected."""
+
     def __init__(
         self,
         settings: Settings,
@@ -46,8 +48,9 @@
         front: Callable[[NodeContext, JobApi], Awaitable[None]] | None = None,
         disk: "Disk | None" = None,
     ) -> None:
-        """`front` is what else takes jobs, beside HTTP; it runs as a loop of the controller.
-        `disk` is where snapshots are, if they are taken."""
+        """`wall` returns the wall-clock time in seconds. `front` is another source of jobs
+        besides HTTP; it runs as a loop of the controller. `disk` holds snapshots, if any are
+        taken."""
         self._context = context = NodeContext(settings, network, wall, rng)
         self._shard_map = ShardMap(settings)
         self._types: dict[str, MachineType] = {}
@@ -62,98 +65,103 @@
             wall,
             rng.random,
         )
-        self._other_front = front
+        self._extra_source = front
         self._peer_messenger = PeerMessenger(context, self._job_api)
-        self._cloud = CloudClient(context)
-        self._leading = LeaderLoops(context, self._cloud)
-        self._outcomes = OutcomeWriter(context)
-        self._commands = CommandSender(context)
-        self._probing = Prober(context, self._peer_messenger)
+        self._cloud_client = CloudClient(context)
+        self._leader_loops = LeaderLoops(context, self._cloud_client)
+        self._outcome_writer = OutcomeWriter(context)
+        self._command_sender = CommandSender(context)
+        self._prober = Prober(context, self._peer_messenger)
         self._rebuild: Rebuild | None = None
         if settings.properties.rebuilding == "on":
             from ryegauge.coordination import rebuild
 
             self._rebuild = rebuild.Rebuild(context, self._peer_messenger, self._job_api, disk)
             context.data_loss_suspected = self._rebuild.data_loss_suspected
-        self._told_overheard = float("-inf")
-        self._seen = 0  # revision up to which everybody here has been woken
+        self._foreign_reports_sent_at = float("-inf")
+        self._woken_revision = 0  # revision of the replica up to which the loops have been woken
         context.replica.on_job.append(self._on_job)
         context.syncer.on_sync.append(self._on_sync)
 
     async def run(self) -> None:
+        """Listens, then runs all loops until cancelled."""
         loops: list[Callable[[], Awaitable[None]]] = [
             self._context.syncer.run,
             self._context.controller_lease.run,
             self._job_api.write_submissions,
-            self._own_shards,
-            self._commands.push,
-            self._outcomes.write,
-            self._report_shards,
+            self._tick_owners,
+            self._command_sender.run,
+            self._outcome_writer.run,
+            self._exchange_views,
             self._hand_over,
-            self._listen,
-            self._probing.run,
+            self._exchange_foreign_reports,
+            self._prober.run,
             self._peer_messenger.send_hellos,
             self._peer_messenger.request_lease_extensions,
             self._peer_messenger.probe_state,
             self._peer_messenger.announce_to_peers,
-            self._leading.run_rounds,
-            self._leading.archive,
-            self._cloud.watch_catalog,
-            self._cloud.watch_fleet,
+            self._leader_loops.run_rounds,
+            self._leader_loops.archive,
+            self._cloud_client.watch_catalog,
+            self._cloud_client.watch_fleet,
         ]
         if self._rebuild is not None:
             loops.append(self._rebuild.run)
-        if (other := self._other_front) is not None:
-            loops.append(lambda: other(self._context, self._job_api))
+        if (extra_source := self._extra_source) is not None:
+            loops.append(lambda: extra_source(self._context, self._job_api))
         settings = self._context.settings
         log.info("%s is starting, one of %d", settings.node_name, settings.settings.nodes)
         async with trio.open_nursery() as nursery:
-            # First: what our predecessor held is claimed since it has ended, and whose
-            # addresses are ours has ended.
-            sockets = divide_connections(settings)
-            for address, handler, most in (
-                (settings.listen, self._handle_public, sockets.public),
-                (settings.mesh_addr, self._peer_messenger.handle, sockets.inbound_peers),
+            # Listen first: this process claims what its predecessor held because that one has
+            # ended, and being able to bind its addresses shows that it has.
+            limits = divide_connections(settings)
+            for address, handler, limit in (
+                (settings.listen, self._handle_public, limits.public),
+                (settings.mesh_addr, self._peer_messenger.handle, limits.inbound_peers),
             ):
                 listening = trio.Event()
-                nursery.start_soon(self._serve, address, handler, most, listening.set)
+                nursery.start_soon(self._serve, address, handler, limit, listening.set)
                 await listening.wait()
             for loop in loops:
-                nursery.start_soon(self._guarded, loop)
+                nursery.start_soon(self._run_restarting, loop)
 
     async def _serve(
-        self, address: str, handler: Handler, most: int, listening: Callable[[], None]
+        self, address: str, handler: Handler, limit: int, listening: Callable[[], None]
     ) -> None:
+        """Serves one address, with at most `limit` connections; calls `listening` once bound."""
         await self._context.network.serve(
             address,
             handler,
-            max_connections=most,
-            # Peers call less often than anybody; a pause must not look like a loss.
+            max_connections=limit,
+            # Peers call less often than all others; a pause must not look like a lost connection.
             idle_s=2 * self._context.idle_s,
             request_s=self._context.settings.settings.workers.lease_s / 2,
             listening=listening,
-            # A worker that is turned away loses its lease, a user asks again.
-            first=CHECKIN.__eq__,
+            # Check-ins come first: a worker that is refused loses its lease, a user retries.
+            first=CHECKIN_PATH.__eq__,
         )
 
-    async def _guarded(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """A controller never ends by itself: a loop that fails begins again. One that ends
-        has nothing to do: without peers there is nobody to tell, and a controller that was
-        alone began that loop again and again, and did nothing else."""
+    async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
+        """Restarts a loop that fails, since a controller never ends by itself. A loop that
+        returns has nothing to do and is not restarted: without peers, the loop that tells them
+        of writes returns at once, and restarting it would keep the controller busy with nothing
+        else."""
         while True:
             try:
                 await loop()
                 return
             except Exception:
-                log.exception("a loop failed and begins again")
+                log.exception("a controller loop failed and is restarted")
                 await trio.sleep(self._context.report_s / 2)
 
     def _on_job(self, uid: str) -> None:
+        """A job's records changed in the replica."""
         for owner in self._context.owned.values():
             owner.on_job(uid)
 
     def _on_sync(self) -> None:
-        """The roles that the book gives us, under tokens not yet acted upon."""
+        """The replica was updated: takes up the roles that it newly gives this controller, and
+        drops those that it no longer gives."""
         now = trio.current_time()
         if self._context.replica.epoch != self._context.controller_lease.epoch:
             self._context.controller_lease.begin_epoch(self._context.replica.epoch, now)
@@ -166,11 +174,11 @@
             token = self._context.controller_lease.shard_token(shard)
             owner = self._context.owned.get(shard)
             if owner is not None and owner.token != token:
-                log.info("part %d is no longer ours under token %d", shard, owner.token)
+                log.info("no longer owning shard %d under token %d", shard, owner.token)
                 del self._context.owned[shard]
                 owner = None
             if owner is None and token is not None:
-                log.info("owning part %d under token %d", shard, token)
+                log.info("owning shard %d under token %d", shard, token)
                 self._context.owned[shard] = ShardOwner(
                     shard,
                     token,
@@ -201,11 +209,12 @@
                 previous_leader or self._context.previous_leader,
             )
             self._context.previous_leader = None
-        if self._context.replica.state_revision != self._seen:
-            self._seen = self._context.replica.state_revision
+        if self._context.replica.state_revision != self._woken_revision:
+            self._woken_revision = self._context.replica.state_revision
             self._context.wake()
 
-    async def _own_shards(self) -> None:
+    async def _tick_owners(self) -> None:
+        """Lets the owners of shards act on changes, and at regular intervals."""
         while True:
             busy = any(owner.machines or owner.tasks for owner in self._context.owned.values())
             with trio.move_on_after(0.25 if busy else self._context.report_s / 2):
@@ -216,22 +225,22 @@
                 continue
             for owner in self._context.owned.values():
                 owner.tick(now, self._context.wall())
-            self._commands.placed.set()
+            self._command_sender.tasks_placed.set()
             await trio.sleep(0.04)
 
-    async def _report_shards(self) -> None:
-        """Shows the leader our parts and takes its orders."""
+    async def _exchange_views(self) -> None:
+        """Sends the leader views of this controller's shards and applies its orders."""
         while True:
             for owner in list(self._context.owned.values()):
                 now = trio.current_time()
-                leader = self._context.replica.leader  # it may have changed while one hung
+                leader = self._context.replica.leader  # may have changed while a call to it hung
                 if leader is None or not self._context.controller_lease.valid(now):
                     continue
-                # What we overheard goes along once, with whichever part comes first.
+                # Machines of other shards that reported here are included once, in the first view.
                 foreign_reports = self._context.foreign_reports.since(
-                    self._told_overheard, now, MOST_OVERHEARD
+                    self._foreign_reports_sent_at, now, MAX_FOREIGN_REPORTS
                 )
-                view = owner.view(
+                view = owner.next_view(
                     self._context.settings.node_name,
                     leader.token,
                     now,
@@ -244,53 +253,55 @@
                 elif leader.node in self._peer_messenger.peers:
                     orders = await self._peer_messenger.ask(leader.node, view)
                 if isinstance(orders, ShardOrders):
-                    self._told_overheard = now
-                    owner.shown(view.seq, orders.resync)
-                    owner.gone(orders.gone)
+                    self._foreign_reports_sent_at = now
+                    owner.on_view_answer(view.seq, orders.resync)
+                    owner.on_released(orders.gone)
                     owner.retire(orders.retire)
-                    owner.unreported(orders.unreported)
-                    owner.held_back(orders.failing_jobs)
+                    owner.on_unreported(orders.unreported)
+                    owner.on_failing_jobs(orders.failing_jobs)
                     for machine, uid, count in orders.evict:
                         owner.evict(machine, uid, count)
-            # Well within what the leader takes for a part out of sight.
+            # Well below the interval after which the leader considers a shard out of sight.
             with trio.move_on_after(self._context.report_s / 2):
                 await self._context.work_available.wait()
             await trio.sleep(self._context.report_s / 8)
 
     async def _hand_over(self) -> None:
+        """Hands shards over that other controllers should own."""
         while True:
             await trio.sleep(self._context.report_s)
             for shard, token in self._context.controller_lease.surplus_shards():
                 owner = self._context.owned.get(shard)
                 if owner is None or owner.pending_removal:
-                    continue  # what is over is written first
-                await self._give_back(shard, token)
+                    continue  # outcomes are written first
+                await self._release_shard(shard, token)
 
-    async def _give_back(self, shard: int, token: int) -> None:
-        log.info("handing part %d over", shard)
+    async def _release_shard(self, shard: int, token: int) -> None:
+        """Gives a shard up, so that another controller can take it over."""
+        log.info("handing shard %d over", shard)
         del self._context.owned[shard]
         try:
             await self._context.controller_lease.release_shard(shard, token)
         except RETRYABLE_ERRORS as error:
-            log.info("handing part %d over: %s", shard, error)
+            log.info("handing shard %d over failed: %s", shard, error)
 
-    async def _listen(self) -> None:
-        """Tells owners of their workers that report here, and gives up a part whose workers
-        report to others and not to us: their leases would run out between them and us."""
-        told = trio.current_time()
+    async def _exchange_foreign_reports(self) -> None:
+        """Tells owners which of their workers reported here, and gives up a shard whose workers
+        report to others and not here: with this owner their leases would expire."""
+        sent_until = trio.current_time()
         while True:
             await trio.sleep(self._context.report_s / 5)
             now = trio.current_time()
             by_node: dict[str, list[tuple[str, int, float]]] = {}
-            for entry in self._context.foreign_reports.since(told, now, MOST_OVERHEARD):
-                owner_of = self._context.replica.shards.get(entry[1])
+            for entry in self._context.foreign_reports.since(sent_until, now, MAX_FOREIGN_REPORTS):
+                role_holder = self._context.replica.shards.get(entry[1])
                 if (
-                    owner_of is not None
-                    and owner_of.node in self._peer_messenger.peers
-                    and not self._peer_messenger.reachability.silent(owner_of.node, now)
+                    role_holder is not None
+                    and role_holder.node in self._peer_messenger.peers
+                    and not self._peer_messenger.reachability.is_silent(role_holder.node, now)
                 ):
-                    by_node.setdefault(owner_of.node, []).append(entry)
-            told = now
+                    by_node.setdefault(role_holder.node, []).append(entry)
+            sent_until = now
             async with trio.open_nursery() as nursery:
                 for node, entries in by_node.items():
                     message = ForeignReportNotice(self._context.settings.node_name, entries)
@@ -298,15 +309,19 @@
             for shard, owner in list(self._context.owned.items()):
                 if (
                     self._context.controller_lease.valid(now)
-                    and owner.deaf(now)
+                    and owner.is_unreachable(now)
                     and self._context.controller_lease.on_workers_unreachable(shard, now)
                 ):
-                    log.warning("part %d: its workers report to others and not here", shard)
-                    self._probing.remember(shard, owner)
-                    # What is over and not written stays in the workers' reports.
-                    await self._give_back(shard, owner.token)
+                    log.warning(
+                        "giving shard %d up: its workers report to other controllers, not here",
+                        shard,
+                    )
+                    self._prober.remember_workers(shard, owner)
+                    # Outcomes that are not written yet stay in the workers' reports.
+                    await self._release_shard(shard, owner.token)
 
-    async def _handle_worker(self, body: bytes) -> Reply:
+    async def _handle_checkin(self, body: bytes) -> Reply:
+        """Answers a worker's check-in; 421 if this controller does not own its shard."""
         report = parse_report(decode(body))
         now = trio.current_time()
         if self._rebuild is not None:
@@ -314,31 +329,37 @@
         shard = self._shard_map.shard_of(report.machine, report.zone)
         owner = self._context.owned.get(shard)
         if owner is None:
-            self._context.foreign_reports.heard(report.machine, shard, now)
+            self._context.foreign_reports.on_report(report.machine, shard, now)
             self._context.controller_lease.on_workers_reachable(shard, now)
-            other = self._context.replica.shards.get(shard)
-            # A worker that has seen the owner's token was answered by it and has left it since:
-            # sent back, it would wait there for an answer again while its lease runs out. It
-            # tries the other controllers in turn, and finds whoever takes the part over.
-            left = other is not None and report.token >= other.token
-            if other is not None and not left and other.node != self._context.settings.node_name:
-                return Reply(421, {"foreman": other.node})
+            role_holder = self._context.replica.shards.get(shard)
+            # A worker that has seen the owner's token was answered by it and has left it since.
+            # Redirected to it, the worker would wait there for an answer while its lease runs
+            # out; instead it tries the other controllers in turn, and finds the shard's next
+            # owner.
+            has_left_owner = role_holder is not None and report.token >= role_holder.token
+            if (
+                role_holder is not None
+                and not has_left_owner
+                and role_holder.node != self._context.settings.node_name
+            ):
+                return Reply(421, {"foreman": role_holder.node})
             return Reply(421, {})
         if not self._context.controller_lease.valid(now):
             return Reply(503, {"error": "no authority"})
         if report.token > owner.token:
-            # Somebody else has taken the part over: nothing of ours counts there.
+            # Another controller has taken the shard over; this one's authority has ended.
             self._context.syncer.request_read()
             return Reply(421, {})
-        before = owner.revision
+        revision_before = owner.revision
         commands = owner.on_report(report, now)
-        if owner.revision != before:
+        if owner.revision != revision_before:
             self._context.wake()
         return Reply(200, report_reply(owner.token, commands))
 
     async def _handle_public(self, method: str, target: str, body: bytes) -> Reply:
-        if method == "POST" and target == CHECKIN:
-            return await self._handle_worker(body)
+        """Answers a request of a worker or a user; 503 to users until this controller is ready."""
+        if method == "POST" and target == CHECKIN_PATH:
+            return await self._handle_checkin(body)
         if not self._context.syncer.ready.is_set() or (
             self._rebuild is not None and not self._rebuild.open
         ):
--- a/ryegauge/coordination/owner_records.py
+++ b/ryegauge/coordination/owner_records.py
@@ -1,4 +1,5 @@
-"""What the owner of a part knows of a task and of a machine."""
+"""The records that the owner of a shard keeps of its tasks and machines. Times are in seconds of
+the controller's clock."""
 
 import math
 from typing import Literal
@@ -6,25 +7,29 @@
 from ryegauge.detection.failure_diagnosis import ProbeResult
 from ryegauge.protocol.workers import Report, TaskKey, TaskReport
 
-# unseen: allotted before this token; may run on a machine not heard from yet.
-# free: on no machine for certain. placed: its `run` is wanted, never reported.
-# seen: reported alive. leaving: over or handed back; waits to be written.
-Phase = Literal["unseen", "free", "placed", "seen", "leaving"]
+# unseen: assigned before this token; may run on a machine that has not reported yet.
+# unplaced: certainly on no machine.
+# placed: to be started on a machine that has not reported it yet.
+# seen: reported alive.
+# pending_removal: ended or handed back; its removal from the assignment is not written yet.
+Phase = Literal["unseen", "unplaced", "placed", "seen", "pending_removal"]
 
 
 class Task:
+    """A task that a job's assignment to the shard holds, and its current attempt."""
+
     __slots__ = (
         "attempt",
         "done",
-        "errors",
-        "failed",
+        "failed_on",
+        "failures",
         "key",
         "machine",
-        "moving",
         "not_before",
         "phase",
+        "relocating",
+        "run_sent",
         "running_since",
-        "sent",
         "withdrawn",
         "zone",
     )
@@ -35,39 +40,41 @@
         self.phase: Phase = phase
         self.machine: str | None = None
         self.attempt = 0
-        self.sent = False  # a `run` of this attempt was given
-        self.withdrawn = False  # must not run (any more): cancelled, or its machine goes
-        self.moving = False  # is being stopped here to run elsewhere
+        self.run_sent = False  # a `run` of this attempt was sent
+        self.withdrawn = False  # must not run any more: its job is cancelled, or it is evicted
+        self.relocating = False  # is being stopped to run on another machine
         self.running_since: float | None = None
         self.not_before = 0.0
         self.done = False
-        self.errors: set[str] = set()  # machines on which it failed
-        self.failed = 0  # times
+        self.failed_on: set[str] = set()  # machines on which it failed
+        self.failures = 0  # failed attempts
 
 
 class Machine:
+    """A machine of the shard, by its reports under this owner's token."""
+
     __slots__ = (
         "address",
-        "alive",
-        "checked_in",
-        "deaf_until",
-        "direct",
-        "given_up",
+        "alive_attempts",
+        "first_heard_at",
         "heard_at",
-        "heard_from",
+        "heard_steadily_since",
         "idle_since",
         "images",
+        "last_checkin_id",
+        "last_report_id",
         "name",
         "notice_at",
+        "pending_run_since",
         "probes",
         "retiring",
-        "since",
         "spot",
-        "stamp",
-        "stuck_at",
         "tasks",
-        "trusted",
+        "token_confirmed",
+        "token_never_confirmed",
         "type",
+        "unanswered_runs",
+        "unreachable_until",
         "zone",
     )
 
@@ -77,22 +84,24 @@
         self.zone = report.zone
         self.spot = report.spot
         self.address = report.addr
-        # Attempts sent straight to the worker, without an answer so far: they may
-        # still be started at any time in this session.
-        self.direct: set[tuple[TaskKey, int]] = set()
-        self.trusted = False  # has reported under this token
-        self.stamp = (0, 0)
-        self.checked_in = (0, 0)  # the newest of its check-ins
-        self.deaf_until = -math.inf  # until then it seems not to hear us
-        self.since = self.heard_at = now
-        self.heard_from = now  # without a longer pause since then
-        self.probes: list[ProbeResult] = []  # since it was heard
-        self.notice_at: float | None = None  # when the cloud takes it away
-        self.retiring = False
-        # Since when a start of a cancelled job may be on its way here that got no answer.
-        self.stuck_at = math.inf
-        self.given_up = False  # never showed that it hears us
+        # Attempts whose `run` was sent straight to the worker and not answered: they may still
+        # start at any time in this session.
+        self.unanswered_runs: set[tuple[TaskKey, int]] = set()
+        self.token_confirmed = False  # has reported under this token
+        # (session, sequence number) of the newest report under this token.
+        self.last_report_id = (0, 0)
+        self.last_checkin_id = (0, 0)  # the same of the newest check-in, under any token
+        self.unreachable_until = -math.inf  # until then messages seem not to reach it
+        self.first_heard_at = self.heard_at = now
+        self.heard_steadily_since = now  # its reports have come without a long pause since then
+        self.probes: list[ProbeResult] = []  # results of probes since it was last heard
+        self.notice_at: float | None = None  # when the cloud reclaims it
+        self.retiring = False  # to be returned once empty
+        # Since when an unanswered `run` of a cancelled job may still arrive here.
+        self.pending_run_since = math.inf
+        # It has never shown this owner's token, and is to be returned for that.
+        self.token_never_confirmed = False
         self.idle_since = now
         self.images: dict[str, float] = {}  # presumed cached, most recently used last
-        self.tasks: set[TaskKey] = set()  # tasks whose place this is
-        self.alive: dict[tuple[TaskKey, int], TaskReport] = {}  # as last reported
+        self.tasks: set[TaskKey] = set()  # tasks placed here
+        self.alive_attempts: dict[tuple[TaskKey, int], TaskReport] = {}  # attempts as last reported
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -1,8 +1,8 @@
-"""The owner of one part: its machines' reports, its tasks and the commands.
+"""The owner of one shard: processes its machines' reports, tracks its tasks, issues commands.
 
-No I/O and no clock: `now` is passed in. One object lives for one token; a controller
-that takes the part over under a higher token begins with a new one, which knows
-nothing of the machines and finds out from their reports.
+No I/O and no clock: `now` is passed in. One object serves one token. A controller that takes
+the shard over under a higher token creates a new one, which knows nothing about the machines
+until they report.
 """
 
 import logging
@@ -18,7 +18,7 @@
 from ryegauge.coordination import assignment_updates
 from ryegauge.coordination.demands import make_demand, records_zones, task_sizes
 from ryegauge.coordination.owner_records import Machine, Phase, Task
-from ryegauge.coordination.view_publisher import Signature, ViewPublisher
+from ryegauge.coordination.view_publisher import MachineSignature, ViewPublisher
 from ryegauge.detection.failure_diagnosis import SUSPECT_GAPS, ProbeResult
 from ryegauge.detection.fault_attribution import FaultAttribution
 from ryegauge.detection.last_heard import LastHeard, StallDetector, owner_unreachable
@@ -39,17 +39,23 @@
 
 log = logging.getLogger(__name__)
 
-# Machines given up whose late reports are still recognised.
-REMEMBERED = 10_000
-# A task that fails again and again is tried at least so often.
+# Removed machines whose late reports are still recognised; bounds the memory they take.
+MAX_REMEMBERED_MACHINES = 10_000
+# Longest pause, in leases, before a task that keeps failing is retried.
 MAX_RETRY_PAUSE_LEASES = 4.0
 
 
-def _of(key: TaskKey) -> tuple[str, list[TaskKey]]:
+def _group_of(key: TaskKey) -> tuple[str, list[TaskKey]]:
+    """The task's job and, as a list, the task alone: arguments of `_remaining_s`."""
     return key[0], [key]
 
 
 class ShardOwner:
+    """Places a shard's tasks on its machines and follows them until their outcome is recorded.
+
+    A task is started again only once its previous attempt has certainly ended: a report shows
+    it, the machine was released, or the machine's lease has expired."""
+
     def __init__(
         self,
         shard: int,
@@ -61,66 +67,76 @@
         authority_ended_at: float = -math.inf,
         detects_unrecorded: bool = False,
     ) -> None:
-        """`authority_ended_at`: by then all authority of before this era has ended."""
+        """`types` returns the machine types known so far. Times are in seconds of the
+        controller's clock. `authority_ended_at`: when the authority of every owner from before
+        this epoch has ended. `detects_unrecorded`: whether to collect attempts that workers
+        report and no assignment holds, since the state service may have lost its record."""
         self.shard = shard
         self.token = token
-        self._since = now
+        self._created_at = now
         self._replica = replica
         self._settings = settings
         self._types = types
         self.lease_s = settings.max_lease_s
-        # By then whatever the earlier authority commanded has reported here or lost
-        # its lease: it could last answer before this token existed.
+        # After the barrier, whatever an earlier owner started has either been reported here or
+        # lost its lease: an earlier owner's last answer was sent before this token existed.
         self._authority_ended_at = authority_ended_at
         self._barrier_at = max(now, authority_ended_at) + self.lease_s
-        # While data that the state service lost is put back, nothing is placed, and what no
-        # share holds may be adopted: (task, attempt) -> (seen at, whether it has ended as done).
+        # While data that the state service lost is being restored, nothing is placed, and
+        # attempts that no assignment holds may be adopted:
+        # (task, attempt) -> (seen at, zone, whether it has ended as done).
         self._rebuilding = self._stage != RECOVERED
         self._detects_unrecorded = detects_unrecorded
         self.unrecorded: dict[tuple[TaskKey, int], tuple[float, str, bool]] = {}
         self._cleared: set[tuple[TaskKey, int]] = set()
         self.machines: dict[str, Machine] = {}
-        # Machines of ours that have never reported here or were given up: name -> (address,
-        # attempts to ask them).
-        self._unheard: dict[str, tuple[str, list[ProbeResult]]] = {}
-        self._elsewhere: dict[str, float] = {}  # machine of ours -> when others last heard it
-        self._hearing = LastHeard(StallDetector(settings.settings.workers.report_s, now))
-        self._stamps: dict[str, tuple[float, float]] = {}  # of machines given up
+        # Machines of this shard that have never reported here or were removed:
+        # name -> (address, results of probing them).
+        self._unreported: dict[str, tuple[str, list[ProbeResult]]] = {}
+        # Machine of this shard -> when another controller last got a report of it.
+        self._heard_elsewhere_at: dict[str, float] = {}
+        self._last_heard = LastHeard(StallDetector(settings.settings.workers.report_s, now))
+        # Removed machines: reports up to this (session, sequence number) are late.
+        self._ignored_up_to: dict[str, tuple[float, float]] = {}
         self.tasks: dict[TaskKey, Task] = {}
         self._by_job: dict[str, set[TaskKey]] = {}
         self._attempts = token << 20
-        self._free: set[TaskKey] = set()
+        self._unplaced: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
         self.pending_removal: set[TaskKey] = set()
-        self._bulky: set[str] = set()  # jobs whose share's record has grown too large
+        self._oversized: set[str] = set()  # jobs whose assignment record has grown too large
         self.estimates = Estimates()
-        self._samples: dict[str, tuple[int, float, float]] = {}
-        # Counts reports that said something new. Most only renew a lease, and looking
-        # at everything again for each would take most of the time.
+        self._run_samples: dict[str, tuple[int, float, float]] = {}
+        # Counts reports that brought something new. Most only renew a lease; a full pass for
+        # each of those would take most of the controller's time.
         self.revision = 0
-        self._showing = ViewPublisher()
-        self._blame = FaultAttribution(self._any_done)
-        self._faulty: set[str] = set()  # machines that are to be given up
-        self._suspected: set[str] = set()  # machines that get no tasks for now
-        self._blamed_at = now
+        self._view_publisher = ViewPublisher()
+        self._faults = FaultAttribution(self._has_done_tasks)
+        self._faulty: set[str] = set()  # machines that are to be returned
+        self._suspected: set[str] = set()  # machines that get no new tasks for now
+        self._faults_pruned_at = now
         for uid in list(replica.live):
             self._reconcile(uid, "unseen")
 
-    # -- what the book says -------------------------------------------------------
+    # -- changes of the replica ------------------------------------------------------
 
     @property
     def _stage(self) -> int:
+        """The stage of recovery after a loss of data."""
         return self._replica.recovery_stage
 
     def on_job(self, uid: str) -> None:
-        self._reconcile(uid, "unseen" if self._rebuilding else "free")
+        """A job's records changed: takes its assignment to this shard over from the replica."""
+        self._reconcile(uid, "unseen" if self._rebuilding else "unplaced")
 
     def _reconcile(self, uid: str, phase: Phase) -> None:
+        """Adds tasks that the job's assignment newly holds, in `phase`, and drops those that it
+        no longer holds."""
         job = self._replica.jobs.get(uid)
         assignment = job.assignments.get(self.shard) if job is not None else None
         known = self._by_job.get(uid)
         if assignment is None and not known:
-            self._bulky.discard(uid)
+            self._oversized.discard(uid)
             return
         wanted: set[TaskKey] = set()
         if assignment is not None:
@@ -130,17 +146,17 @@
                     wanted.add(key)
                     if key not in self.tasks:
                         self.tasks[key] = Task(key, zone, phase)
-                        (self._free if phase == "free" else self._unseen).add(key)
+                        (self._unplaced if phase == "unplaced" else self._unseen).add(key)
         for key in (known or set()) - wanted:
             self._drop(key)
         if (
             job is not None
             and assignment is not None
-            and assignment_updates.is_bulky(job, assignment, self._settings)
+            and assignment_updates.is_oversized(job, assignment, self._settings)
         ):
-            self._bulky.add(uid)
+            self._oversized.add(uid)
         else:
-            self._bulky.discard(uid)
+            self._oversized.discard(uid)
         if wanted:
             self._by_job[uid] = wanted
         else:
@@ -150,9 +166,10 @@
                 self._withdraw(self.tasks[key])
 
     def _drop(self, key: TaskKey) -> None:
-        """The record no longer gives us the task: only written once it was over."""
+        """Forgets a task that the assignment no longer holds; that is written only once the
+        task's attempt has ended."""
         task = self.tasks.pop(key)
-        for keys in (self._free, self._unseen, self.pending_removal):
+        for keys in (self._unplaced, self._unseen, self.pending_removal):
             keys.discard(key)
         if task.machine is not None and (m := self.machines.get(task.machine)) is not None:
             m.tasks.discard(key)
@@ -160,182 +177,190 @@
     # -- tasks -----------------------------------------------------------------------
 
     def _withdraw(self, task: Task) -> None:
+        """The task must not run any more."""
         task.withdrawn = True
-        if task.phase == "free":
-            self._leave(task, done=False)
-        elif task.phase == "placed" and not task.sent:
-            self._end(task)
-
-    def _leave(self, task: Task, *, done: bool) -> None:
-        """From here on the task is never placed by us again: writing may already be
-        under way, with an unknown outcome, and the leader may give it to others."""
-        self._free.discard(task.key)
+        if task.phase == "unplaced":
+            self._mark_for_removal(task, done=False)
+        elif task.phase == "placed" and not task.run_sent:
+            self._end_attempt(task)
+
+    def _mark_for_removal(self, task: Task, *, done: bool) -> None:
+        """This owner never places the task again: the write that removes it from the assignment
+        may already be in flight with an unknown result, and the leader may then assign the task
+        to another shard."""
+        self._unplaced.discard(task.key)
         self._unseen.discard(task.key)
-        task.phase = "leaving"
+        task.phase = "pending_removal"
         task.done = task.done or done
         self.pending_removal.add(task.key)
 
-    def _end(self, task: Task) -> None:
-        """Its attempt is over for certain; the task itself is not."""
+    def _end_attempt(self, task: Task) -> None:
+        """The task's attempt has certainly ended, without success."""
         if task.machine is not None and (m := self.machines.get(task.machine)) is not None:
             m.tasks.discard(task.key)
-        task.machine, task.sent, task.moving, task.running_since = None, False, False, None
-        if task.phase == "leaving":
+        task.machine, task.run_sent, task.relocating, task.running_since = None, False, False, None
+        if task.phase == "pending_removal":
             return
         if task.withdrawn:
-            self._leave(task, done=False)
+            self._mark_for_removal(task, done=False)
         else:
-            task.phase = "free"
-            self._free.add(task.key)
+            task.phase = "unplaced"
+            self._unplaced.add(task.key)
 
-    def _finish(self, task: Task, machine: Machine, now: float) -> None:
+    def _record_success(self, task: Task, machine: Machine, now: float) -> None:
+        """The task succeeded; its run time becomes a sample for the estimates."""
         machine.tasks.discard(task.key)
-        if self._blame.succeeded(task.key[0], machine.name):
-            self._reassess()
+        if self._faults.record_success(task.key[0], machine.name):
+            self._update_machine_faults()
         job = self._replica.jobs.get(task.key[0])
         if job is not None and task.running_since is not None and job.spec.estimate_s > 0:
-            took = max(0.1, now - task.running_since)
-            ratio = math.log(took / job.spec.estimate_s)
-            count, total, squares = self._samples.get(job.spec.job_class, (0, 0.0, 0.0))
-            self._samples[job.spec.job_class] = (count + 1, total + ratio, squares + ratio**2)
+            run_s = max(0.1, now - task.running_since)
+            ratio = math.log(run_s / job.spec.estimate_s)
+            count, total, squares = self._run_samples.get(job.spec.job_class, (0, 0.0, 0.0))
+            self._run_samples[job.spec.job_class] = (count + 1, total + ratio, squares + ratio**2)
         task.machine = None
-        self._leave(task, done=True)
-
-    def _fail(self, task: Task, machine: Machine, now: float) -> None:
-        """A task failed, by its own fault or its machine's. It is tried again ever later, on
-        the same machine too: where a part had but one, a task that fails everywhere was tried
-        there each second, and its owner never saw it fail elsewhere."""
-        task.errors.add(machine.name)
-        task.failed += 1
-        self._blame.failed(task.key[0], machine.name, len(task.errors))
-        self._reassess()
-        w = self._settings.settings.workers
-        longest_s = MAX_RETRY_PAUSE_LEASES * w.lease_s
-        pause_s = w.report_s * 2.0 ** min(task.failed, 30) - w.report_s
-        task.not_before = now + min(longest_s, pause_s)
-
-    def _any_done(self, uid: str) -> bool:
+        self._mark_for_removal(task, done=True)
+
+    def _record_failure(self, task: Task, machine: Machine, now: float) -> None:
+        """A task failed, by its own fault or its machine's. It is retried after growing pauses,
+        on the same machine too. Without the pause, in a shard with a single machine, a task that
+        fails everywhere was retried there every second and never seen to fail elsewhere."""
+        task.failed_on.add(machine.name)
+        task.failures += 1
+        self._faults.record_failure(task.key[0], machine.name, len(task.failed_on))
+        self._update_machine_faults()
+        workers = self._settings.settings.workers
+        max_pause_s = MAX_RETRY_PAUSE_LEASES * workers.lease_s
+        pause_s = workers.report_s * 2.0 ** min(task.failures, 30) - workers.report_s
+        task.not_before = now + min(max_pause_s, pause_s)
+
+    def _has_done_tasks(self, uid: str) -> bool:
+        """Whether any task of the job has succeeded, according to the replica."""
         job = self._replica.jobs.get(uid)
         return job is not None and job.done_count > 0
 
-    def _reassess(self) -> None:
-        faulty, suspected = self._blame.accused(len(self.machines))
+    def _update_machine_faults(self) -> None:
+        """Updates which machines are faulty or suspected."""
+        faulty, suspected = self._faults.classify_machines(len(self.machines))
         if (faulty, suspected) != (self._faulty, self._suspected):
             if new := faulty - self._faulty:
-                log.info("faulty, to be given up: %s", ", ".join(sorted(new)))
+                log.info("faulty machines, to be given up: %s", ", ".join(sorted(new)))
             if new := suspected - self._suspected:
-                log.info("perhaps faulty, no tasks for now: %s", ", ".join(sorted(new)))
+                log.info("suspected machines, no new tasks for now: %s", ", ".join(sorted(new)))
             self._faulty, self._suspected = faulty, suspected
             self.revision += 1
 
-    def held_back(self, uids: Iterable[str]) -> None:
-        """What the leader says of jobs that fail in other parts too."""
-        if self._blame.known(frozenset(uids)):
-            self._reassess()
+    def on_failing_jobs(self, uids: Iterable[str]) -> None:
+        """The leader's list of jobs that fail in all shards and are in retry backoff."""
+        if self._faults.set_failing_elsewhere(frozenset(uids)):
+            self._update_machine_faults()
 
-    def _hold_back(self, uid: str) -> None:
-        """A job that fails on every machine: what of it has not started is handed back, and
-        the leader has one task tried now and then. (Before, each of its tasks was tried again
-        and again on each machine: 2,300 times on a day with 15 such jobs.)"""
+    def _hand_back_unstarted(self, uid: str) -> None:
+        """Hands back the tasks that have not started, of a job that fails on every machine. The
+        leader then has a single task retried with growing pauses. Otherwise each of its tasks
+        was retried on each machine: 2,300 times in a simulated day with 15 such jobs."""
         for key in list(self._by_job.get(uid, ())):
             task = self.tasks[key]
-            if task.phase == "placed" and not task.sent:
-                self._end(task)
-            if task.phase == "free":
-                self._leave(task, done=False)
+            if task.phase == "placed" and not task.run_sent:
+                self._end_attempt(task)
+            if task.phase == "unplaced":
+                self._mark_for_removal(task, done=False)
 
     # -- reports --------------------------------------------------------------------
 
     def on_report(self, report: Report, now: float, checkin: bool = True) -> list[Command]:
-        """Takes a report in; the commands go into its answer.
+        """Processes a report and returns the commands for its answer.
 
-        `checkin` is false for a report that came as the answer to direct commands: it
-        renews no lease, and the answer to an earlier check-in may still be on its way."""
-        stamp = (report.session, report.seq)
+        `checkin` is false for a report that was the answer to direct commands: it renews no
+        lease, and the answer to an earlier check-in may still be in flight."""
+        report_id = (report.session, report.seq)
         machine = self.machines.get(report.machine)
-        if stamp <= self._stamps.get(report.machine, (0, 0)):
-            # Sent in a session that has surely ended: a late delivery.
+        if report_id <= self._ignored_up_to.get(report.machine, (0, 0)):
+            # A late delivery, from a session that has certainly ended.
             return []
-        if not checkin and (machine is None or not machine.trusted):
+        if not checkin and (machine is None or not machine.token_confirmed):
             return []
         if machine is None:
             machine = self.machines[report.machine] = Machine(report, now)
         if checkin:
-            if stamp <= machine.checked_in:
-                # A late copy: the worker has sent a newer one since, so it waits for no answer to
-                # this one, and nothing is renewed. (Counted as heard, copies of the reports of
-                # machines that had died kept their tasks from starting elsewhere.)
+            if report_id <= machine.last_checkin_id:
+                # A late duplicate: the worker has sent a newer report since and waits for no
+                # answer to this one, so no lease is renewed. It must not update `heard_at`:
+                # duplicates from dead machines would keep their tasks from starting elsewhere.
                 return []
-            # Whatever else is answered may renew the lease, so it counts as heard.
-            machine.checked_in = stamp
+            # The answer to any other report may renew the lease, so the report counts as heard.
+            machine.last_checkin_id = report_id
             if now - machine.heard_at > 2 * self._settings.report_gap_s:
-                machine.heard_from = now
+                machine.heard_steadily_since = now
             machine.heard_at = now
             machine.probes.clear()
-            self._hearing.heard(machine.name, now)
+            self._last_heard.on_report(machine.name, now)
         if report.token < self.token:
-            # Sent before the worker saw this token: it may still have been given
-            # commands by an earlier authority. The answer shows it the token.
+            # Sent before the worker saw this token: an earlier owner may still have given it
+            # commands. The answer shows it the token.
             return self._kill_cancelled(report)
-        if machine.trusted and stamp <= machine.stamp:
+        if machine.token_confirmed and report_id <= machine.last_report_id:
             return self._kill_cancelled(report)
-        first = not machine.trusted
-        new_session = machine.trusted and report.session != machine.stamp[0]
+        first_report = not machine.token_confirmed
+        new_session = machine.token_confirmed and report.session != machine.last_report_id[0]
         if new_session:
-            machine.direct.clear()
-            if now - machine.heard_from > self.lease_s / 2:
-                # Its lease has run out although its reports were answered: it does not hear us.
-                # In a session that lasts for longer than a lease it does again.
-                machine.deaf_until = now + self.lease_s + self._settings.report_gap_s
-        machine.stamp = stamp
-        machine.trusted = True
+            machine.unanswered_runs.clear()
+            if now - machine.heard_steadily_since > self.lease_s / 2:
+                # Its lease expired although its reports were answered: the answers do not reach
+                # it. Once a session lasts longer than a lease, they do again.
+                machine.unreachable_until = now + self.lease_s + self._settings.report_gap_s
+        machine.last_report_id = report_id
+        machine.token_confirmed = True
         machine.address = report.addr or machine.address
         noticed = machine.notice_at is None and report.notice_s is not None
         machine.notice_at = None if report.notice_s is None else now + report.notice_s
         reported = {(task_key(t.task), t.attempt): t for t in report.tasks}
-        self._missing(machine, reported, new_session, checkin)
-        alive = {k: t for k, t in reported.items() if t.state != "ended"}
-        if first or noticed or new_session or alive != machine.alive:
+        self._process_unlisted(machine, reported, new_session, checkin)
+        alive_attempts = {k: t for k, t in reported.items() if t.state != "ended"}
+        if first_report or noticed or new_session or alive_attempts != machine.alive_attempts:
             self.revision += 1
-        machine.alive = alive
+        machine.alive_attempts = alive_attempts
         commands: list[Command] = []
         try:
             for (key, attempt), entry in reported.items():
-                self._reported(machine, key, attempt, entry, now, commands)
+                self._process_entry(machine, key, attempt, entry, now, commands)
         except Exception:
-            # An error of ours: what the report shows was not all taken in, so it must not
-            # count as one. (Counted, unseen tasks that it showed were started elsewhere.)
-            machine.trusted = False
+            # An internal error: the report was processed only partially, so the machine must not
+            # count as having reported. Otherwise unseen tasks that the report lists would be
+            # started elsewhere.
+            machine.token_confirmed = False
             raise
         for key in sorted(machine.tasks):
             task = self.tasks[key]
             if task.phase != "placed":
                 continue
             if not task.withdrawn and not machine.retiring:
-                task.sent = True
+                task.run_sent = True
                 commands.append(Run(key, task.attempt))
             elif (
                 checkin
-                and (key, task.attempt) in machine.direct
+                and (key, task.attempt) in machine.unanswered_runs
                 and not self._replica.is_cancelled(key[0])
             ):
-                # Not wanted any more, and sent straight without an answer: it may yet begin. In
-                # order, so that it is over before it does; the worker keeps it as ended (it is
-                # not forgotten in this session), and the start that is on its way has no effect.
-                # (Only the session's end or the machine's return would have proved it gone, and
-                # beside a service neither comes: it counted against its team for good.) Never of
-                # a cancelled job: nothing of it may be started, not even to be ended.
+                # No longer wanted, but its direct `run` got no answer and may still arrive. `run`
+                # and `kill` in order make the worker record the attempt as ended, and it keeps
+                # that record for this session (no `forget` is sent), so the late `run` has no
+                # effect. Otherwise only the end of the session or the machine's return would
+                # prove that it does not run; next to a service neither comes, and the task would
+                # count against its team for good. Never for a cancelled job: nothing of it may be
+                # started, not even to be killed.
                 commands += [Run(key, task.attempt), Kill(key, task.attempt, 0.0)]
-        if machine.tasks or machine.alive:
+        if machine.tasks or machine.alive_attempts:
             machine.idle_since = now
         if commands:
             self.revision += 1
         return commands
 
     def _kill_cancelled(self, report: Report) -> list[Command]:
-        """For a report of which nothing else is taken in: its answer renews the lease, so it
-        ends what has been cancelled. (A machine that hung after each such answer, one from each
-        new owner, kept a cancelled task for a lease more each time, beyond `cancel_s`.)"""
+        """The commands for a report that is not processed otherwise. Its answer renews the
+        lease, so it has to kill cancelled tasks. Otherwise a machine that hung after each such
+        answer, one from each new owner, would keep a cancelled task for one more lease each
+        time, beyond `cancel_s`."""
         return [
             Kill(key, entry.attempt, 0.0)
             for entry in report.tasks
@@ -343,35 +368,38 @@
             and self._replica.is_cancelled((key := task_key(entry.task))[0])
         ]
 
-    def _missing(
+    def _process_unlisted(
         self,
         machine: Machine,
         reported: dict[tuple[TaskKey, int], TaskReport],
         new_session: bool,
         checkin: bool,
     ) -> None:
-        """Tasks of ours that the report does not list. One that was listed before, or
-        belonged to an earlier session, is gone. One never listed was not started: the
-        worker has one report in flight, so this one is newer than whatever became of
-        the answer with the `run`. That says nothing of a direct command without an
-        answer, nor does the answer to a direct command say it of check-ins."""
+        """Handles the machine's tasks that the report does not list.
+
+        One that was listed before, or belonged to an earlier session, has ended. One that was
+        never listed was not started: a worker has one report in flight, so this report is newer
+        than the answer that carried the `run`. This does not hold for a direct command without
+        an answer; nor does the answer to a direct command prove it for check-ins."""
         stuck = False
         for key in list(machine.tasks):
             task = self.tasks[key]
             if (key, task.attempt) in reported:
                 continue
-            unsure = not checkin or (key, task.attempt) in machine.direct
+            unsure = not checkin or (key, task.attempt) in machine.unanswered_runs
             not_wanted = task.withdrawn or machine.retiring
             if task.phase == "seen" or new_session or (not_wanted and not unsure):
-                self._end(task)
+                self._end_attempt(task)
             elif task.withdrawn and checkin:
-                # Nothing else than its return makes sure that it does not start.
+                # Only the machine's return ensures that the task does not start.
                 machine.retiring = True
                 stuck = stuck or self._replica.is_cancelled(key[0])
         if checkin:
-            machine.stuck_at = min(machine.stuck_at, machine.heard_at) if stuck else math.inf
+            machine.pending_run_since = (
+                min(machine.pending_run_since, machine.heard_at) if stuck else math.inf
+            )
 
-    def _reported(
+    def _process_entry(
         self,
         machine: Machine,
         key: TaskKey,
@@ -380,72 +408,83 @@
         now: float,
         commands: list[Command],
     ) -> None:
+        """Processes one task entry of a report; appends the commands that follow from it."""
         task = self.tasks.get(key)
         if (
             task is not None
             and task.phase == "unseen"
             and (entry.state != "ended" or entry.why == "done")
         ):
-            # The earlier authority started it here. (An attempt that ended otherwise
-            # proves nothing: a later one may be elsewhere.)
+            # An earlier owner started it here. An attempt that ended without success proves
+            # nothing: a later attempt may run elsewhere.
             self._unseen.discard(key)
-            task.phase, task.machine, task.attempt, task.sent = "seen", machine.name, attempt, True
+            task.phase, task.machine, task.attempt, task.run_sent = (
+                "seen",
+                machine.name,
+                attempt,
+                True,
+            )
             machine.tasks.add(key)
-        mine = task is not None and task.machine == machine.name and task.attempt == attempt
+        is_current = task is not None and task.machine == machine.name and task.attempt == attempt
         if entry.state == "ended":
             if entry.why != "done":
                 log.info("%s: %s/%d attempt %d ended: %s", machine.name, *key, attempt, entry.why)
-            if (key, attempt) in machine.direct:
-                # A late `run` of a forgotten attempt would start it again.
+            if (key, attempt) in machine.unanswered_runs:
+                # If the worker forgot the attempt, a late `run` would start it again.
                 forget: list[Command] = []
             else:
                 forget = [Forget(key, attempt)]
             if task is None:
-                # The record no longer has it with us: its outcome is durable, unless the
-                # record is one that was lost.
+                # The assignment no longer holds it: its outcome is recorded, unless the state
+                # service lost the record.
                 if not self._check_unrecorded(machine, key, entry, now):
                     commands += forget
-            elif mine and entry.why == "done":
-                self._finish(task, machine, now)
-            elif mine:
-                failed = entry.why == "error" and not task.withdrawn
-                if failed:
-                    self._fail(task, machine, now)
+            elif is_current and entry.why == "done":
+                self._record_success(task, machine, now)
+            elif is_current:
+                task_failed = entry.why == "error" and not task.withdrawn
+                if task_failed:
+                    self._record_failure(task, machine, now)
                 if entry.why == "unknown":
                     task.not_before = now + self._settings.settings.workers.report_s
-                self._end(task)
-                if failed and self._blame.mistaken(key[0]):
-                    self._hold_back(key[0])
+                self._end_attempt(task)
+                if task_failed and self._faults.is_failing(key[0]):
+                    self._hand_back_unstarted(key[0])
                 commands += forget
             elif entry.why == "done":
-                if task.phase == "free":
-                    self._leave(task, done=True)
-                # Kept until the outcome is durable: then the task leaves our record.
+                if task.phase == "unplaced":
+                    self._mark_for_removal(task, done=True)
+                # The worker keeps the attempt until the outcome is recorded and the assignment
+                # no longer holds the task.
             else:
                 commands += forget
             return
         if task is None and self._check_unrecorded(machine, key, entry, now):
             return
-        if task is None or not mine:
+        if task is None or not is_current:
             commands.append(Kill(key, attempt, 0.0))
             return
         task.phase = "seen"
         job = self._replica.jobs.get(key[0])
         if job is not None:
-            self._cache(machine, job.spec.image, job.spec.image_gb)
+            self._cache_image(machine, job.spec.image, job.spec.image_gb)
         if entry.state == "running" and task.running_since is None:
             task.running_since = now
-        if machine.notice_at is not None and self._left_s(*_of(key), now) > machine.notice_at - now:
-            # The cloud takes the machine before the task would end: it starts anew
-            # elsewhere at once instead of after the loss.
-            task.moving = True
+        if (
+            machine.notice_at is not None
+            and self._remaining_s(*_group_of(key), now) > machine.notice_at - now
+        ):
+            # The cloud reclaims the machine before the task would end: restart it elsewhere now
+            # instead of after the loss.
+            task.relocating = True
         serves = job is not None and job.spec.kind == "standing"
-        if (machine.retiring and serves) or now - machine.stuck_at > self.lease_s / 2:
-            # The machine is to be returned, and a service never ends. Nor is anything else waited
-            # for while a start of a cancelled job may still be on its way: begun after `cancel_s`
-            # it would break the rule, and what it holds counts against its team.
-            task.moving = True
-        if task.moving and not task.withdrawn:
+        if (machine.retiring and serves) or now - machine.pending_run_since > self.lease_s / 2:
+            # The machine is to be returned, and a service never ends by itself. Nor may any other
+            # task delay the return while a `run` of a cancelled job may still arrive: a start
+            # after `cancel_s` would break the guarantee, and what it holds counts against its
+            # team.
+            task.relocating = True
+        if task.relocating and not task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
         if task.withdrawn:
             commands.append(Kill(key, attempt, 0.0))
@@ -453,9 +492,9 @@
     def _check_unrecorded(
         self, machine: Machine, key: TaskKey, entry: TaskReport, now: float
     ) -> bool:
-        """Whether a task that no share gives us may yet turn out to be ours, since its record
-        was lost. If nothing was lost there is none: a share holds a task until it is surely
-        nowhere."""
+        """Whether an attempt that no assignment to this shard holds may belong to a record that
+        the state service lost; if so, it is collected. Without a loss there are none: an
+        assignment holds a task until its attempt has certainly ended."""
         if not self._detects_unrecorded:
             return False
         job = self._replica.jobs.get(key[0])
@@ -466,11 +505,11 @@
                 return True
             is_unrecorded = open_
         else:
-            # Only one begun by an authority before ours, in this era: what is left of earlier
-            # ones had its time to be adopted. One that has ended proves nothing: handed back,
-            # its task is open by the book until the worker has heard `forget`. (Found by a
-            # recorded day: a task that was stopped for others after a takeover had a healthy
-            # service taken for one that had lost data.)
+            # Only attempts started by an earlier owner in this epoch: those of earlier epochs could
+            # be adopted while records were restored. An attempt that has ended proves nothing:
+            # once handed back, its task is open in the replica until the worker has processed
+            # `forget`. Counting those made a task that was preempted after a takeover look like
+            # data loss in a healthy state service.
             token = attempt >> 20
             earlier = token != self.token and epoch_of_token(token) == epoch_of_token(self.token)
             known = (key, attempt) in self._cleared
@@ -483,16 +522,19 @@
         return is_unrecorded
 
     def clear_unrecorded(self, key: TaskKey, attempt: int) -> None:
-        """Its record is not lost: it is stopped, as is everything that is not ours."""
+        """The attempt's record was not lost: from now on the attempt is killed, like every other
+        that no assignment holds."""
         self.unrecorded.pop((key, attempt), None)
         self._cleared.add((key, attempt))
 
     def is_unrecorded(self, key: TaskKey) -> bool:
-        """Still, by the book as it is now."""
+        """Whether, according to the current replica, the task is still unfinished and held by no
+        assignment."""
         job = self._replica.jobs.get(key[0])
         return key not in self.tasks and (job is None or job.is_open(key[1]))
 
-    def _cache(self, machine: Machine, image: str, gb: float) -> None:
+    def _cache_image(self, machine: Machine, image: str, gb: float) -> None:
+        """Records an image as used last; drops the least recently used beyond the cache size."""
         machine.images.pop(image, None)
         machine.images[image] = gb
         type_ = self._types().get(machine.type)
@@ -502,79 +544,88 @@
 
     # -- direct commands ------------------------------------------------------------------
 
-    def to_push(self, now: float, most: int) -> list[tuple[str, str, int, list[Command]]]:
-        """Starts that need not wait for the next check-in, of `most` machines: (machine,
-        address, session, commands). Only to workers heard of just now; from here on the
-        attempt may be on the machine, whatever becomes of the request."""
+    def take_direct_runs(
+        self, now: float, max_machines: int
+    ) -> list[tuple[str, str, int, list[Command]]]:
+        """`run` commands that need not wait for the next check-in, for at most `max_machines`
+        workers: (machine, address, session, commands). Only for workers that reported lately.
+        From here on each attempt counts as possibly started, whatever becomes of the request."""
         result: list[tuple[str, str, int, list[Command]]] = []
         for m in self.machines.values():
-            if len(result) >= most:
+            if len(result) >= max_machines:
                 break
             if not m.tasks or not m.address or not self._takes_tasks(m, now):
                 continue
             commands: list[Command] = []
             for key in sorted(m.tasks):
                 task = self.tasks[key]
-                if task.phase == "placed" and not task.sent and not task.withdrawn:
-                    task.sent = True
-                    m.direct.add((key, task.attempt))
+                if task.phase == "placed" and not task.run_sent and not task.withdrawn:
+                    task.run_sent = True
+                    m.unanswered_runs.add((key, task.attempt))
                     commands.append(Run(key, task.attempt))
             if commands:
-                result.append((m.name, m.address, m.stamp[0], commands))
+                result.append((m.name, m.address, m.last_report_id[0], commands))
         return result
 
-    def pushed(self, name: str, session: int, commands: list[Command]) -> None:
-        """The worker answered: the commands were executed or refused, not delayed."""
+    def on_direct_answer(self, name: str, session: int, commands: list[Command]) -> None:
+        """The worker answered direct commands: they were executed or refused, none is delayed."""
         machine = self.machines.get(name)
-        if machine is not None and machine.stamp[0] == session:
-            machine.direct -= {(c.task, c.attempt) for c in commands}
+        if machine is not None and machine.last_report_id[0] == session:
+            machine.unanswered_runs -= {(c.task, c.attempt) for c in commands}
 
-    def unanswered(self, name: str, now: float) -> None:
-        """No answer to direct commands, from a worker that had just reported: perhaps it does
-        not hear us. What is placed there waits for its session to end; no more is, for now."""
+    def on_direct_timeout(self, name: str, now: float) -> None:
+        """A worker that reported lately did not answer direct commands: messages may not reach
+        it. Tasks placed there wait for its session to end; no more are placed for now."""
         if (machine := self.machines.get(name)) is not None:
-            machine.deaf_until = max(machine.deaf_until, now + 2 * self._settings.report_gap_s)
+            machine.unreachable_until = max(
+                machine.unreachable_until, now + 2 * self._settings.report_gap_s
+            )
 
     # -- silence ------------------------------------------------------------------------
 
     def on_heard_elsewhere(self, name: str, at: float) -> None:
-        self._elsewhere.pop(name, None)
-        self._elsewhere[name] = at
-        if len(self._elsewhere) > REMEMBERED:
-            del self._elsewhere[next(iter(self._elsewhere))]
-
-    def deaf(self, now: float) -> bool:
-        """Whether others hear our machines and we do not, though we listened."""
+        """Another controller got a report of a machine of this shard, at `at`."""
+        self._heard_elsewhere_at.pop(name, None)
+        self._heard_elsewhere_at[name] = at
+        if len(self._heard_elsewhere_at) > MAX_REMEMBERED_MACHINES:
+            del self._heard_elsewhere_at[next(iter(self._heard_elsewhere_at))]
+
+    def is_unreachable(self, now: float) -> bool:
+        """Whether reports of this shard's machines reach other controllers and not this one,
+        although this one did not stall."""
         gap_s = self._settings.report_gap_s
-        if not self._elsewhere or self._hearing.attention.stalled_s(now - 3 * gap_s):
+        if not self._heard_elsewhere_at or self._last_heard.stall_detector.stalled_s(
+            now - 3 * gap_s
+        ):
             return False
-        if now < self._since + gap_s:
-            # Those that others heard are just being sent on to us, or reported before we began.
-            # (Half a second old, owners gave up parts that they could hear very well, and all
-            # that was unseen there waited for one more barrier.)
+        if now < self._created_at + gap_s:
+            # Machines that others heard are just being redirected here, or reported before this
+            # owner existed. Without this wait, owners half a second old gave up shards whose
+            # reports did reach them, and the unseen tasks there waited for another barrier.
             return False
         heard_at = {m.name: m.heard_at for m in self.machines.values()}
-        return owner_unreachable(heard_at, self._elsewhere, gap_s, now)
+        return owner_unreachable(heard_at, self._heard_elsewhere_at, gap_s, now)
 
-    def unreported(self, machines: Iterable[tuple[str, str]]) -> None:
-        """What the leader has listed in our part and we have not shown: (name, address)."""
-        known = self._unheard
-        self._unheard = {
+    def on_unreported(self, machines: Iterable[tuple[str, str]]) -> None:
+        """Machines of this shard that the cloud lists as running and this owner has not shown to
+        the leader, as (name, address). They are probed."""
+        known = self._unreported
+        self._unreported = {
             name: (address, known[name][1] if name in known else [])
             for name, address in machines
             if address and name not in self.machines
         }
 
     def to_probe(self, now: float) -> list[tuple[str, str]]:
-        """(machine, address) of the silent that should be asked: those of whom nobody has
-        learnt anything for a report, the longest silent first."""
+        """(machine, address) of the silent machines to probe, the longest silent first: those
+        without a probe result from the last report interval."""
         gap_s = self._settings.report_gap_s
         silent = [
             (m.heard_at, m.name, m.address, m.probes)
             for m in self.machines.values()
-            if m.address and self._hearing.silent_s(m.name, now) > SUSPECT_GAPS * gap_s
+            if m.address and self._last_heard.silent_s(m.name, now) > SUSPECT_GAPS * gap_s
         ]
-        silent += [(now, name, *entry) for name, entry in self._unheard.items()]
+        silent += [(now, name, *entry) for name, entry in self._unreported.items()]
         silent.sort(key=lambda entry: entry[:2])
         return [
             (name, address)
@@ -582,45 +633,48 @@
             if all(now - p.at > gap_s for p in probes)
         ]
 
-    def probed(self, name: str, probe: ProbeResult) -> None:
-        """One for each controller that asked; a report that came meanwhile says more."""
+    def on_probe_result(self, name: str, probe: ProbeResult) -> None:
+        """Keeps a probe result, the latest of each controller that probed. It is dropped if the
+        machine has reported since."""
         machine = self.machines.get(name)
         if machine is None:
-            if name in self._unheard:
-                address, probes = self._unheard[name]
-                self._unheard[name] = address, [*(p for p in probes if p.by != probe.by), probe]
+            if name in self._unreported:
+                address, probes = self._unreported[name]
+                self._unreported[name] = address, [*(p for p in probes if p.by != probe.by), probe]
         elif machine.heard_at < probe.at:
             machine.probes = [*(p for p in machine.probes if p.by != probe.by), probe]
 
     # -- time ---------------------------------------------------------------------------
 
-    def gone(self, names: Iterable[str]) -> None:
-        """Released with certainty: nothing is on them any more."""
+    def on_released(self, names: Iterable[str]) -> None:
+        """These machines were certainly released: nothing runs on them any more."""
         for name in names:
             machine = self.machines.pop(name, None)
             if machine is not None:
-                self._hearing.forget(name)
-                self._gave_up(name, (math.inf, math.inf))
+                self._last_heard.forget(name)
+                self._ignore_reports(name, (math.inf, math.inf))
                 for key in list(machine.tasks):
-                    self._end(self.tasks[key])
+                    self._end_attempt(self.tasks[key])
 
-    def _gave_up(self, name: str, stamp: tuple[float, float]) -> None:
-        self._stamps[name] = stamp
-        if len(self._stamps) > REMEMBERED:
-            del self._stamps[next(iter(self._stamps))]
+    def _ignore_reports(self, name: str, report_id: tuple[float, float]) -> None:
+        """A removed machine's reports up to `report_id` (session, sequence number) are ignored."""
+        self._ignored_up_to[name] = report_id
+        if len(self._ignored_up_to) > MAX_REMEMBERED_MACHINES:
+            del self._ignored_up_to[next(iter(self._ignored_up_to))]
 
     def retire(self, names: Iterable[str]) -> None:
+        """These machines are to be returned once empty: they get no new tasks."""
         for name in names:
             if (machine := self.machines.get(name)) is not None:
                 machine.retiring = True
                 for key in list(machine.tasks):
                     task = self.tasks[key]
-                    if task.phase == "placed" and not task.sent:
-                        self._end(task)
+                    if task.phase == "placed" and not task.run_sent:
+                        self._end_attempt(task)
 
     def evict(self, machine: str, uid: str, count: int) -> None:
-        """Stops the latest started of a job's tasks on a machine, for work that goes
-        first. They are handed back once they have surely ended."""
+        """Stops `count` of a job's tasks on a machine, those started last, in favour of work
+        that takes precedence. They are handed back once they have certainly ended."""
         if (m := self.machines.get(machine)) is None:
             return
         running = [self.tasks[key] for key in m.tasks if key[0] == uid]
@@ -630,117 +684,134 @@
             task.withdrawn = True
 
     def tick(self, now: float, wall: float) -> None:
-        self._hearing.attention.look(now)
-        if now - self._blamed_at > self._settings.settings.workers.lease_s:
-            self._blamed_at = now
-            self._blame.keep(self._replica.live, self.machines)
-            self._reassess()
+        """Handles expired leases and the barrier, then places unplaced tasks. `wall` is the
+        wall-clock time."""
+        self._last_heard.stall_detector.advance(now)
+        if now - self._faults_pruned_at > self._settings.settings.workers.lease_s:
+            self._faults_pruned_at = now
+            self._faults.keep(self._replica.live, self.machines)
+            self._update_machine_faults()
         for machine in list(self.machines.values()):
             if now > machine.heard_at + self.lease_s:
-                # Its lease has run out: it killed everything and begins a new session.
+                # Its lease has expired: the worker has killed everything and begins a new session.
                 for key in list(machine.tasks):
-                    self._end(self.tasks[key])
-                self._hearing.forget(machine.name)
-                self._gave_up(machine.name, (self._ended_session(machine), math.inf))
+                    self._end_attempt(self.tasks[key])
+                self._last_heard.forget(machine.name)
+                self._ignore_reports(machine.name, (self._last_ended_session(machine), math.inf))
                 del self.machines[machine.name]
         if self._rebuilding:
             if self._stage != RECOVERED:
                 return
-            # From here on tasks that are not ours are stopped, so it counts from here.
+            # From now on attempts that no assignment holds are killed, so the barrier starts here.
             self._rebuilding = False
             self._barrier_at = max(now, self._authority_ended_at) + self.lease_s
             self.unrecorded.clear()
-        # A machine that was answered but has not reported under this token yet had
-        # its lease renewed, with whatever is on it.
+        # A machine that was answered and has not reported under this token yet had its lease
+        # renewed, and with it whatever runs there.
         if self._unseen and now > self._barrier_at + self.lease_s:
-            self._give_up_deaf(now)
+            self._retire_unconfirmed(now)
         if (
             self._unseen
             and now > self._barrier_at
-            # What ran on a machine first heard of after that had ended by then: nobody had
-            # answered it. (New machines, one after the other, held the barrier each in turn.)
-            and all(m.trusted or m.since > self._barrier_at for m in self.machines.values())
+            # On a machine first heard of after the barrier, earlier attempts had ended by then,
+            # since nobody had answered it. Otherwise each new machine would extend the barrier
+            # in turn.
+            and all(
+                m.token_confirmed or m.first_heard_at > self._barrier_at
+                for m in self.machines.values()
+            )
         ):
             for key in list(self._unseen):
                 self._unseen.discard(key)
-                self._end(self.tasks[key])
+                self._end_attempt(self.tasks[key])
         self._place(now, wall)
 
-    def _ended_session(self, machine: Machine) -> int:
-        """The latest session that has surely ended, of a machine whose lease has run out here. One
-        that has not shown our token may have been answered by an authority before ours, but only
-        until that had ended. (Its report that was held for longer made it count as there, and its
-        tasks, handed back since, as lost by the state service.)"""
+    def _last_ended_session(self, machine: Machine) -> int:
+        """The latest session that has certainly ended, of a machine whose lease has expired here.
+
+        A machine that has not shown this owner's token may have been answered by an earlier
+        owner, but only until that owner's authority ended. If a report that was delayed beyond
+        that made the machine count as present, its tasks, handed back since, would look like
+        data lost by the state service."""
         if machine.heard_at < self._authority_ended_at:
-            return machine.stamp[0]
-        return max(machine.stamp[0], machine.checked_in[0])
-
-    def _give_up_deaf(self, now: float) -> None:
-        """Machines that report and never show our token, although they were answered for more
-        than a lease: what was on them has ended with it, but nothing that they say can prove it,
-        and they hold the barrier for all that is unseen. Their release does. If most are so, it
-        is rather our answers that come too late."""
-        deaf = [m for m in self.machines.values() if not m.trusted and now > m.since + self.lease_s]
-        if 2 * len(deaf) <= len(self.machines):
-            for machine in deaf:
-                machine.retiring = machine.given_up = True
+            return machine.last_report_id[0]
+        return max(machine.last_report_id[0], machine.last_checkin_id[0])
+
+    def _retire_unconfirmed(self, now: float) -> None:
+        """Retires machines that report without ever showing this owner's token, although they
+        have been answered for more than a lease. Their earlier tasks ended with the lease, but
+        their reports cannot prove it, and they hold up the barrier for all unseen tasks; their
+        release proves it. If most machines are like this, the cause is more likely that this
+        owner's answers arrive too late, and none is retired."""
+        unconfirmed = [
+            m
+            for m in self.machines.values()
+            if not m.token_confirmed and now > m.first_heard_at + self.lease_s
+        ]
+        if 2 * len(unconfirmed) <= len(self.machines):
+            for machine in unconfirmed:
+                machine.retiring = machine.token_never_confirmed = True
 
     def _is_empty(self, m: Machine) -> bool:
-        """Whether its return loses nothing: what it holds at most waits for the outcome of a
-        command that must not be carried out any more, and for which its return is the end."""
+        """Whether returning the machine loses nothing: the tasks still recorded on it only wait
+        for the result of a command that must no longer take effect, which the return ensures."""
         return (
-            not m.alive
-            and (m.trusted or m.given_up)
+            not m.alive_attempts
+            and (m.token_confirmed or m.token_never_confirmed)
             and all(
                 (task := self.tasks[key]).phase == "placed"
                 and m.retiring
-                and (task.withdrawn or (key, task.attempt) in m.direct)
+                and (task.withdrawn or (key, task.attempt) in m.unanswered_runs)
                 for key in m.tasks
             )
         )
 
-    def _rooms(self, now: float) -> list[MachineCapacity]:
-        rooms: list[MachineCapacity] = []
+    def _free_capacities(self, now: float) -> list[MachineCapacity]:
+        """The free capacity of each machine that takes tasks."""
+        capacities: list[MachineCapacity] = []
         types = self._types()
         for machine in self.machines.values():
             type_ = types.get(machine.type)
             if type_ is None or not self._takes_tasks(machine, now):
                 continue
-            room = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
-            room.images = set(machine.images)
+            capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
+            capacity.images = set(machine.images)
             for key in self._occupants(machine):
                 job = self._replica.jobs.get(key[0])
                 if job is None:
-                    room.cpus = -1.0  # something unknown runs here: leave it alone
+                    capacity.cpus = -1.0  # an unknown job runs here: place nothing
                     break
-                room.cpus -= job.spec.cpus
-                room.memory_gb -= job.spec.memory_gb
-                room.gpus -= job.spec.gpus
-            if room.cpus > 0:
-                rooms.append(room)
-        return rooms
+                capacity.cpus -= job.spec.cpus
+                capacity.memory_gb -= job.spec.memory_gb
+                capacity.gpus -= job.spec.gpus
+            if capacity.cpus > 0:
+                capacities.append(capacity)
+        return capacities
 
     def _occupants(self, machine: Machine) -> set[TaskKey]:
-        return machine.tasks | {key for key, _ in machine.alive}
+        """The tasks placed on the machine or reported by it."""
+        return machine.tasks | {key for key, _ in machine.alive_attempts}
 
     def _takes_tasks(self, machine: Machine, now: float) -> bool:
+        """Whether the machine may be given new tasks."""
         silent = now - machine.heard_at
         return (
-            machine.trusted
+            machine.token_confirmed
             and not machine.retiring
             and machine.notice_at is None
             and machine.name not in self._faulty
             and machine.name not in self._suspected
-            and now >= machine.deaf_until
+            and now >= machine.unreachable_until
             and silent < 2 * self._settings.report_gap_s
         )
 
     def _place(self, now: float, wall: float) -> None:
-        if not self._free:
+        """Places the unplaced tasks whose retry pause is over; hands back those that do not fit."""
+        if not self._unplaced:
             return
-        rooms = self._rooms(now)
+        capacities = self._free_capacities(now)
         groups: dict[tuple[str, str], list[TaskKey]] = {}
-        for key in sorted(self._free):
+        for key in sorted(self._unplaced):
             task = self.tasks[key]
             if task.not_before <= now:
                 groups.setdefault((key[0], task.zone), []).append(key)
@@ -748,53 +819,61 @@
         for (uid, zone), keys in groups.items():
             job = self._replica.jobs[uid]
             zones = {zone: len(keys)} if zone else None
-            # How urgent it is has been decided where its tasks were allotted.
-            need = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
-            avoid = set().union(*(self.tasks[key].errors for key in keys))
-            open_rooms = [room for room in rooms if room.name not in avoid] if avoid else rooms
+            # The leader weighed the urgency when it assigned the tasks to this shard.
+            demand = make_demand(job, len(keys), zones, self.estimates, math.inf, sizes)
+            avoid = set().union(*(self.tasks[key].failed_on for key in keys))
+            usable = (
+                [capacity for capacity in capacities if capacity.name not in avoid]
+                if avoid
+                else capacities
+            )
             queue = iter(keys)
-            # The leader has decided between kinds of machine by giving the task here.
-            taken = place(need, open_rooms, on_demand_only=False)
-            if avoid and need.count:
-                taken += place(need, rooms, on_demand_only=False)  # failed there before, or nowhere
-            for room, count in taken:
+            # The leader chose between spot and on-demand machines by assigning the task here.
+            placements = place(demand, usable, on_demand_only=False)
+            if avoid and demand.count:
+                # Rather on a machine where it failed before than nowhere.
+                placements += place(demand, capacities, on_demand_only=False)
+            for capacity, count in placements:
                 for _ in range(count):
-                    self._start(self.tasks[next(queue)], room.name)
+                    self._start(self.tasks[next(queue)], capacity.name)
             for key in queue:
-                # No room after all: others may have some.
-                self._leave(self.tasks[key], done=False)
+                # No capacity here after all; another shard may have some.
+                self._mark_for_removal(self.tasks[key], done=False)
 
     def _start(self, task: Task, machine: str) -> None:
+        """Places a task on a machine under a new attempt number; `run` is sent later."""
         self._attempts += 1
-        self._free.discard(task.key)
+        self._unplaced.discard(task.key)
         task.phase, task.machine, task.attempt = "placed", machine, self._attempts
-        task.sent = False
+        task.run_sent = False
         self.machines[machine].tasks.add(task.key)
 
-    # -- what is to be written and told -----------------------------------------------
+    # -- records to write and views for the leader ------------------------------------
 
     def pending(self, wall: float | None = None) -> list[assignment_updates.AssignmentUpdate]:
-        """What is to be written; `wall` only if ends are to be dated."""
-        over = [self.tasks[key] for key in self.pending_removal]
-        return assignment_updates.pending(
-            self._replica, self._settings, self.shard, over, self._bulky, wall
+        """The assignment updates that are to be written. With `wall`, the wall-clock time,
+        assignments that are finished get their end time."""
+        removed = [self.tasks[key] for key in self.pending_removal]
+        return assignment_updates.pending_updates(
+            self._replica, self._settings, self.shard, removed, self._oversized, wall
         )
 
-    def view(
+    def next_view(
         self, node: str, leader: int, now: float, foreign_reports: Iterable[tuple[str, float]] = ()
     ) -> ShardView:
-        """What the leader (by its token) has not been shown yet."""
-        machines, gone = self._showing.next(
+        """The next view for the leader with this token: what it has not acknowledged yet.
+        `foreign_reports`: machines of other shards that reported here, as (name, seconds ago)."""
+        machines, gone = self._view_publisher.next_delta(
             leader,
             self.machines,
             lambda m: self._signature(m, now),
-            lambda m: self._describe(m, now),
+            lambda m: self._machine_view(m, now),
         )
         pending_removal: dict[str, int] = {}
         for key in self.pending_removal:
             pending_removal[key[0]] = pending_removal.get(key[0], 0) + 1
-        samples = [RunSample(name, *sums) for name, sums in self._samples.items()]
-        self._samples.clear()
+        samples = [RunSample(name, *sums) for name, sums in self._run_samples.items()]
+        self._run_samples.clear()
         for sample in samples:
             self.estimates.add(*msgspec.structs.astuple(sample))
         return ShardView(
@@ -804,40 +883,43 @@
             self._replica.state_revision,
             machines,
             samples,
-            self._showing.seq,
-            self._showing.acknowledged,
+            self._view_publisher.seq,
+            self._view_publisher.acknowledged,
             gone,
             list(pending_removal.items()),
             list(foreign_reports),
             self._silences(machines, now),
-            list(self._blame.failing()),
+            list(self._faults.failing_jobs()),
         )
 
     def _silences(
         self, shown: Iterable[MachineView], now: float
     ) -> list[tuple[str, float, list[tuple[str, str, float]]]]:
-        stalled_s = self._hearing.attention.stalled_s
+        """The evidence on silent machines, in the form of `ShardView.silences`."""
+        stalled_s = self._last_heard.stall_detector.stalled_s
         silent = [
             self.machines[view.name]
             for view in shown
             if view.silent_s > SUSPECT_GAPS * self._settings.report_gap_s
         ]
         result = [(m.name, stalled_s(m.heard_at), m.probes) for m in silent]
-        result += [(name, 0.0, probes) for name, (_, probes) in self._unheard.items() if probes]
+        result += [(name, 0.0, probes) for name, (_, probes) in self._unreported.items() if probes]
         return [
-            (name, stood_s, [(p.by, p.outcome, now - p.at) for p in probes])
-            for name, stood_s, probes in result
+            (name, stall_s, [(p.by, p.outcome, now - p.at) for p in probes])
+            for name, stall_s, probes in result
         ]
 
-    def shown(self, seq: int, resync: bool) -> None:
-        self._showing.answered(seq, resync)
+    def on_view_answer(self, seq: int, resync: bool) -> None:
+        """The leader answered view number `seq`; with `resync` it needs all machines again."""
+        self._view_publisher.on_answer(seq, resync)
 
-    def _describe(self, m: Machine, now: float) -> MachineView:
+    def _machine_view(self, m: Machine, now: float) -> MachineView:
+        """The machine as the leader sees it."""
         by_job: dict[str, list[TaskKey]] = {}
         for key in self._occupants(m):
             by_job.setdefault(key[0], []).append(key)
         tasks = [
-            (uid, Ranges.of(k[1] for k in keys).flat(), self._left_s(uid, keys, now))
+            (uid, Ranges.of(k[1] for k in keys).flat(), self._remaining_s(uid, keys, now))
             for uid, keys in by_job.items()
         ]
         return MachineView(
@@ -854,13 +936,13 @@
             tasks=tasks,
         )
 
-    def _signature(self, m: Machine, now: float) -> Signature:
-        """Whatever of a machine the leader should hear of when it changes. How long it
-        has been silent counts only once that is more than a late report."""
+    def _signature(self, m: Machine, now: float) -> MachineSignature:
+        """The values of a machine whose change the leader is to be told. The silence counts
+        only once it is longer than a late report."""
         silent = now - m.heard_at
         running = sum(self.tasks[key].running_since is not None for key in m.tasks)
         return (
-            m.trusted,
+            m.token_confirmed,
             self._takes_tasks(m, now),
             m.notice_at is not None,
             m.retiring or m.name in self._faulty,
@@ -870,7 +952,8 @@
             tuple(m.images),
         )
 
-    def _left_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
+    def _remaining_s(self, uid: str, keys: list[TaskKey], now: float) -> float:
+        """Estimated seconds until the last started of a job's tasks ends."""
         job = self._replica.jobs.get(uid)
         if job is None:
             return 0.0
--- a/ryegauge/coordination/sharding.py
+++ b/ryegauge/coordination/sharding.py
@@ -1,4 +1,4 @@
-"""Which part a machine belongs to, and which controller a part should have."""
+"""Which shard a machine belongs to, and which controller should own a shard."""
 
 import zlib
 from collections.abc import Collection
@@ -7,32 +7,38 @@
 
 
 class ShardMap:
-    """Machines are parted by a hash of their name, among the parts whose home is in the
-    machine's zone if there are any: when zones cannot reach each other, an owner
-    elsewhere would not hear its machines, and their leases would run out."""
+    """Assigns machines to shards by a hash of their name, among the shards whose home controller
+    is in the machine's zone, if there are any. If zones cannot reach each other, an owner in
+    another zone gets no reports from its machines, and their leases expire."""
 
     def __init__(self, settings: Settings) -> None:
-        areas = {settings.node_name: settings.area}
-        areas.update((peer.node_name, peer.area) for peer in settings.known)
-        self._all = list(range(settings.settings.nodes))
+        zone_of = {settings.node_name: settings.area}
+        zone_of.update((peer.node_name, peer.area) for peer in settings.known)
+        self._all_shards = list(range(settings.settings.nodes))
         self._by_zone: dict[str, list[int]] = {}
         for shard, name in enumerate(settings.node_names):
-            self._by_zone.setdefault(areas[name], []).append(shard)
+            self._by_zone.setdefault(zone_of[name], []).append(shard)
 
     def shard_of(self, machine: str, zone: str) -> int:
-        shards = self._by_zone.get(zone) or self._all
+        """The number of the shard that a machine belongs to."""
+        shards = self._by_zone.get(zone) or self._all_shards
         return shards[zlib.crc32(machine.encode()) % len(shards)]
 
 
 def preferred_owner(
-    shard: int, names: list[str], live: Collection[str], deaf: Collection[str] = ()
+    shard: int, names: list[str], live: Collection[str], cut_off: Collection[str] = ()
 ) -> str | None:
-    """The part's home if it lives, else the live controllers in turn; those that do not hear
-    the part's workers only if all that live do not."""
-    turns = [names[(shard + step) % len(names)] for step in range(len(names))]
-    alive = [name for name in turns if name in live]
-    return next((name for name in alive if name not in deaf), alive[0] if alive else None)
+    """The name of the controller that should own a shard: its home controller, else the next
+    live one in the order of `names`. Controllers in `cut_off`, which get no reports from the
+    shard's workers, are taken only if every live one is in it. None if no controller is live."""
+    candidates = [names[(shard + step) % len(names)] for step in range(len(names))]
+    live_candidates = [name for name in candidates if name in live]
+    return next(
+        (name for name in live_candidates if name not in cut_off),
+        live_candidates[0] if live_candidates else None,
+    )
 
 
 def preferred_leader(names: list[str], live: Collection[str]) -> str | None:
+    """The name of the controller that should lead; None if no controller is live."""
     return preferred_owner(0, names, live)
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -1,8 +1,8 @@
 # kind: decisions
-"""What the evidence on one silent machine amounts to. Pure functions.
+"""Diagnoses a silent machine from the evidence on it. Pure functions.
 
-A verdict never ends a task: only a release that was answered, or a lease that has surely run
-out, does (`docs/safety.md`). It says which steps are worth their cost.
+A diagnosis never ends a task: only a confirmed release or a lease that has certainly expired does
+(`docs/safety.md`). It decides which steps are worth their cost.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,81 +11,86 @@
 
 
 class ProbeOutcome(StrEnum):
-    """What became of an attempt to ask a worker for its report."""
+    """How a probe of a worker ended. The values are sent between controllers."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # its host answers, nobody listens there
+    REFUSED = "refused"  # its host answers, and nothing listens on the port
     RESET = "reset"  # the connection ended without an answer
-    NO_ANSWER = "no_answer"  # connected, and nothing more: it hangs, or drowns
-    NO_CONNECTION = "no_connection"  # dead, or cut off from whoever asked
+    NO_ANSWER = "no_answer"  # connected, but no answer: it hangs or is overloaded
+    NO_CONNECTION = "no_connection"  # dead, or cut off from the controller that probed
 
 
 class ProbeResult(NamedTuple):
-    by: str  # the controller that asked
+    """The result of one probe of a worker."""
+
+    by: str  # the controller that probed
     outcome: ProbeOutcome
-    at: float  # when it was asked, in the judge's clock
+    at: float  # time of the probe, in seconds of the evaluating controller's clock
 
     @staticmethod
     def of(by: str, outcome: str, at: float) -> "ProbeResult | None":
-        """None for an outcome that was not had, or that only a later version knows."""
+        """None for an empty outcome, and for one that only a later version knows."""
         return ProbeResult(by, ProbeOutcome(outcome), at) if outcome in OUTCOMES else None
 
 
+# The outcomes that this version knows, as sent between controllers.
 OUTCOMES = frozenset(str(outcome) for outcome in ProbeOutcome)
 
 
 class Severity(IntEnum):
-    """How sure it is that a machine does not come back in time; each grade allows the steps
-    of those below it."""
+    """How certain it is that a machine does not come back in time. Each level also allows the
+    steps of those below it."""
 
     HEALTHY = 0
-    SUSPECT = 1  # no new tasks, not counted as room
-    MISSING = 2  # replacements are worth asking for
+    SUSPECT = 1  # gets no new tasks and does not count as capacity
+    MISSING = 2  # renting a replacement is worth its cost
     LOST = 3  # releasing it loses less than waiting for it
-    EXPIRED = 4  # its lease has surely run out: nothing runs there any more
+    EXPIRED = 4  # its lease has certainly expired: nothing runs there any more
 
 
 class Cause(StrEnum):
-    """What explains the silence best."""
+    """The most likely cause of the silence. The values appear in the log."""
 
     NONE = "none"
-    OWNER_STALLED = "owner_stood_still"
-    OWNER_UNREACHABLE = "owner_deaf"  # it lives, as others know
+    OWNER_STALLED = "owner_stood_still"  # the owner's process stalled and read no reports
+    OWNER_UNREACHABLE = "owner_deaf"  # the machine lives; its reports do not reach its owner
     HUNG = "hung"
-    RECLAIMED = "taken"  # after a notice of the cloud
-    ZONE_CUT = "zone_cut"  # nothing of its zone is heard, and most of another is
-    DEAD_OR_CUT = "dead_or_cut"  # unreachable for all that were asked
+    RECLAIMED = "taken"  # reclaimed by the cloud after a notice
+    ZONE_CUT = "zone_cut"  # almost no reports from its zone, and most from another zone
+    DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers
     UNDECIDED = "undecided"
 
 
 class Evidence(NamedTuple):
-    """On one machine, gathered by its owner or the leader."""
+    """What the leader knows of one silent machine."""
 
-    silent_s: float  # seconds without a word, while somebody listened
-    waited_s: float  # the same by the clock alone
-    elsewhere_s: float  # since another controller heard it; infinite if none did
-    probes: Collection[ProbeResult] = ()  # newer than its last word
-    notice: bool = False
-    stalled_s: float = 0.0  # of the owner, since the machine's last word
-    # Of the part's machines that this listener should hear: how many it does.
-    heard_share: float = 1.0
-    zone_cut: bool = False  # `cut_zones` has its zone
+    silent_s: float  # seconds since its last report, without those in which its owner stalled
+    total_silent_s: float  # seconds since its last report
+    heard_elsewhere_s: float  # seconds since another controller heard it; infinite if none did
+    probes: Collection[ProbeResult] = ()  # since its last report
+    notice: bool = False  # the cloud has announced that it reclaims the machine
+    stalled_s: float = 0.0  # seconds in which its owner stalled since its last report
+    heard_share: float = 1.0  # share of the shard's machines that its owner hears
+    zone_cut: bool = False  # its zone is one of `cut_zones`
 
 
 class Diagnosis(NamedTuple):
+    """How likely the loss of one machine is, and why it is silent."""
+
     severity: Severity
     cause: Cause
-    # Most others of its part are heard: its silence is its own, not one that many share.
+    # Most other machines of its shard are heard, so the cause concerns this machine alone.
     silent_alone: bool = True
 
 
+# The diagnosis of a machine that is not silent.
 HEALTHY = Diagnosis(Severity.HEALTHY, Cause.NONE)
 
 
 def worth_replacing(diagnosis: Diagnosis) -> bool:
-    """Whether to ask for a replacement while it is not yet certain. Not for one that hangs:
-    it is back before a replacement is up, or its lease ends soon. (Found by days of hangs
-    under a lease: 83 machines were rented for nothing.)"""
+    """Whether to rent a replacement before the loss is certain. Not for a machine that hangs: it
+    recovers before a replacement is up, or its lease ends soon. Replacing those rented 83
+    machines for nothing in simulated days with hangs shorter than a lease."""
     return diagnosis.severity >= Severity.MISSING and diagnosis.cause not in (
         Cause.OWNER_UNREACHABLE,
         Cause.HUNG,
@@ -93,52 +98,56 @@
 
 
 class DetectionLimits(NamedTuple):
-    """In seconds, all from the settings."""
+    """The durations that silence is compared with, in seconds, from the settings."""
 
     gap_s: float  # the longest ordinary pause between reports
-    lease_s: float  # after which a silent worker's tasks are surely gone
+    lease_s: float  # silence after which a worker's tasks have certainly ended
 
 
 # Multiples of the longest ordinary pause between two reports.
 SUSPECT_GAPS = 2.0
-NOTICED_GAPS = 2.0  # a machine under notice is expected to go
+NOTICED_GAPS = 2.0  # for a machine under notice, which is expected to disappear
 LOST_GAPS = 3.0
-# An owner that hears fewer of its machines than this may itself be cut off.
+# An owner that hears a smaller share of its machines than this may itself be cut off.
 HEARING_SHARE = 0.75
-# What may come back (it hangs, its zone is cut off) is hoped for that long.
+# Leases of silence up to which a machine that hangs, or whose zone is cut off, may still recover.
 RECOVERY_LEASES = 3.0
-# So many controllers must have asked in vain before silence counts without the others.
-ASKED = 2
+# Controllers that must have failed to connect before a machine counts as unreachable.
+MIN_FAILED_PROBERS = 2
 
 
 def diagnose(evidence: Evidence, limits: DetectionLimits) -> Diagnosis:
-    """The grade of a machine and the cause that explains its silence best.
+    """How certain the loss of a silent machine is, and the most likely cause of its silence.
 
-    More evidence that it lives never raises the grade; more that it does not, never lowers
-    it. One listener alone, if it hears few of its machines, cannot call them lost: that
-    takes others that did not hear or reach them either."""
+    More evidence that it lives never raises the severity; more evidence that it does not never
+    lowers it. An owner that hears few of its machines cannot alone have them diagnosed as lost:
+    other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
     silent_alone = evidence.heard_share >= HEARING_SHARE
-    over = evidence.waited_s > limits.lease_s
-    if evidence.waited_s <= SUSPECT_GAPS * gap_s:
+    lease_expired = evidence.total_silent_s > limits.lease_s
+    if evidence.total_silent_s <= SUSPECT_GAPS * gap_s:
         return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
     if evidence.silent_s <= SUSPECT_GAPS * gap_s:
         cause = Cause.OWNER_STALLED
-        return Diagnosis(Severity.EXPIRED if over else Severity.HEALTHY, cause, silent_alone)
+        return Diagnosis(
+            Severity.EXPIRED if lease_expired else Severity.HEALTHY, cause, silent_alone
+        )
     outcomes = {probe.outcome for probe in evidence.probes}
-    if ProbeOutcome.ANSWERED in outcomes or evidence.elsewhere_s <= LOST_GAPS * gap_s:
-        # It lives, and its tasks run on until its lease ends; its owner cannot hear it.
+    if ProbeOutcome.ANSWERED in outcomes or evidence.heard_elsewhere_s <= LOST_GAPS * gap_s:
+        # It lives, and its tasks run on until its lease ends; its reports do not reach its owner.
         return Diagnosis(
-            Severity.EXPIRED if over else Severity.SUSPECT, Cause.OWNER_UNREACHABLE, silent_alone
+            Severity.EXPIRED if lease_expired else Severity.SUSPECT,
+            Cause.OWNER_UNREACHABLE,
+            silent_alone,
         )
     cause = _cause(evidence, outcomes)
-    if evidence.waited_s > RECOVERY_LEASES * limits.lease_s:
+    if evidence.total_silent_s > RECOVERY_LEASES * limits.lease_s:
         cause = Cause.DEAD_OR_CUT
-    if over:
+    if lease_expired:
         severity = Severity.EXPIRED
     elif cause in (Cause.HUNG, Cause.ZONE_CUT):
-        # It may go on at any time within its lease, with all its tasks; those of a zone come
-        # back together.
+        # It may resume at any time within its lease, with all its tasks; the machines of a zone
+        # come back together.
         severity = Severity.MISSING if evidence.silent_s > LOST_GAPS * gap_s else Severity.SUSPECT
     elif cause is Cause.RECLAIMED:
         severity = Severity.LOST if evidence.silent_s > NOTICED_GAPS * gap_s else Severity.SUSPECT
@@ -150,27 +159,33 @@
 
 
 def _cause(evidence: Evidence, outcomes: set[ProbeOutcome]) -> Cause:
+    """The most likely cause, for a machine without evidence that it lives."""
     if outcomes & {ProbeOutcome.NO_ANSWER, ProbeOutcome.REFUSED, ProbeOutcome.RESET}:
         return Cause.HUNG
     if evidence.notice:
         return Cause.RECLAIMED
     if evidence.zone_cut:
         return Cause.ZONE_CUT
-    asked = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
-    return Cause.DEAD_OR_CUT if len(asked) >= ASKED else Cause.UNDECIDED
+    failed_probers = {p.by for p in evidence.probes if p.outcome is ProbeOutcome.NO_CONNECTION}
+    return Cause.DEAD_OR_CUT if len(failed_probers) >= MIN_FAILED_PROBERS else Cause.UNDECIDED
 
 
-# So few of a zone's machines heard, of at least so many, while another zone is heard well.
-CUT_SHARE = 0.05
-CUT_LEAST = 4
+# A zone counts as cut off if at most this share of its machines is heard, ...
+CUT_ZONE_MAX_HEARD_SHARE = 0.05
+# ... it has at least so many machines, and another zone is heard well.
+CUT_ZONE_MIN_MACHINES = 4
 
 
 def cut_zones(zones: Mapping[str, tuple[int, int]]) -> set[str]:
-    """The zones that nothing is heard of, by (machines heard, machines) of each. With no
-    other zone that is heard well, the listeners may as well be cut off themselves."""
-    well = {z for z, (heard, of) in zones.items() if of and heard / of >= HEARING_SHARE}
+    """The zones that seem cut off. `zones` has (machines heard, machines) for each. If no other
+    zone is heard well, there are none: the controllers may be cut off themselves."""
+    heard_well = {
+        zone for zone, (heard, total) in zones.items() if total and heard / total >= HEARING_SHARE
+    }
     return {
-        z
-        for z, (heard, of) in zones.items()
-        if well and of >= CUT_LEAST and heard <= CUT_SHARE * of
+        zone
+        for zone, (heard, total) in zones.items()
+        if heard_well
+        and total >= CUT_ZONE_MIN_MACHINES
+        and heard <= CUT_ZONE_MAX_HEARD_SHARE * total
     }
--- a/ryegauge/detection/fault_attribution.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -1,20 +1,23 @@
-"""Whether a failed task is its job's fault or its machine's, and how a mistaken job is retried.
-
-The owner of a part keeps `Blame`, the leader `HeldBack`. No I/O and no clock.
-
-A machine that is at fault fails tasks of every job, a mistaken job fails on every machine. So
-
-- a job is taken for mistaken once its tasks have failed on several machines that are not at
-  fault themselves, and none of them was ever done;
-- a machine is taken for faulty once, since a task last succeeded there, several tries failed on
-  it of jobs that are not mistaken for certain (some of their tasks were done), be it of one task:
-  where a part had no other machine, the last task of a job was tried on a bad one for good;
-- one is suspected if several jobs failed there that have failed nowhere else, in no other part
-  either by what the leader says, and of which nothing is done. It gets no more tasks, and is not
-  given up for that: tried elsewhere, those jobs will accuse it or clear it.
-
-If more machines than a share of a part's look like that at once, something that they have in
-common is at fault: none of them is given up.
+"""Decides whether a failed task is its job's fault or its machine's, and when a failing job is
+retried.
+
+The owner of a shard keeps `FaultAttribution`, the leader `RetryBackoff`. No I/O; times are passed
+in, in seconds.
+
+A faulty machine fails tasks of every job; a failing job fails on every machine. So
+
+- a job counts as failing once its tasks have failed on several machines that are not faulty
+  themselves, and none of its tasks has ever succeeded;
+- a machine counts as faulty once, since a task last succeeded there, several attempts failed on
+  it of jobs that are certainly sound (some of their tasks have succeeded), even if all were
+  attempts of one task. Otherwise, in a shard with a single machine, the last task of a job would
+  be retried on a faulty one for good;
+- a machine is suspected if several jobs failed there that have failed on no other machine, nor
+  in another shard by the leader's list, and of which no task has succeeded. It gets no new tasks,
+  but is not returned for that: further attempts of those jobs elsewhere confirm or clear it.
+
+If more than a certain share of a shard's machines look faulty at once, the cause is something
+that they have in common, and none of them is returned.
 """
 
 # kind: decisions
@@ -23,149 +26,169 @@
 from collections.abc import Callable, Collection, Iterable
 from typing import NamedTuple
 
-# So many machines, or tasks, make a case. One may be bad luck.
-SEVERAL = 2
-# More of a part's machines than this are not faulty each by itself at the same time.
-SHARED_OUTAGE = 0.25
+# How many machines, jobs or attempts are evidence; a single failure may be chance.
+MIN_EVIDENCE = 2
+# Share of a shard's machines above which simultaneous faults are taken for a common cause.
+COMMON_CAUSE_SHARE = 0.25
 
 
 class FailingJob(NamedTuple):
-    """A job as an owner tells of it."""
+    """A failing job, as the owner of a shard reports it."""
 
     uid: str
-    machines: int  # on which its tasks failed
-    tries: int  # that failed
+    machines: int  # machines on which its tasks failed
+    failed_attempts: int  # failed attempts
+
 
+class _JobFailures:
+    """The failures of one job in this shard."""
 
-class _Job:
-    __slots__ = ("failed_on", "tries")
+    __slots__ = ("failed_attempts", "failed_on")
 
     def __init__(self) -> None:
         self.failed_on: set[str] = set()
-        self.tries = 0
+        self.failed_attempts = 0
 
 
 class FaultAttribution:
-    """What has failed where in one part, as its owner saw it."""
-
-    def __init__(self, done: Callable[[str], bool]) -> None:
-        """`done`: whether any task of a job was ever done, as far as is known."""
-        self._done = done
-        self._jobs: dict[str, _Job] = {}
-        # Machine -> job -> how often its tasks failed there since one last succeeded there.
-        self._since: dict[str, dict[str, int]] = {}
-        self._elsewhere: frozenset[str] = frozenset()
-
-    def known(self, mistaken: Collection[str]) -> bool:
-        """Jobs that fail in other parts too; whether that is news."""
-        before, self._elsewhere = self._elsewhere, frozenset(mistaken)
-        return before != self._elsewhere
-
-    def succeeded(self, uid: str, machine: str) -> bool:
-        """Whether that changes anything: nearly always nothing had failed."""
+    """Tracks which tasks failed on which machines of one shard."""
+
+    def __init__(self, has_done_tasks: Callable[[str], bool]) -> None:
+        """`has_done_tasks`: whether any task of a job is known to have succeeded."""
+        self._has_done_tasks = has_done_tasks
+        self._jobs: dict[str, _JobFailures] = {}
+        # Machine -> job -> its failed attempts there since a task last succeeded there.
+        self._failures_since_success: dict[str, dict[str, int]] = {}
+        self._failing_elsewhere: frozenset[str] = frozenset()
+
+    def set_failing_elsewhere(self, uids: Collection[str]) -> bool:
+        """Takes the leader's list of jobs that fail in other shards too; returns whether it has
+        changed."""
+        before, self._failing_elsewhere = self._failing_elsewhere, frozenset(uids)
+        return before != self._failing_elsewhere
+
+    def record_success(self, uid: str, machine: str) -> bool:
+        """A task succeeded. Returns whether failures of its job or machine were cleared; nearly
+        always there were none."""
         job = self._jobs.pop(uid, None)
-        since = self._since.pop(machine, None)
-        return job is not None or since is not None
-
-    def failed(self, uid: str, machine: str, machines_of_task: int) -> None:
-        """`machines_of_task`: on how many it has failed by now, with this one. A task that
-        fails on many machines of a job that is partly done is at fault itself."""
-        job = self._jobs.setdefault(uid, _Job())
+        failures = self._failures_since_success.pop(machine, None)
+        return job is not None or failures is not None
+
+    def record_failure(self, uid: str, machine: str, machines_of_task: int) -> None:
+        """A task failed. `machines_of_task`: the machines on which it has failed so far, this one
+        included. A task that fails on many machines, of a job that is partly done, is at fault
+        itself and does not count against the machine."""
+        job = self._jobs.setdefault(uid, _JobFailures())
         job.failed_on.add(machine)
-        job.tries += 1
-        if machines_of_task <= SEVERAL:
-            since = self._since.setdefault(machine, {})
-            since[uid] = since.get(uid, 0) + 1
+        job.failed_attempts += 1
+        if machines_of_task <= MIN_EVIDENCE:
+            failures = self._failures_since_success.setdefault(machine, {})
+            failures[uid] = failures.get(uid, 0) + 1
 
     def keep(self, uids: Collection[str], machines: Collection[str]) -> None:
-        """Forgets all others: jobs that are over, machines that are gone."""
+        """Forgets all other jobs and machines, which have ended or were removed."""
         self._jobs = {uid: job for uid, job in self._jobs.items() if uid in uids}
-        self._since = {
-            name: {uid: tries for uid, tries in jobs.items() if uid in uids}
-            for name, jobs in self._since.items()
+        self._failures_since_success = {
+            name: {uid: failed_attempts for uid, failed_attempts in jobs.items() if uid in uids}
+            for name, jobs in self._failures_since_success.items()
             if name in machines
         }
 
     def _looks_faulty(self, machine: str) -> bool:
-        return self._of_others(machine) >= SEVERAL or self._alone(machine) >= SEVERAL
+        """Whether the machine counts as faulty or suspected."""
+        return (
+            self._sound_job_failures(machine) >= MIN_EVIDENCE
+            or self._jobs_failing_only_here(machine) >= MIN_EVIDENCE
+        )
 
-    def _of_others(self, machine: str) -> int:
-        """Tries that failed there, of jobs that are sound."""
-        jobs = self._since.get(machine, {})
-        return sum(tries for uid, tries in jobs.items() if self._done(uid))
+    def _sound_job_failures(self, machine: str) -> int:
+        """Failed attempts there of jobs that are certainly sound."""
+        jobs = self._failures_since_success.get(machine, {})
+        return sum(
+            failed_attempts for uid, failed_attempts in jobs.items() if self._has_done_tasks(uid)
+        )
 
-    def _alone(self, machine: str) -> int:
-        """Jobs that failed there and, so far, nowhere else."""
+    def _jobs_failing_only_here(self, machine: str) -> int:
+        """How many jobs failed there, have so far failed nowhere else and never succeeded."""
         return sum(
-            uid not in self._elsewhere
-            and not self._done(uid)
+            uid not in self._failing_elsewhere
+            and not self._has_done_tasks(uid)
             and (job := self._jobs.get(uid)) is not None
             and job.failed_on == {machine}
-            for uid in self._since.get(machine, {})
+            for uid in self._failures_since_success.get(machine, {})
         )
 
-    def accused(self, machines: int) -> tuple[set[str], set[str]]:
-        """Machines of a part of so many: those that are to be given up, and those that are
-        only suspected. (After all controllers had ended, the first tries of two mistaken jobs on
-        the same good machine had it given up.)"""
-        found = {name for name in self._since if self._looks_faulty(name)}
-        if len(found) > max(1, int(SHARED_OUTAGE * machines)):
+    def classify_machines(self, machines: int) -> tuple[set[str], set[str]]:
+        """The faulty machines, which are to be returned, and the suspected ones, in a shard with
+        this number of machines. Suspected ones are kept: after all controllers had restarted, the
+        first attempts of two failing jobs on the same good machine caused its return."""
+        accused = {name for name in self._failures_since_success if self._looks_faulty(name)}
+        if len(accused) > max(1, int(COMMON_CAUSE_SHARE * machines)):
             return set(), set()
-        faulty = {name for name in found if self._of_others(name) >= SEVERAL}
-        return faulty, found - faulty
+        faulty = {name for name in accused if self._sound_job_failures(name) >= MIN_EVIDENCE}
+        return faulty, accused - faulty
 
-    def mistaken(self, uid: str) -> bool:
-        """By this part's evidence alone, so that a leader's word does not prove itself."""
+    def is_failing(self, uid: str) -> bool:
+        """Whether a job fails on every machine, by the evidence of this shard alone. The leader's
+        list does not count, since it is itself built from these answers."""
         job = self._jobs.get(uid)
-        if job is None or len(job.failed_on) < SEVERAL or self._done(uid):
+        if job is None or len(job.failed_on) < MIN_EVIDENCE or self._has_done_tasks(uid):
             return False
         sound = sum(not self._looks_faulty(name) for name in job.failed_on)
-        return sound >= SEVERAL
+        return sound >= MIN_EVIDENCE
 
-    def failing(self) -> list[FailingJob]:
+    def failing_jobs(self) -> list[FailingJob]:
+        """The failing jobs of this shard, to be reported to the leader."""
         return [
-            FailingJob(uid, len(job.failed_on), job.tries)
+            FailingJob(uid, len(job.failed_on), job.failed_attempts)
             for uid, job in self._jobs.items()
-            if self.mistaken(uid)
+            if self.is_failing(uid)
         ]
 
 
-class _Held:
-    __slots__ = ("machines", "probes", "tried_at", "tries")
+class _RetryState:
+    """The retry state of one failing job."""
+
+    __slots__ = ("failed_attempts", "last_try_at", "machines", "retries")
 
     def __init__(self, now: float) -> None:
-        self.tried_at = now
-        self.machines = self.tries = self.probes = 0
+        self.last_try_at = now
+        self.machines = self.failed_attempts = self.retries = 0
 
 
 class RetryBackoff:
-    """Jobs taken for mistaken: one task of each is tried now and then, ever more seldom, since
-    it may have been the machines' fault after all. They are never given up."""
+    """Failing jobs: a single task of each is retried, with exponentially growing pauses, since
+    the machines may have been at fault after all. Retries never stop while the job is open."""
 
     def __init__(self, first_s: float, longest_s: float) -> None:
+        """`first_s`: the pause before the first retry. `longest_s`: the longest pause."""
         self._first_s, self._longest_s = first_s, longest_s
-        self._jobs: dict[str, _Held] = {}
-
-    def on_failing(self, failing: Iterable[FailingJob], now: float) -> list[FailingJob]:
-        """What owners say of their parts; those that are held back from now on."""
-        new: list[FailingJob] = []
-        tries: dict[str, tuple[int, int]] = {}
-        for uid, machines, count in failing:
-            m, n = tries.get(uid, (0, 0))
-            tries[uid] = m + machines, n + count
-        for uid, (machines, count) in tries.items():
-            held = self._jobs.get(uid)
-            if held is None:
-                held = self._jobs[uid] = _Held(now)
-                new.append(FailingJob(uid, machines, count))
-            if count > held.tries:
-                held.tried_at = now
-            held.machines, held.tries = max(held.machines, machines), max(held.tries, count)
-        return new
-
-    def keep(self, mistaken: Callable[[str], bool]) -> None:
-        """Forgets jobs that are over or of which a task has succeeded."""
-        self._jobs = {uid: held for uid, held in self._jobs.items() if mistaken(uid)}
+        self._jobs: dict[str, _RetryState] = {}
+
+    def on_failing(self, failing_jobs: Iterable[FailingJob], now: float) -> list[FailingJob]:
+        """Takes what owners report of their shards; returns the jobs that newly enter backoff."""
+        newly_failing: list[FailingJob] = []
+        totals: dict[str, tuple[int, int]] = {}
+        for uid, machines, count in failing_jobs:
+            m, n = totals.get(uid, (0, 0))
+            totals[uid] = m + machines, n + count
+        for uid, (machines, count) in totals.items():
+            state = self._jobs.get(uid)
+            if state is None:
+                state = self._jobs[uid] = _RetryState(now)
+                newly_failing.append(FailingJob(uid, machines, count))
+            if count > state.failed_attempts:
+                state.last_try_at = now
+            state.machines, state.failed_attempts = (
+                max(state.machines, machines),
+                max(state.failed_attempts, count),
+            )
+        return newly_failing
+
+    def keep(self, is_failing: Callable[[str], bool]) -> None:
+        """Forgets the jobs for which `is_failing` is false: those that have ended or of which a
+        task has succeeded."""
+        self._jobs = {uid: state for uid, state in self._jobs.items() if is_failing(uid)}
 
     def __contains__(self, uid: object) -> bool:
         return uid in self._jobs
@@ -173,28 +196,31 @@
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def newest(self, most: int) -> list[str]:
-        return list(self._jobs)[-most:]
+    def newest(self, limit: int) -> list[str]:
+        """At most `limit` jobs, those that entered backoff last."""
+        return list(self._jobs)[-limit:]
 
     def wait_s(self, uid: str, now: float) -> float:
-        """Until one of its tasks may be tried again; 0: now, also if it is not held back."""
-        held = self._jobs.get(uid)
-        if held is None:
+        """Seconds until one of its tasks may be retried; 0 also for a job not in backoff."""
+        state = self._jobs.get(uid)
+        if state is None:
             return 0.0
-        return max(0.0, held.tried_at + self.pause_s(held.probes) - now)
+        return max(0.0, state.last_try_at + self.pause_s(state.retries) - now)
 
-    def pause_s(self, probes: int) -> float:
-        return min(self._longest_s, self._first_s * math.pow(2.0, min(probes, 30)))
+    def pause_s(self, retries: int) -> float:
+        """The pause in seconds after so many retries."""
+        return min(self._longest_s, self._first_s * math.pow(2.0, min(retries, 30)))
 
     def on_retry(self, uid: str, now: float) -> None:
-        """One of its tasks is given to a part."""
-        held = self._jobs.get(uid)
-        if held is not None:
-            held.tried_at, held.probes = now, held.probes + 1
+        """One of its tasks was assigned to a shard, which counts as a retry."""
+        state = self._jobs.get(uid)
+        if state is not None:
+            state.last_try_at, state.retries = now, state.retries + 1
 
     def describe(self, now: float) -> str:
+        """All failing jobs, for the log."""
         return ", ".join(
-            f"{uid} (failed {held.tries} times on {held.machines} machines, none done, "
-            f"next try in {self.wait_s(uid, now):.0f} s)"
-            for uid, held in sorted(self._jobs.items())
+            f"{uid} (failed {state.failed_attempts} times on {state.machines} machines, none done, "
+            f"next retry in {self.wait_s(uid, now):.0f} s)"
+            for uid, state in sorted(self._jobs.items())
         )
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -1,4 +1,5 @@
-"""Teams that the settings name with zeros: nothing is guaranteed to them, nothing limits them."""
+"""Teams without a guarantee and without a limit (zeros in the settings), and jobs and machines
+that fail every task."""
 
 from pathlib import Path
 from typing import Any
@@ -13,6 +14,7 @@
 
 
 def with_guest(tmp_path: Path, count: int = 3) -> list[Settings]:
+    """Settings of controllers with a team that has zeros for guarantee and limit."""
     result = []
     for each in some_controllers(tmp_path, count):
         teams = [*each.settings.teams, Team("guest")]
@@ -21,7 +23,7 @@
     return result
 
 
-GUESTS: list[dict[str, Any]] = [
+GUEST_JOBS: list[dict[str, Any]] = [
     {"pieces": 8, "delay": 1.0},
     {
         "pieces": 600,
@@ -53,8 +55,8 @@
 
 
 def test_guests_are_served_while_owners_and_the_leader_end(tmp_path: Path) -> None:
-    """On a recorded day all 587 submissions of a guest team, named with zeros, were answered
-    422, since a limit of 0 was taken for a limit of nothing."""
+    """A limit of 0 in the settings was taken to allow nothing, and all 587 submissions of a guest
+    team in a recorded day were answered 422."""
 
     async def script(world: World) -> None:
         await trio.sleep(20.0)
@@ -62,16 +64,16 @@
         await trio.sleep(20.0)
         world.crash(2)
 
-    world = play(with_guest(tmp_path), 3, GUESTS, script, 200.0)
+    world = play(with_guest(tmp_path), 3, GUEST_JOBS, script, 200.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Few run again: less than a tenth of what was submitted.
-    assert world.checker.starts < 1.1 * sum(job["pieces"] for job in GUESTS)
+    # Few tasks run again: less than a tenth of those submitted.
+    assert world.checker.starts < 1.1 * sum(job["pieces"] for job in GUEST_JOBS)
 
 
-def test_mistaken_jobs_beside_bad_machines(tmp_path: Path) -> None:
-    """Three jobs that fail on every machine until they are cancelled, and two machines that
-    fail every task: the jobs are tried ever more seldom, only the machines are given up."""
+def test_failing_jobs_next_to_faulty_machines(tmp_path: Path) -> None:
+    """Three jobs that fail on every machine until they are cancelled, and two machines that fail
+    every task. The jobs are retried with growing pauses, and only the machines are returned."""
     jobs: list[dict[str, Any]] = [
         {"pieces": 6, "delay": 1.0},
         {"pieces": 8, "delay": 4.0, "broken": True, "cancel_after": 100.0},
@@ -103,9 +105,10 @@
     for e in world.happened:
         if e.what == "ended" and e.detail == "error":
             failed[e.uid] = failed.get(e.uid, 0) + 1
-    # A first wave of each, and a few tries: it was eight tasks every two seconds.
-    mistaken = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
-    assert min(mistaken) >= 2
-    assert max(mistaken) < 40
+    # The first attempts of each job and a few retries; without backoff all eight tasks of a job
+    # failed every two seconds.
+    failures = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
+    assert min(failures) >= 2
+    assert max(failures) < 40
     returned = {e.machine for e in world.happened if e.what == "returned"}
     assert faulty <= returned
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -1,5 +1,6 @@
-"""Machines that reach no controller while direct commands reach them, and machines that hang and
-go on: no lease is renewed there, nothing starts there, and what was cancelled ends in time."""
+"""Machines whose reports reach no controller while direct commands reach them, and machines that
+hang and resume: no lease is renewed there, nothing starts there, and cancelled tasks end in
+time."""
 
 from pathlib import Path
 
@@ -19,31 +20,31 @@
 from ryegauge.protocol.workers import Kill, Run
 from ryegauge.scheduling.planner import Rental
 
-LONG = {"pieces": 8, "delay": 1.0, "really": 35.0, "expectS": 35.0, "cpus": 1.0}
-SHORT = [
+LONG_JOB = {"pieces": 8, "delay": 1.0, "really": 35.0, "expectS": 35.0, "cpus": 1.0}
+SHORT_JOBS = [
     {"pieces": 4, "delay": 31.0 + 4 * n, "really": 3.0, "cpus": 1.0, "crew": "blue"}
     for n in range(14)
 ]
-ALL_ROOM = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
+FULL_FLEET_JOB = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
 
 
 def test_a_direct_start_at_a_machine_that_falls_mute_counts_until_its_lease_is_over(
     settings: Settings,
 ) -> None:
-    """Its answer, and answers to all that follows, renew nothing; it takes no more tasks."""
+    """Its answers to direct commands renew no lease, and it gets no more tasks."""
     shard = ShardHarness(settings, [])
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick(1.0)
-    ((name, _, session, commands),) = shard.owner.to_push(shard.now, 10)
+    ((name, _, session, commands),) = shard.owner.take_direct_runs(shard.now, 10)
     (run,) = commands
     assert isinstance(run, Run)
-    shard.owner.pushed(name, session, commands)
+    shard.owner.on_direct_answer(name, session, commands)
     for n in range(4):
         shard.report((0, run.attempt, "running"), checkin=False)
-        shard.allot([0, *range(1, n)])
+        shard.assign([0, *range(1, n)])
         shard.tick(2.0)
-        assert shard.owner.to_push(shard.now, 10) == []
+        assert shard.owner.take_direct_runs(shard.now, 10) == []
     shard.report(machine="m-2", seq=shard.seq + 1)
     shard.tick(0.5)
     assert shard.owner.tasks[UID, 0].machine == "m-1"
@@ -51,43 +52,50 @@
     assert shard.owner.tasks[UID, 0].machine != "m-1"
 
 
-@pytest.mark.parametrize("who", ["nobody", "leader", "owner"])
-def test_a_day_with_mute_machines(tmp_path: Path, who: str) -> None:
-    """For longer than a lease, twice, the second time with hangs and cancellations; whoever
-    leads or owns them may end in the midst. Those that come back are used again."""
+@pytest.mark.parametrize("crashed", ["nobody", "leader", "owner"])
+def test_a_day_with_mute_machines(tmp_path: Path, crashed: str) -> None:
+    """Machines are mute for longer than a lease, twice, the second time with hangs and
+    cancellations, while the leader or their owner may crash. Those that recover are used
+    again."""
     mute: list[tuple[float, float, set[str]]] = []
 
     async def script(world: Day) -> None:
         await trio.sleep(33.0)
         for n in range(2):
-            some = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
+            muted = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
             began = trio.current_time()
-            with world.mute(some):
+            with world.mute(muted):
                 await trio.sleep(2.0)
                 if n:
                     await world.cancel_now(6, hang_s=8.0)
                 leader = world.leading
-                if who != "nobody" and leader is not None:
-                    world.crash((leader + (who == "owner")) % 3)
+                if crashed != "nobody" and leader is not None:
+                    world.crash((leader + (crashed == "owner")) % 3)
                 await trio.sleep(18.0)
-            mute.append((began, trio.current_time(), some))
+            mute.append((began, trio.current_time(), muted))
             await trio.sleep(20.0)
 
-    world = play(some_controllers(tmp_path, 3), 4, [LONG, LONG, ALL_ROOM, *SHORT], script, 150.0)
+    world = play(
+        some_controllers(tmp_path, 3),
+        4,
+        [LONG_JOB, LONG_JOB, FULL_FLEET_JOB, *SHORT_JOBS],
+        script,
+        150.0,
+    )
     assert world.checker.broken == []
     assert world.unfinished == set()
     starts = [(e.at, e.machine) for e in world.happened if e.what == "started"]
-    for began, over, some in mute:
-        # What had just been heard of may be given a task: it fetches for a second.
-        late = [at for at, name in starts if name in some and began + 5.5 < at < over]
+    for began, ended, muted in mute:
+        # A machine that reported just before may still be given a task, which fetches for 1 s.
+        late = [at for at, name in starts if name in muted and began + 5.5 < at < ended]
         assert late == []
-    _, over, some = mute[0]
-    assert any(name in some and at > over for at, name in starts)
+    _, ended, muted = mute[0]
+    assert any(name in muted and at > ended for at, name in starts)
 
 
-def test_a_machine_alone_in_its_silence_is_given_up_in_the_end(settings: Settings) -> None:
-    """It answers when it is asked and reports to nobody: it was charged and of no use for as
-    long as that lasted. Many at once are waited for, they come back together."""
+def test_a_single_silent_machine_is_returned_in_the_end(settings: Settings) -> None:
+    """A machine that answers probes and reports to no controller costs money and is of no use.
+    If many do so at once they are kept, since they recover together."""
     lead = LeaderHarness(settings)
     names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
     for name in names:
@@ -95,7 +103,7 @@
         lead.probe_outcomes[name] = "answered"
     lead.round()
 
-    def silent(count: int, seconds: float) -> list[str]:
+    def silence(count: int, seconds: float) -> list[str]:
         lead.now += seconds
         for name in names[:count]:
             silent_s = lead.machines[name].silent_s + seconds
@@ -103,17 +111,17 @@
         lead.round()
         return lead.last_result.releases
 
-    assert silent(1, 11.0) == []
-    assert silent(1, 19.0) == []
-    assert silent(1, 1.0) == [names[0]]
-    assert silent(6, 40.0) == []
+    assert silence(1, 11.0) == []
+    assert silence(1, 19.0) == []
+    assert silence(1, 1.0) == [names[0]]
+    assert silence(6, 40.0) == []
 
 
 def test_a_machine_that_answered_is_not_returned_when_its_owner_gives_it_up(
     settings: Settings,
 ) -> None:
-    """Found by a day with mute machines: what had become of asking it was forgotten at the end
-    of its lease, until it was asked again; where no more were to be had it was returned."""
+    """The results of probing a machine were forgotten when its lease ended, until it was probed
+    again; meanwhile it was returned if no more of its kind were available."""
     lead = LeaderHarness(settings)
     lead.leader.on_machine_list([listed("m-1")], lead.now)
     for silent_s in (0.0, 9.5):
@@ -125,14 +133,14 @@
     del lead.machines["m-1"]
     lead.round()
     assert lead.last_result.releases == []
-    lead.now += 3.0  # asked again, and no answer
+    lead.now += 3.0  # probed again, without an answer
     lead.round()
     assert lead.last_result.releases == ["m-1"]
 
 
 def test_an_answer_that_renews_a_lease_ends_what_was_cancelled(settings: Settings) -> None:
-    """Also to a report of which nothing else is taken in: one from before the machine saw the
-    token, and one behind the answer to a direct command."""
+    """Also the answer to a report that is not processed otherwise: one from before the machine
+    saw the token, and one overtaken by the answer to a direct command."""
     shard = ShardHarness(settings, [0, 1])
     shard.put(job_key("wk-000002"), job_record(parse_job(job_body("wk-000002")), 0.0, False))
     assert shard.report((0, 7, "running"), token=TOKEN - 1) == []
@@ -146,7 +154,8 @@
 
 
 def test_a_machine_that_hangs_after_each_answer_keeps_nothing_cancelled(tmp_path: Path) -> None:
-    """Three times in a row, for almost a lease, while its part changes hands in between."""
+    """It hangs three times in a row, for almost a lease, while its shard changes owners in
+    between; the answers in between must kill the cancelled task."""
     controllers = []
     for settings in some_controllers(tmp_path, 5):
         workers = msgspec.structs.replace(
@@ -177,11 +186,11 @@
             status, answer = await world.ask("POST", f"/v1/jobs/{uid}/cancel")
             world.checker.answered(uid, status, answer, "cancel")
         for _ in range(2):
-            # Whoever owns its part ends.
+            # All controllers crash, so its shard gets a new owner.
             world.crash(*range(5))
             await hang_when_answered(world, worker)
         await trio.sleep(20.0)
 
-    world = play(controllers, 6, [{**LONG, "really": 120.0, "expectS": 120.0}], script, 110.0)
+    world = play(controllers, 6, [{**LONG_JOB, "really": 120.0, "expectS": 120.0}], script, 110.0)
     assert world.checker.broken == []
     assert len(renewed) == 3
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -1,4 +1,5 @@
-"""One part's owner, message by message: what must never be commanded."""
+"""The owner of a shard, driven message by message: which commands it gives, and when it may start
+a task again."""
 
 import msgspec
 import pytest
@@ -28,28 +29,32 @@
 
 
 class ShardHarness:
-    """An owner with its book, a clock and one job of four tasks of two CPUs."""
+    """An owner with its replica, a clock and one job of four tasks of two CPUs."""
 
     def __init__(self, settings: Settings, before: list[int]) -> None:
+        """`before`: tasks that are assigned to the shard before its owner begins."""
         self.replica = StateReplica()
         self.revision = 10
         self.now = 100.0
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, False))
-        self.allot(before)
+        self.assign(before)
         self.owner = ShardOwner(0, TOKEN, self.replica, settings, lambda: TYPES, self.now)
         self.replica.on_job.append(self.owner.on_job)
         self.seq = 0
 
     def put(self, key: str, value: object) -> None:
+        """Writes a record into the replica; None deletes it."""
         self.revision += 1
         self.replica.apply([Event(key, value, self.revision)], self.revision)
 
-    def allot(self, tasks: list[int], done: list[int] | None = None) -> None:
+    def assign(self, tasks: list[int], done: list[int] | None = None) -> None:
+        """Writes the assignment: the tasks that it holds and those that are done."""
         flat = [bound for i in tasks for bound in (i, i + 1)]
         finished = [bound for i in done or [] for bound in (i, i + 1)]
         self.put(assignment_key(UID, 0), {"t": {"": flat}, "d": finished})
 
     def cancel(self) -> None:
+        """Cancels the job in the replica."""
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, True))
 
     def report(
@@ -62,6 +67,8 @@
         checkin: bool = True,
         why: str = "done",
     ) -> list[Command]:
+        """A report of a machine with (index, attempt, state) of its tasks; returns the owner's
+        commands. `why` is the reason of those that have ended."""
         if seq is None:
             self.seq += 1
             seq = self.seq
@@ -73,19 +80,22 @@
         return self.owner.on_report(message, self.now, checkin)
 
     def tick(self, seconds: float = 0.0) -> None:
+        """Lets time pass, then the owner act."""
         self.now += seconds
         self.owner.tick(self.now, self.now)
 
     def pending(self) -> dict[str, Assignment]:
+        """Job -> its assignment as the owner would write it."""
         return {entry.uid: entry.assignment for entry in self.owner.pending()}
 
     def phase(self, task: int) -> str:
+        """The phase of one of the job's tasks."""
         return self.owner.tasks[(UID, task)].phase
 
     def start(self, task: int) -> int:
-        """Allots one task and has the machine told to run it; returns the attempt."""
+        """Assigns one task and has the machine commanded to run it; returns the attempt."""
         self.report()
-        self.allot([task])
+        self.assign([task])
         self.tick()
         (command,) = self.report()
         assert isinstance(command, Run)
@@ -108,8 +118,8 @@
     assert shard.phase(1) == "seen"
     shard.tick(1.5)
     assert shard.phase(0) == "placed"
-    # What came after the token was never anywhere.
-    shard.allot([0, 1, 2])
+    # A task assigned after the token cannot run anywhere yet.
+    shard.assign([0, 1, 2])
     shard.tick()
     assert shard.phase(2) != "unseen"
 
@@ -117,7 +127,7 @@
 def test_an_answered_machine_that_has_not_seen_the_token_holds_the_barrier(
     settings: Settings,
 ) -> None:
-    """Its lease was renewed by the answer, with whatever it runs."""
+    """The answer renewed its lease, and with it whatever runs there."""
     shard = ShardHarness(settings, [0])
     shard.report(machine="m-2")
     shard.tick(9.0)
@@ -144,8 +154,9 @@
     assert shard.phase(0) == "seen"
 
 
-def test_late_copies_renew_nothing(shard: ShardHarness) -> None:
-    """Of a machine that has died: its tasks start elsewhere a lease after its last report."""
+def test_late_duplicates_renew_no_lease(shard: ShardHarness) -> None:
+    """Late duplicates of a dead machine's reports: its tasks still start elsewhere a lease after
+    its last new report."""
     attempt = shard.start(0)
     shard.report((0, attempt, "running"), seq=20)
     for _ in range(4):
@@ -153,7 +164,7 @@
         assert shard.report((0, attempt, "running"), seq=12) == []
     assert shard.phase(0) != "seen"
     assert "m-1" not in shard.owner.machines
-    # Copies of any age change nothing either: ended, of an earlier session, of another attempt.
+    # Duplicates change nothing, whatever they say: ended, other attempt, running.
     before = {key: task.phase for key, task in shard.owner.tasks.items()}
     for copy in ((0, attempt, "ended"), (0, attempt - 1, "ended"), (0, attempt, "running")):
         assert shard.report(copy, seq=13) == []
@@ -161,8 +172,8 @@
     assert {key: task.phase for key, task in shard.owner.tasks.items()} == before
 
 
-def test_a_report_behind_a_direct_answer_still_renews(shard: ShardHarness) -> None:
-    """The answer to direct commands is newer than the check-in under way beside it; that one is
+def test_a_checkin_overtaken_by_a_direct_answer_still_renews(shard: ShardHarness) -> None:
+    """The answer to direct commands overtakes a check-in that is in flight. The check-in is still
     answered, and the worker's lease counts from when it was sent."""
     attempt = shard.start(0)
     shard.tick(8.0)
@@ -172,16 +183,16 @@
     assert shard.phase(0) == "seen"
 
 
-def test_a_machine_that_does_not_hear_gets_no_tasks(shard: ShardHarness) -> None:
-    """Its reports arrive and are answered, and its lease runs out all the same."""
+def test_a_machine_that_answers_do_not_reach_gets_no_tasks(shard: ShardHarness) -> None:
+    """Its reports arrive and are answered, and its lease expires all the same."""
     attempt = shard.start(0)
     for _ in range(9):
         shard.report((0, attempt, "running"))
         shard.tick(1.0)
     shard.report(session=2, seq=1)
-    assert shard.phase(0) == "free"
+    assert shard.phase(0) == "unplaced"
     shard.tick(1.0)
-    assert shard.phase(0) == "leaving"  # no room after all: handed back
+    assert shard.phase(0) == "pending_removal"  # no machine takes it: handed back
     for seq in range(2, 14):
         shard.tick(1.0)
         shard.report(session=2, seq=seq)
@@ -189,54 +200,54 @@
 
 
 def test_a_machine_that_never_shows_the_token_is_returned(settings: Settings) -> None:
-    """It holds the barrier for all unseen tasks; only its release proves that they ended. Not
-    where most are so."""
+    """It holds up the barrier for all unseen tasks; only its release proves that they ended. It
+    is not returned while most machines of the shard are like that."""
     shard = ShardHarness(settings, before=[0])
     for seq in range(1, 25):
         shard.tick(1.0)
         shard.report(machine="m-1", token=TOKEN - 1, seq=seq)
         if seq > 22:
             shard.report(machine="m-2", seq=seq)
-        shown = shard.owner._describe(shard.owner.machines["m-1"], shard.now)
+        shown = shard.owner._machine_view(shard.owner.machines["m-1"], shard.now)
         shard.tick()
         assert (shown.empty and shown.retiring) == (seq == 24)
     assert shard.phase(0) == "unseen"
-    shard.owner.gone(["m-1"])
+    shard.owner.on_released(["m-1"])
     shard.tick(1.0)
     assert shard.phase(0) != "unseen"
 
 
 def test_an_unseen_machine_that_is_to_be_returned_is_not_empty(settings: Settings) -> None:
-    """The leader's order may follow from what an earlier owner said of it."""
+    """The leader's order to retire it may rest on an earlier owner's view."""
     shard = ShardHarness(settings, before=[0])
     shard.report(token=TOKEN - 1)
     shard.owner.retire(["m-1"])
-    shown = shard.owner._describe(shard.owner.machines["m-1"], shard.now)
+    shown = shard.owner._machine_view(shard.owner.machines["m-1"], shard.now)
     assert (shown.retiring, shown.empty) == (True, False)
 
 
-def test_a_withdrawn_start_without_an_answer_lets_its_machine_go(shard: ShardHarness) -> None:
-    """Found by reading: the machine that was to be returned, since the start may be carried out
-    late, never counted as empty."""
+def test_a_withdrawn_unanswered_run_does_not_keep_its_machine(shard: ShardHarness) -> None:
+    """Guards against a machine that never counted as empty: it was to be returned because an
+    unanswered `run` of a cancelled task might still arrive there."""
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick()
-    ((name, _, _, _),) = shard.owner.to_push(shard.now, 10)
+    ((name, _, _, _),) = shard.owner.take_direct_runs(shard.now, 10)
     shard.cancel()
     shard.report()
-    shown = shard.owner._describe(shard.owner.machines[name], shard.now)
+    shown = shard.owner._machine_view(shard.owner.machines[name], shard.now)
     assert (shown.retiring, shown.empty) == (True, True)
     attempt = shard.owner.tasks[UID, 0].attempt
     assert shard.report((0, attempt, "running")) == [Kill((UID, 0), attempt, 0.0)]
-    assert not shard.owner._describe(shard.owner.machines[name], shard.now).empty
+    assert not shard.owner._machine_view(shard.owner.machines[name], shard.now).empty
 
 
-def test_forget_waits_until_the_outcome_is_in_the_book(shard: ShardHarness) -> None:
+def test_forget_waits_until_the_outcome_is_in_the_replica(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     assert shard.report((0, attempt, "ended")) == []
     assert shard.pending()[UID].done.flat() == [0, 1]
     assert shard.report((0, attempt, "ended")) == []
-    shard.allot([], done=[0])
+    shard.assign([], done=[0])
     assert shard.report((0, attempt, "ended")) == [Forget((UID, 0), attempt)]
 
 
@@ -250,40 +261,44 @@
     assert shard.owner.tasks[(UID, 0)].machine == "m-1"
     shard.tick(0.5)
     assert shard.owner.tasks[(UID, 0)].machine == "m-2"
-    # Its late report, sent in the session that has ended, brings nothing back.
+    # Its late report, from the session that has ended, changes nothing.
     assert shard.report((0, attempt, "running"), seq=900) == []
     assert shard.owner.tasks[(UID, 0)].machine == "m-2"
 
 
-def test_silent_machines_are_asked_and_what_came_of_it_is_shown(shard: ShardHarness) -> None:
-    """By its owner and by others; a report that came meanwhile says more."""
+def test_silent_machines_are_probed_and_the_results_are_shown(shard: ShardHarness) -> None:
+    """Probes by the owner and by others; a later report supersedes their results."""
     attempt = shard.start(0)
     shard.report((0, attempt, "running"))
     for _ in range(3):
         shard.tick(1.0)
     assert shard.owner.to_probe(shard.now) == [("m-1", "m:1")]
-    shard.owner.unreported([("m-7", "m:7"), ("m-1", "m:1")])
+    shard.owner.on_unreported([("m-7", "m:7"), ("m-1", "m:1")])
     assert shard.owner.to_probe(shard.now) == [("m-1", "m:1"), ("m-7", "m:7")]
     for by in ("node-0", "node-1"):
-        shard.owner.probed("m-1", ProbeResult(by, ProbeOutcome.NO_CONNECTION, shard.now))
-        shard.owner.probed("m-7", ProbeResult(by, ProbeOutcome.REFUSED, shard.now))
+        shard.owner.on_probe_result("m-1", ProbeResult(by, ProbeOutcome.NO_CONNECTION, shard.now))
+        shard.owner.on_probe_result("m-7", ProbeResult(by, ProbeOutcome.REFUSED, shard.now))
     assert shard.owner.to_probe(shard.now) == []
-    view = shard.owner.view("node-0", 9, shard.now)
-    asked = {name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences}
-    assert asked == {"m-1": {"no_connection"}, "m-7": {"refused"}}
+    view = shard.owner.next_view("node-0", 9, shard.now)
+    outcomes_by_machine = {
+        name: {outcome for _, outcome, _ in probes} for name, _, probes in view.silences
+    }
+    assert outcomes_by_machine == {"m-1": {"no_connection"}, "m-7": {"refused"}}
     shard.tick(1.0)
     shard.report((0, attempt, "running"))
-    shard.owner.probed("m-1", ProbeResult("node-2", ProbeOutcome.NO_CONNECTION, shard.now - 0.5))
+    shard.owner.on_probe_result(
+        "m-1", ProbeResult("node-2", ProbeOutcome.NO_CONNECTION, shard.now - 0.5)
+    )
     shard.report(machine="m-7", seq=1)
-    shard.owner.unreported([])
-    assert shard.owner.view("node-0", 9, shard.now).silences == []
+    shard.owner.on_unreported([])
+    assert shard.owner.next_view("node-0", 9, shard.now).silences == []
 
 
 def test_a_release_frees_the_tasks_at_once(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     shard.report((0, attempt, "running"))
     shard.report(machine="m-2")
-    shard.owner.gone(["m-1"])
+    shard.owner.on_released(["m-1"])
     shard.tick()
     assert shard.owner.tasks[(UID, 0)].machine == "m-2"
     assert shard.owner.tasks[(UID, 0)].attempt != attempt
@@ -298,21 +313,32 @@
 
 
 def test_handing_back_is_final(shard: ShardHarness) -> None:
-    """A removal may be executed late, and then others have the task."""
+    """The write that removes the task from the assignment may be executed late, after which
+    another shard may have it. So the task is not placed here again when capacity appears."""
     shard.report()
-    shard.allot([0, 1, 2, 3])
+    shard.assign([0, 1, 2, 3])
     shard.tick()
-    assert sorted(shard.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
+    assert sorted(shard.phase(i) for i in range(4)) == [
+        "pending_removal",
+        "pending_removal",
+        "placed",
+        "placed",
+    ]
     shard.report(machine="m-2")
     shard.tick(1.0)
-    assert sorted(shard.phase(i) for i in range(4)) == ["leaving", "leaving", "placed", "placed"]
+    assert sorted(shard.phase(i) for i in range(4)) == [
+        "pending_removal",
+        "pending_removal",
+        "placed",
+        "placed",
+    ]
 
 
-def test_cancelled_tasks_leave_only_when_surely_gone(shard: ShardHarness) -> None:
+def test_cancelled_tasks_are_removed_only_once_certainly_ended(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     shard.cancel()
     assert shard.pending() == {}
-    # The `run` may have been executed after this report was sent... it is newer.
+    # The report is newer than the `run`, and lists the attempt as alive.
     assert shard.report((0, attempt, "fetching")) == [Kill((UID, 0), attempt, 0.0)]
     assert shard.pending() == {}
     shard.report((0, attempt, "ended"), why="stopped")
@@ -320,13 +346,15 @@
 
 
 def test_an_unanswered_direct_start_is_in_flight_for_the_session(shard: ShardHarness) -> None:
-    """Packets held by a cut are delivered minutes later: reports that do not list the
-    attempt prove nothing, and forgetting it would let a late `run` start it again."""
+    """Packets held up by a network cut can arrive minutes later. Until the session ends, reports
+    that do not list the attempt prove nothing, and a `forget` would let a late `run` start it
+    again."""
     shard.report()
-    shard.allot([0])
+    shard.assign([0])
     shard.tick()
-    assert shard.owner.to_push(shard.now, 0) == []  # no socket left: with the next check-in
-    ((name, _, session, commands),) = shard.owner.to_push(shard.now, 1)
+    # Without a free connection the `run` waits for the next check-in.
+    assert shard.owner.take_direct_runs(shard.now, 0) == []
+    ((name, _, session, commands),) = shard.owner.take_direct_runs(shard.now, 1)
     attempt = commands[0].attempt
     shard.cancel()
     shard.report()
@@ -334,9 +362,9 @@
     assert shard.owner.machines["m-1"].retiring
     shard.report((0, attempt, "ended"), why="stopped")
     assert shard.pending()[UID].tasks.flat() == []
-    shard.allot([])
+    shard.assign([])
     assert shard.report((0, attempt, "ended"), why="stopped") == []
-    shard.owner.pushed(name, session, commands)
+    shard.owner.on_direct_answer(name, session, commands)
     assert shard.report((0, attempt, "ended"), why="stopped") == [Forget((UID, 0), attempt)]
 
 
@@ -350,48 +378,49 @@
 
 
 def test_a_job_that_fails_everywhere_is_handed_back(shard: ShardHarness) -> None:
-    """One that fails on several machines is held back and brings down none of them; what is
-    given for a try is tried once."""
+    """A job that fails on several machines is handed back, and none of the machines is returned
+    for it. A task assigned as a retry is tried once."""
     attempt = shard.start(0)
     shard.report((0, attempt, "ended"), why="error")
-    assert shard.phase(0) == "free"
+    assert shard.phase(0) == "unplaced"
     shard.now += 61.0
     shard.report(machine="m-2")
     shard.tick()
     task = shard.owner.tasks[(UID, 0)]
-    assert task.machine == "m-2"  # and not where it failed
-    shard.allot([0, 1, 2])
+    assert task.machine == "m-2"  # not where it failed
+    shard.assign([0, 1, 2])
     shard.report((0, task.attempt, "ended"), machine="m-2", why="error")
-    assert [shard.phase(i) for i in (0, 1, 2)] == ["leaving"] * 3
-    view = shard.owner.view("node-0", 1, shard.now)
+    assert [shard.phase(i) for i in (0, 1, 2)] == ["pending_removal"] * 3
+    view = shard.owner.next_view("node-0", 1, shard.now)
     assert view.failing == [(UID, 2, 2)]
     assert all(machine.open for machine in view.machines)
-    shard.allot([])
-    shard.allot([3])
+    shard.assign([])
+    shard.assign([3])
     shard.tick()
     shard.report(machine="m-2")
     task = shard.owner.tasks[(UID, 3)]
     assert task.phase == "placed"
     shard.report((3, task.attempt, "ended"), machine=task.machine or "", why="error")
-    assert task.phase == "leaving"
+    assert task.phase == "pending_removal"
 
 
-def test_a_machine_that_fails_what_runs_elsewhere_is_given_up(shard: ShardHarness) -> None:
+def test_a_machine_that_fails_what_runs_elsewhere_is_returned(shard: ShardHarness) -> None:
     attempt = shard.start(0)
     shard.report((0, attempt, "ended"), why="done")
-    shard.allot([1, 2], done=[0])
+    shard.assign([1, 2], done=[0])
     shard.tick()
     runs = [c for c in shard.report() if isinstance(c, Run)]
     assert len(runs) == 2
     shard.report(*((run.task[1], run.attempt, "ended") for run in runs), why="error")
-    (machine,) = shard.owner.view("node-0", 1, shard.now).machines
+    (machine,) = shard.owner.next_view("node-0", 1, shard.now).machines
     assert machine.retiring
     assert not machine.open
 
 
-def test_a_share_that_grew_too_large_is_moved_out_piece_by_piece(settings: Settings) -> None:
-    """Written when larger values were allowed: its done tasks go to records of their own
-    first, and only then out of the share, so that none is ever missing or counted twice."""
+def test_an_oversized_assignment_moves_to_overflow_pages_first(settings: Settings) -> None:
+    """An assignment written while larger values were allowed: its done tasks are first copied to
+    overflow pages and only then removed from it, so that none is ever missing or counted
+    twice."""
     state = msgspec.structs.replace(
         settings.settings.state, next=NextState(value_kb=2.0, txn_ops=4)
     )
@@ -402,7 +431,7 @@
     spec = parse_job(job_body(pieces=100_000))
     shard.put(job_key(UID), None)
     shard.put(job_key(UID), job_record(spec, 0.0, False))
-    shard.allot([99_999], list(range(0, 2400, 2)))
+    shard.assign([99_999], list(range(0, 2400, 2)))
     job = shard.replica.jobs[UID]
     assert value_bytes({"d": job.assignments[0].done.flat()}) > 4 * limit
     written = 0
@@ -421,8 +450,8 @@
     assert 1 in job.open_tasks
     assert 2 not in job.open_tasks
     assert shard.pending() == {}
-    again = StateReplica()
-    again.replace(
+    rebuilt = StateReplica()
+    rebuilt.replace(
         [
             Event(job_key(UID), job_record(spec, 0.0, False), 1),
             *(
@@ -432,7 +461,7 @@
         ],
         2,
     )
-    assert again.jobs[UID].done_count == 1200
+    assert rebuilt.jobs[UID].done_count == 1200
 
 
 def test_a_cancellation_fits_whatever_the_job_was_recorded_with() -> None:
@@ -450,47 +479,49 @@
 
 @pytest.mark.parametrize("why", ["stopped", "error"])
 def test_what_was_handed_back_is_no_sign_of_lost_data(settings: Settings, why: str) -> None:
-    """A task of an authority before ours is stopped for others and handed back; the worker
-    shows it until it has heard `forget`, while the book has the task open again."""
+    """An earlier owner's task is evicted and handed back. The worker reports it until it gets
+    `forget`, while the task is open again in the replica."""
     shard = ShardHarness(settings, [1])
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
     )
     shard.replica.on_job.append(shard.owner.on_job)
-    before = ((TOKEN - 9) << 20) + 1
-    shard.report((1, before, "running"))
+    earlier_attempt = ((TOKEN - 9) << 20) + 1
+    shard.report((1, earlier_attempt, "running"))
     shard.owner.evict("m-1", UID, 1)
-    shard.report((1, before, "ended"), why=why)
-    shard.allot([])
-    assert shard.report((1, before, "ended"), why=why) == [Forget((UID, 1), before)]
+    shard.report((1, earlier_attempt, "ended"), why=why)
+    shard.assign([])
+    assert shard.report((1, earlier_attempt, "ended"), why=why) == [
+        Forget((UID, 1), earlier_attempt)
+    ]
     assert shard.owner.unrecorded == {}
-    # One that runs and that no share holds is.
-    shard.report((1, before, "running"))
-    assert set(shard.owner.unrecorded) == {((UID, 1), before)}
+    # A running attempt that no assignment holds is a sign of lost data.
+    shard.report((1, earlier_attempt, "running"))
+    assert set(shard.owner.unrecorded) == {((UID, 1), earlier_attempt)}
 
 
-def test_a_report_that_was_not_taken_in_does_not_count(
+def test_a_report_whose_processing_failed_does_not_count(
     settings: Settings, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An error of ours in the midst of a report: tasks further on in it are still there."""
+    """An internal error while a report is processed: tasks listed further on in it still run."""
     shard = ShardHarness(settings, [0, 1])
-    before = ((TOKEN - 9) << 20) + 1
+    earlier_attempt = ((TOKEN - 9) << 20) + 1
 
     def fail(*_: object) -> None:
-        raise RuntimeError("an error of ours")
+        raise RuntimeError("injected error")
 
     with monkeypatch.context() as patch:
-        patch.setattr(shard.owner, "_reported", fail)
+        patch.setattr(shard.owner, "_process_entry", fail)
         with pytest.raises(RuntimeError):
-            shard.report((0, before, "running"))
+            shard.report((0, earlier_attempt, "running"))
     for _ in range(3):
         shard.tick(5.0)
         assert shard.phase(0) == "unseen"
         with monkeypatch.context() as patch:
-            patch.setattr(shard.owner, "_reported", fail)
+            patch.setattr(shard.owner, "_process_entry", fail)
             with pytest.raises(RuntimeError):
-                shard.report((0, before, "running"))
-    shard.report((0, before, "running"))
+                shard.report((0, earlier_attempt, "running"))
+    shard.report((0, earlier_attempt, "running"))
     shard.tick()
     assert shard.phase(0) == "seen"
     assert shard.phase(1) == "placed"
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Controllers that hang, and what their predecessors sent that comes late."""
+"""Controllers that hang, and late messages of a controller's previous process."""
 
 from pathlib import Path
 from typing import Any
@@ -17,13 +17,13 @@
 
 
 def test_a_predecessors_enrolment_that_comes_late(tmp_path: Path) -> None:
-    """It took the place of the successor's own and went with its old lease: the others took the
-    successor for gone, and it gave all its parts away for good."""
-    held: list[int] = []
+    """The late enrolment replaced the one of the new process and expired with the old lease. The
+    others then took the new process for dead, and it gave up all its shards for good."""
+    late_statuses: list[int] = []
 
     async def script(world: World) -> None:
         await trio.sleep(30.0)
-        # Away until others have its parts: its enrolment then is guarded by no role of its own.
+        # Down until others own its shards: no role of its own guards its next enrolment.
         world.restart_s = 9.0
         world.crash(1)
         await trio.sleep(8.0)
@@ -33,20 +33,24 @@
 
         async def late(method: str, target: str, body: bytes) -> Reply:
             raw: Any = decode(body) if target == "/multi" else None
-            if raw and not held and any(c.get("write") == "r/n/node-1" for c in raw["apply"]):
-                held.append(0)
+            if (
+                raw
+                and not late_statuses
+                and any(c.get("write") == "r/n/node-1" for c in raw["apply"])
+            ):
+                late_statuses.append(0)
                 await trio.sleep(2.0)
                 reply = await service(method, target, body)
-                held.append(reply.status)
+                late_statuses.append(reply.status)
                 return reply
             return await service(method, target, body)
 
         world.network.handlers[address] = late
-        while not held:
+        while not late_statuses:
             await trio.sleep(0.01)
         world.crash(1)
         await trio.sleep(20.0)
-        assert held == [0, 200]  # its lease had not ended yet
+        assert late_statuses == [0, 200]  # its lease had not ended yet
         node = world.nodes[1]
         assert isinstance(node, Node)
         assert world.state.data["r/n/node-1"][0]["i"] == node._context.controller_lease.incarnation
@@ -56,28 +60,30 @@
     world = play(rebuilding(tmp_path, 3), 6, MIX, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    # Nor does a healthy service look as if it had lost data.
+    # A healthy state service does not look as if it had lost data.
     assert "r/e" not in world.state.data
 
 
-def test_changes_go_by_way_of_one_peer_only(tmp_path: Path) -> None:
-    """A peer that carried a change and then hung: sent again by way of another, the change was
-    refused, and looked as if it had not been made."""
+def test_a_change_is_relayed_by_one_peer_only(tmp_path: Path) -> None:
+    """A peer relayed a change and then hung. Sent again through another peer, the change was
+    refused, which looked as if it had not been made."""
 
     async def script(world: World) -> None:
         await trio.sleep(20.0)
         node = world.nodes[0]
         state, reachability = node._context.state, node._peer_messenger.reachability
-        deaf_to = {"10.0.0.1"}
-        with world.cut(deaf_to, {"10.2.0.1"}, hold=False):
-            await trio.sleep(5.0)  # it has found that its peers carry its requests
+        own_host = {"10.0.0.1"}
+        with world.cut(own_host, {"10.2.0.1"}, hold=False):
+            await trio.sleep(5.0)  # by now its peers relay its requests
             assert state.failing_since is not None
             for n in range(1, 5):
                 address = world.settings[n].mesh_addr
-                usual = world.network.handlers[address]
+                handler = world.network.handlers[address]
 
-                async def hangs(method: str, target: str, body: bytes, usual: Any = usual) -> Reply:
-                    await usual(method, target, body)
+                async def hangs(
+                    method: str, target: str, body: bytes, handler: Any = handler
+                ) -> Reply:
+                    await handler(method, target, body)
                     await trio.sleep_forever()
                     raise AssertionError
 
@@ -88,20 +94,20 @@
                 await state.commit({"x/once": 0}, put, timeout_s=1.0)
             assert world.state.data["x/once"][1] > revision
             now = trio.current_time()
-            assert any(reachability.silent(name, now) for name in node._peer_messenger.peers)
+            assert any(reachability.is_silent(name, now) for name in node._peer_messenger.peers)
 
     world = play(some_controllers(tmp_path, 5), 3, [], script, 32.0)
     assert world.checker.broken == []
 
 
-def test_those_that_hang_are_asked_last() -> None:
+def test_peers_that_hang_are_asked_last() -> None:
     reachability = PeerReachability(4.0)
     names = ["a", "b", "c", "d"]
-    assert {reachability.answering_first(names, 0.0)[0] for _ in names} == set(names)  # in turn
+    assert {reachability.answering_first(names, 0.0)[0] for _ in names} == set(names)  # rotated
     reachability.on_timeout("b", 1.0)
     reachability.on_timeout("a", 2.0)
     assert reachability.answering_first(names, 3.0)[2:] == ["b", "a"]
     assert sorted(reachability.answering_first(names, 3.0)) == names
     reachability.on_answer("a")
     assert reachability.answering_first(names, 3.0)[3] == "b"
-    assert not reachability.silent("b", 5.1)
+    assert not reachability.is_silent("b", 5.1)
