--- a/ryegauge/amqp/client.py
+++ b/ryegauge/amqp/client.py
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-CHUNK = 64 * 1024
+READ_CHUNK_BYTES = 64 * 1024
 # Another broker is tried after a pause between the first and the last of these, doubled
 # with each failure, with luck in it: brokers that come back are not stormed.
-FIRST_PAUSE_S = 0.5
-LAST_PAUSE_S = 30.0
+MIN_RECONNECT_PAUSE_S = 0.5
+MAX_RECONNECT_PAUSE_S = 30.0
 
 Connect = Callable[["Broker"], Awaitable[trio.abc.Stream]]
 
@@ -107,13 +107,13 @@
         self.protocol = protocol
         self.opened = False  # the login has succeeded
         self._stream = stream
-        self._wanted = trio.Event()
+        self._send_requested = trio.Event()
 
     def flush(self) -> None:
         """Sends, soon and in order, what the protocol has been asked for."""
-        self._wanted.set()
+        self._send_requested.set()
 
-    async def run(self, told: Callable[[Event], None]) -> Closed:
+    async def run(self, on_event: Callable[[Event], None]) -> Closed:
         """Until the connection ends, for whichever reason. All events go to `told`, one
         after the other, in the order in which they came."""
         closed: list[Closed] = []
@@ -123,7 +123,7 @@
                 if isinstance(event, Closed):
                     closed.append(event)
                 self.opened = self.opened or isinstance(event, Opened)
-                told(event)
+                on_event(event)
             if closed:
                 nursery.cancel_scope.cancel()
             else:
@@ -132,11 +132,11 @@
         async def receive() -> None:
             while True:
                 try:
-                    data = await self._stream.receive_some(CHUNK)
+                    data = await self._stream.receive_some(READ_CHUNK_BYTES)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     data = b""
                 if not data:
-                    deliver(self.protocol.ended())
+                    deliver(self.protocol.on_stream_end())
                     return
                 deliver(self.protocol.receive(bytes(data), trio.current_time()))
 
@@ -144,16 +144,16 @@
             while True:
                 data = self.protocol.data_to_send(trio.current_time())
                 if not data:
-                    self._wanted = trio.Event()
-                    await self._wanted.wait()
+                    self._send_requested = trio.Event()
+                    await self._send_requested.wait()
                     continue
                 try:
                     await self._stream.send_all(data)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
-                    deliver(self.protocol.ended())
+                    deliver(self.protocol.on_stream_end())
                     return
 
-        async def beat() -> None:
+        async def send_heartbeats() -> None:
             while True:
                 await trio.sleep(self.protocol.pause_s)
                 deliver(self.protocol.tick(trio.current_time()))
@@ -161,11 +161,11 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(receive)
             nursery.start_soon(send)
-            nursery.start_soon(beat)
-        await self._say_goodbye()
+            nursery.start_soon(send_heartbeats)
+        await self._close_stream()
         return closed[0] if closed else Closed(0, "cancelled")
 
-    async def _say_goodbye(self) -> None:
+    async def _close_stream(self) -> None:
         data = self.protocol.data_to_send(trio.current_time())
         with trio.move_on_after(1.0):
             try:
@@ -197,39 +197,39 @@
     """One session after another, each with the next broker of the list, until cancelled.
     `serve` makes of a session what is told its events."""
     failures, pause_s = 0, 0.0
-    number = rng.randrange(len(brokers))
+    broker_index = rng.randrange(len(brokers))
     while True:
-        broker = brokers[number % len(brokers)]
-        number += 1
+        broker = brokers[broker_index % len(brokers)]
+        broker_index += 1
         failures += 1
-        began = trio.current_time()
+        started_at = trio.current_time()
         try:
             session = await open_session(broker, connect)
-            closed = await _run_logged_in(session, serve(session), broker.timeout_s)
-            why = f"{closed.code} {closed.text}"
+            closed = await _run_with_login_timeout(session, serve(session), broker.timeout_s)
+            reason = f"{closed.code} {closed.text}"
             # One that opens and ends at once (no such queue) is as bad as none: without this
             # it was tried again twice a second for good.
-            lasted = trio.current_time() - began > 4 * pause_s
-            failures = 0 if session.opened and lasted and closed.code else failures
+            was_stable = trio.current_time() - started_at > 4 * pause_s
+            failures = 0 if session.opened and was_stable and closed.code else failures
         except (OSError, ssl.SSLError, trio.TooSlowError, trio.BrokenResourceError) as error:
-            why = f"no connection: {type(error).__name__}: {error}"
+            reason = f"no connection: {type(error).__name__}: {error}"
         except BrokerError as error:
-            why = str(error)
-        pause_s = min(LAST_PAUSE_S, FIRST_PAUSE_S * 2 ** min(failures, 10))
+            reason = str(error)
+        pause_s = min(MAX_RECONNECT_PAUSE_S, MIN_RECONNECT_PAUSE_S * 2 ** min(failures, 10))
         pause_s *= rng.uniform(0.5, 1.0)
-        log.warning("%s: %s; the next try in %.1f s", broker.url, why, pause_s)
+        log.warning("%s: %s; the next try in %.1f s", broker.url, reason, pause_s)
         await trio.sleep(pause_s)
 
 
-async def _run_logged_in(
-    session: Session, told: Callable[[Event], None], timeout_s: float
+async def _run_with_login_timeout(
+    session: Session, on_event: Callable[[Event], None], timeout_s: float
 ) -> Closed:
     """Gives a broker up that accepts connections and says nothing."""
     result: list[Closed] = []
     async with trio.open_nursery() as nursery:
 
         async def run() -> None:
-            result.append(await session.run(told))
+            result.append(await session.run(on_event))
             nursery.cancel_scope.cancel()
 
         nursery.start_soon(run)
--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -18,14 +18,20 @@
 from pamqp.header import ContentHeader, ProtocolHeader
 from pamqp.heartbeat import Heartbeat
 
-from ryegauge.amqp.frames import OVERHEAD, SMALLEST_MAX, Cutter, Frame, FrameError
+from ryegauge.amqp.frames import (
+    FRAME_OVERHEAD_BYTES,
+    MIN_FRAME_LIMIT_BYTES,
+    Cutter,
+    Frame,
+    FrameError,
+)
 
 # A message larger than this closes its channel instead of filling our memory.
-BODY_MAX = 4 * 1024 * 1024
-CHANNEL_MAX = 255
-FRAME_MAX = 128 * 1024
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+MAX_CHANNELS = 255
+MAX_FRAME_BYTES = 128 * 1024
 # A peer is given up on after so many heartbeats of silence (section 4.2.7).
-SILENT_BEATS = 2.0
+MAX_SILENT_HEARTBEATS = 2.0
 
 State = Literal["start", "tune", "open", "running", "closing", "closed"]
 ChannelState = Literal["opening", "open"]
@@ -47,7 +53,7 @@
     text: str
 
 
-class Consuming(NamedTuple):
+class ConsumerStarted(NamedTuple):
     channel: int
     consumer: str
 
@@ -105,7 +111,7 @@
     method: str
 
 
-class Counted(NamedTuple):
+class QueueCounts(NamedTuple):
     """Of a queue: messages that wait for a consumer, and consumers."""
 
     channel: int
@@ -125,20 +131,20 @@
     Opened
     | ChannelOpened
     | ChannelClosed
-    | Consuming
+    | ConsumerStarted
     | ConsumerCancelled
     | Delivery
     | Confirmed
     | Returned
     | Blocked
     | Unblocked
-    | Counted
+    | QueueCounts
     | Done
     | Closed
 )
 
 
-class Misuse(Exception):
+class InvalidStateError(Exception):
     """The caller asks for what the state of the connection or channel does not allow."""
 
 
@@ -157,7 +163,7 @@
     state: ChannelState = "opening"
     content: _Content | None = None
     confirms: bool = False
-    published: int = 0  # delivery tags of ours count from 1 once confirms are selected
+    published_count: int = 0  # delivery tags of ours count from 1 once confirms are selected
     unconfirmed: dict[int, None] = field(default_factory=dict)
     # Delivery tags that were given to us and not yet settled, in order.
     unsettled: dict[int, None] = field(default_factory=dict)
@@ -175,7 +181,7 @@
         now: float = 0.0,
         properties: dict[str, Any] | None = None,
     ) -> None:
-        self._response = f"\0{user}\0{password}"
+        self._login_response = f"\0{user}\0{password}"
         self._vhost = vhost
         self._heartbeat_s = heartbeat_s
         self._properties = {
@@ -190,11 +196,11 @@
             **(properties or {}),
         }
         self.state: State = "start"
-        self._cutter = Cutter()
-        self._out = bytearray(codec.marshal(ProtocolHeader(), 0))
+        self._decoder = Cutter()
+        self._send_buffer = bytearray(codec.marshal(ProtocolHeader(), 0))
         self._channels: dict[int, _Channel] = {}
         self._channel_max = 0
-        self._frame_max = SMALLEST_MAX
+        self._frame_max = MIN_FRAME_LIMIT_BYTES
         self._received_at = self._sent_at = now
         self.blocked = False
 
@@ -202,55 +208,55 @@
 
     def data_to_send(self, now: float) -> bytes:
         """What has to be sent, once; the caller sends it in order."""
-        if not self._out:
+        if not self._send_buffer:
             return b""
-        data = bytes(self._out)
-        self._out.clear()
+        data = bytes(self._send_buffer)
+        self._send_buffer.clear()
         self._sent_at = now
         return data
 
     def receive(self, data: bytes, now: float) -> list[Event]:
         """What the bytes mean. Never raises for what a peer sends: a peer that breaks the
         protocol ends in `Closed`, with the bytes that tell it so still to be sent."""
-        if self.over:
+        if self.is_closed:
             return []
         self._received_at = now
         events: list[Event] = []
         try:
-            for frame in self._cutter.feed(data):
-                self._take_in(frame, events)
-                if self.over:
+            for frame in self._decoder.feed(data):
+                self._on_frame(frame, events)
+                if self.is_closed:
                     break
         except FrameError as error:
             self._fail(error, events)
         return events
 
-    def ended(self) -> list[Event]:
+    def on_stream_end(self) -> list[Event]:
         """The stream has ended, or failed."""
         if self.state == "closed":
             return []
-        before = self.state
+        last_state = self.state
         self.state = "closed"
-        if before in ("start", "tune"):
+        if last_state in ("start", "tune"):
             # Brokers of old close the stream without a word when they refuse a user.
             return [Closed(403, "the broker ended the connection during the login")]
-        wanted = before == "closing"
-        return [Closed(0 if wanted else 320, "closed" if wanted else "the stream has ended")]
+        requested = last_state == "closing"
+        return [Closed(0 if requested else 320, "closed" if requested else "the stream has ended")]
 
     def tick(self, now: float) -> list[Event]:
         """Heartbeats, both ways. To be called at least every `pause_s`."""
-        beat = self._heartbeat_s
-        if self.state == "closed" or not beat:
+        interval_s = self._heartbeat_s
+        if self.state == "closed" or not interval_s:
             return []
-        if now - self._received_at > SILENT_BEATS * beat:
+        if now - self._received_at > MAX_SILENT_HEARTBEATS * interval_s:
             self.state = "closed"
             return [Closed(320, f"nothing heard for {now - self._received_at:.0f} s")]
-        if self.state == "running" and now - self._sent_at >= beat / 2:
-            self._out += codec.marshal(Heartbeat(), 0)
+        if self.state == "running" and now - self._sent_at >= interval_s / 2:
+            self._send_buffer += codec.marshal(Heartbeat(), 0)
         return []
 
     @property
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         return self.state == "closed"
 
     @property
@@ -261,49 +267,51 @@
 
     def open_channel(self) -> int:
         if self.state != "running":
-            raise Misuse(f"the connection is not open: {self.state}")
-        number = next((n for n in range(1, self._channel_max + 1) if n not in self._channels), None)
-        if number is None:
-            raise Misuse(f"all {self._channel_max} channels are in use")
-        self._channels[number] = _Channel()
-        self._send(number, amqp.Channel.Open())
-        return number
-
-    def prefetch(self, number: int, count: int) -> None:
+            raise InvalidStateError(f"the connection is not open: {self.state}")
+        channel_id = next(
+            (n for n in range(1, self._channel_max + 1) if n not in self._channels), None
+        )
+        if channel_id is None:
+            raise InvalidStateError(f"all {self._channel_max} channels are in use")
+        self._channels[channel_id] = _Channel()
+        self._send(channel_id, amqp.Channel.Open())
+        return channel_id
+
+    def prefetch(self, channel_id: int, count: int) -> None:
         """At most so many deliveries unsettled at once, of each consumer; 0: any number."""
-        self._open(number)
-        self._send(number, Basic.Qos(0, count, False))
+        self._require_open_channel(channel_id)
+        self._send(channel_id, Basic.Qos(0, count, False))
 
-    def consume(self, number: int, queue: str, consumer: str) -> None:
-        self._open(number)
-        self._send(number, Basic.Consume(0, queue, consumer, False, False, False, False, {}))
+    def consume(self, channel_id: int, queue: str, consumer: str) -> None:
+        self._require_open_channel(channel_id)
+        self._send(channel_id, Basic.Consume(0, queue, consumer, False, False, False, False, {}))
 
-    def cancel(self, number: int, consumer: str) -> None:
-        self._open(number)
-        self._send(number, Basic.Cancel(consumer, False))
+    def cancel(self, channel_id: int, consumer: str) -> None:
+        self._require_open_channel(channel_id)
+        self._send(channel_id, Basic.Cancel(consumer, False))
 
-    def declare(self, number: int, queue: str, *, passive: bool = False) -> None:
+    def declare(self, channel_id: int, queue: str, *, passive: bool = False) -> None:
         """Makes a durable queue, or (`passive`) only asks for its counts: `Counted`. One that
         is not there closes the channel then."""
-        self._open(number)
-        self._send(number, amqp.Queue.Declare(0, queue, passive, True, False, False, False, {}))
+        self._require_open_channel(channel_id)
+        self._send(channel_id, amqp.Queue.Declare(0, queue, passive, True, False, False, False, {}))
 
-    def select_confirms(self, number: int) -> None:
-        self._open(number)
-        self._send(number, amqp.Confirm.Select(False))
+    def select_confirms(self, channel_id: int) -> None:
+        self._require_open_channel(channel_id)
+        self._send(channel_id, amqp.Confirm.Select(False))
 
-    def ack(self, number: int, tag: int) -> None:
-        self._settle(number, tag)
-        self._send(number, Basic.Ack(tag, False))
+    def ack(self, channel_id: int, tag: int) -> None:
+        self._settle(channel_id, tag)
+        self._send(channel_id, Basic.Ack(tag, False))
 
-    def reject(self, number: int, tag: int, *, requeue: bool) -> None:
+    def reject(self, channel_id: int, tag: int, *, requeue: bool) -> None:
         """Without `requeue` the broker drops it, or hands it to the dead-letter exchange."""
-        self._settle(number, tag)
-        self._send(number, Basic.Reject(tag, requeue))
+        self._settle(channel_id, tag)
+        self._send(channel_id, Basic.Reject(tag, requeue))
 
     def publish(
         self,
-        number: int,
+        channel_id: int,
         exchange: str,
         routing_key: str,
         body: bytes,
@@ -312,17 +320,17 @@
         mandatory: bool = True,
     ) -> int:
         """The number under which it will be confirmed; 0 without confirms."""
-        channel = self._open(number)
-        self._send(number, Basic.Publish(0, exchange, routing_key, mandatory, False))
-        self._out += codec.marshal(ContentHeader(0, len(body), properties), number)
-        step = self._frame_max - OVERHEAD
+        channel = self._require_open_channel(channel_id)
+        self._send(channel_id, Basic.Publish(0, exchange, routing_key, mandatory, False))
+        self._send_buffer += codec.marshal(ContentHeader(0, len(body), properties), channel_id)
+        step = self._frame_max - FRAME_OVERHEAD_BYTES
         for start in range(0, len(body), step):
-            self._out += codec.marshal(ContentBody(body[start : start + step]), number)
+            self._send_buffer += codec.marshal(ContentBody(body[start : start + step]), channel_id)
         if not channel.confirms:
             return 0
-        channel.published += 1
-        channel.unconfirmed[channel.published] = None
-        return channel.published
+        channel.published_count += 1
+        channel.unconfirmed[channel.published_count] = None
+        return channel.published_count
 
     def close(self, code: int = 200, text: str = "done") -> None:
         if self.state in ("closing", "closed"):
@@ -333,25 +341,25 @@
         self.state = "closing"
         self._send(0, amqp.Connection.Close(code, text, 0, 0))
 
-    def unsettled(self, number: int) -> int:
-        return len(self._open(number).unsettled)
+    def unsettled(self, channel_id: int) -> int:
+        return len(self._require_open_channel(channel_id).unsettled)
 
     # -- inside --------------------------------------------------------------------------
 
-    def _open(self, number: int) -> _Channel:
-        channel = self._channels.get(number)
+    def _require_open_channel(self, channel_id: int) -> _Channel:
+        channel = self._channels.get(channel_id)
         if self.state != "running" or channel is None or channel.state != "open":
-            raise Misuse(f"channel {number} is not open")
+            raise InvalidStateError(f"channel {channel_id} is not open")
         return channel
 
-    def _settle(self, number: int, tag: int) -> None:
+    def _settle(self, channel_id: int, tag: int) -> None:
         """A tag settled twice, or of an earlier connection, would close the channel, and all
         that is under way on it would come again."""
-        if self._open(number).unsettled.pop(tag, 0) is not None:
-            raise Misuse(f"delivery {tag} on channel {number} is not ours to settle")
+        if self._require_open_channel(channel_id).unsettled.pop(tag, 0) is not None:
+            raise InvalidStateError(f"delivery {tag} on channel {channel_id} is not ours to settle")
 
     def _send(self, channel: int, method: Any) -> None:
-        self._out += codec.marshal(method, channel)
+        self._send_buffer += codec.marshal(method, channel)
 
     def _fail(self, error: FrameError, events: list[Event]) -> None:
         """A hard error: said to the broker as far as it will listen, and over for us."""
@@ -360,24 +368,24 @@
         self.state = "closed"
         events.append(Closed(error.code, str(error)))
 
-    def _take_in(self, frame: Frame, events: list[Event]) -> None:
-        number, value = frame
+    def _on_frame(self, frame: Frame, events: list[Event]) -> None:
+        channel_id, value = frame
         if isinstance(value, Heartbeat):
             return
-        if number == 0:
+        if channel_id == 0:
             self._on_connection(value, events)
             return
         if self.state == "closing":
             return  # whatever still comes is of no interest
-        channel = self._channels.get(number)
+        channel = self._channels.get(channel_id)
         if self.state != "running" or channel is None:
-            raise FrameError(504, f"a frame on channel {number}, which is not open")
+            raise FrameError(504, f"a frame on channel {channel_id}, which is not open")
         if isinstance(value, ContentHeader | ContentBody):
-            self._on_content(number, channel, value, events)
+            self._on_content(channel_id, channel, value, events)
         else:
             if channel.content is not None:
                 raise FrameError(505, "a method in the middle of a message")
-            self._on_channel(number, channel, value, events)
+            self._on_channel(channel_id, channel, value, events)
 
     def _on_connection(self, value: Any, events: list[Event]) -> None:
         match value:
@@ -395,10 +403,13 @@
                     raise FrameError(530, f"no login that we know: {value.mechanisms}")
                 self.state = "tune"
                 self._send(
-                    0, amqp.Connection.StartOk(self._properties, "PLAIN", self._response, "en_US")
+                    0,
+                    amqp.Connection.StartOk(
+                        self._properties, "PLAIN", self._login_response, "en_US"
+                    ),
                 )
             case amqp.Connection.Tune() if self.state == "tune":
-                self._tune(value)
+                self._on_tune(value)
             case amqp.Connection.OpenOk() if self.state == "open":
                 self.state = "running"
                 events.append(Opened())
@@ -412,17 +423,17 @@
                 name = getattr(value, "name", type(value).__name__)
                 raise FrameError(503, f"{name} while the connection is in state {self.state}")
 
-    def _tune(self, value: amqp.Connection.Tune) -> None:
+    def _on_tune(self, value: amqp.Connection.Tune) -> None:
         """The smaller of both sides' wishes; 0 is no wish."""
 
         def smaller(ours: int, theirs: int) -> int:
             return min(ours, theirs) if theirs else ours
 
-        self._channel_max = smaller(CHANNEL_MAX, value.channel_max or 0)
-        self._frame_max = smaller(FRAME_MAX, value.frame_max or 0)
-        if self._frame_max < SMALLEST_MAX:
+        self._channel_max = smaller(MAX_CHANNELS, value.channel_max or 0)
+        self._frame_max = smaller(MAX_FRAME_BYTES, value.frame_max or 0)
+        if self._frame_max < MIN_FRAME_LIMIT_BYTES:
             raise FrameError(501, f"frames of at most {self._frame_max} octets are too small")
-        self._cutter.frame_max = self._frame_max
+        self._decoder.frame_max = self._frame_max
         # Silence is noticed by us in any case; a broker that wants no heartbeats sends none.
         theirs = value.heartbeat or 0
         self._heartbeat_s = smaller(self._heartbeat_s, theirs) if theirs else 0
@@ -430,68 +441,74 @@
         self._send(0, amqp.Connection.TuneOk(self._channel_max, self._frame_max, self._heartbeat_s))
         self._send(0, amqp.Connection.Open(self._vhost))
 
-    def _on_channel(self, number: int, channel: _Channel, value: Any, events: list[Event]) -> None:
+    def _on_channel(
+        self, channel_id: int, channel: _Channel, value: Any, events: list[Event]
+    ) -> None:
         match value:
             case amqp.Channel.Close():
-                self._send(number, amqp.Channel.CloseOk())
-                del self._channels[number]
-                events.append(ChannelClosed(number, value.reply_code or 320, str(value.reply_text)))
+                self._send(channel_id, amqp.Channel.CloseOk())
+                del self._channels[channel_id]
+                events.append(
+                    ChannelClosed(channel_id, value.reply_code or 320, str(value.reply_text))
+                )
             case amqp.Channel.OpenOk() if channel.state == "opening":
                 channel.state = "open"
-                events.append(ChannelOpened(number))
+                events.append(ChannelOpened(channel_id))
             case _ if channel.state != "open":
-                raise FrameError(503, f"{value.name} on channel {number}, still opening")
+                raise FrameError(503, f"{value.name} on channel {channel_id}, still opening")
             case Basic.Deliver() | Basic.Return():
                 channel.content = _Content(value)
             case Basic.ConsumeOk():
-                events.append(Consuming(number, str(value.consumer_tag)))
+                events.append(ConsumerStarted(channel_id, str(value.consumer_tag)))
             case Basic.Cancel():
                 if not value.nowait:
-                    self._send(number, Basic.CancelOk(value.consumer_tag))
-                events.append(ConsumerCancelled(number, str(value.consumer_tag)))
+                    self._send(channel_id, Basic.CancelOk(value.consumer_tag))
+                events.append(ConsumerCancelled(channel_id, str(value.consumer_tag)))
             case Basic.Ack() | Basic.Nack():
-                self._confirmed(number, channel, value, events)
+                self._on_confirm(channel_id, channel, value, events)
             case amqp.Channel.Flow():
-                self._send(number, amqp.Channel.FlowOk(value.active))
+                self._send(channel_id, amqp.Channel.FlowOk(value.active))
                 events.append(Unblocked() if value.active else Blocked("channel flow"))
             case amqp.Confirm.SelectOk():
                 channel.confirms = True
-                events.append(Done(number, "Confirm.Select"))
+                events.append(Done(channel_id, "Confirm.Select"))
             case amqp.Queue.DeclareOk():
                 events.append(
-                    Counted(
-                        number,
+                    QueueCounts(
+                        channel_id,
                         str(value.queue),
                         value.message_count or 0,
                         value.consumer_count or 0,
                     )
                 )
             case Basic.QosOk() | Basic.CancelOk():
-                events.append(Done(number, value.name.removesuffix("Ok")))
+                events.append(Done(channel_id, value.name.removesuffix("Ok")))
             case _:
                 raise FrameError(503, f"{value.name} was not expected")
 
-    def _confirmed(
+    def _on_confirm(
         self,
-        number: int,
+        channel_id: int,
         channel: _Channel,
         value: Basic.Ack | Basic.Nack,
         events: list[Event],
     ) -> None:
-        last = value.delivery_tag or 0
+        last_confirmed = value.delivery_tag or 0
         if value.multiple:
-            tags = tuple(n for n in channel.unconfirmed if n <= last or not last)
+            tags = tuple(
+                n for n in channel.unconfirmed if n <= last_confirmed or not last_confirmed
+            )
         else:
-            tags = (last,) if last in channel.unconfirmed else ()
+            tags = (last_confirmed,) if last_confirmed in channel.unconfirmed else ()
         if not tags:
-            raise FrameError(506, f"a confirm for {last}, which is not open")
+            raise FrameError(506, f"a confirm for {last_confirmed}, which is not open")
         for tag in tags:
             del channel.unconfirmed[tag]
-        events.append(Confirmed(number, tags, isinstance(value, Basic.Ack)))
+        events.append(Confirmed(channel_id, tags, isinstance(value, Basic.Ack)))
 
     def _on_content(
         self,
-        number: int,
+        channel_id: int,
         channel: _Channel,
         value: ContentHeader | ContentBody,
         events: list[Event],
@@ -502,7 +519,7 @@
         if isinstance(value, ContentHeader):
             if content.header is not None:
                 raise FrameError(505, "a second header of one message")
-            if value.body_size > BODY_MAX:
+            if value.body_size > MAX_MESSAGE_BYTES:
                 raise FrameError(311, f"a message of {value.body_size} octets")
             content.header = value
         else:
@@ -516,11 +533,11 @@
             return
         channel.content = None
         if channel.state == "open":
-            self._message(number, channel, content, content.header, events)
+            self._on_message(channel_id, channel, content, content.header, events)
 
-    def _message(
+    def _on_message(
         self,
-        number: int,
+        channel_id: int,
         channel: _Channel,
         content: _Content,
         header: ContentHeader,
@@ -530,7 +547,7 @@
         if isinstance(method, Basic.Return):
             events.append(
                 Returned(
-                    number,
+                    channel_id,
                     method.reply_code or 0,
                     str(method.reply_text),
                     str(method.routing_key),
@@ -545,7 +562,7 @@
         channel.unsettled[tag] = None
         events.append(
             Delivery(
-                number,
+                channel_id,
                 str(method.consumer_tag),
                 tag,
                 bool(method.redelivered),
--- a/ryegauge/amqp/frames.py
+++ b/ryegauge/amqp/frames.py
@@ -13,12 +13,12 @@
 from pamqp.header import ContentHeader
 from pamqp.heartbeat import Heartbeat
 
-HEADER = struct.Struct(">BHI")
-END = 0xCE
-METHOD, CONTENT, BODY, HEARTBEAT = 1, 2, 3, 8
+FRAME_PREFIX = struct.Struct(">BHI")
+FRAME_END = 0xCE
+FRAME_METHOD, FRAME_HEADER, FRAME_BODY, FRAME_HEARTBEAT = 1, 2, 3, 8
 # What a peer may send before the sizes are agreed on (frame-min-size).
-SMALLEST_MAX = 4096
-OVERHEAD = HEADER.size + 1
+MIN_FRAME_LIMIT_BYTES = 4096
+FRAME_OVERHEAD_BYTES = FRAME_PREFIX.size + 1
 
 
 class FrameError(Exception):
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self._data = bytearray()
-        self.frame_max = SMALLEST_MAX
+        self.frame_max = MIN_FRAME_LIMIT_BYTES
 
     def feed(self, data: bytes) -> list[Frame]:
         """All frames that are complete now; raises FrameError."""
@@ -58,34 +58,38 @@
         return frames
 
     def _next(self, start: int) -> tuple[int, Frame | None] | None:
-        left = len(self._data) - start
-        if left >= 4 and self._data[start : start + 4] == b"AMQP":
+        available = len(self._data) - start
+        if available >= 4 and self._data[start : start + 4] == b"AMQP":
             # A server that does not speak 0-9-1 answers with the version that it does.
             version = ".".join(str(n) for n in self._data[start + 5 : start + 8])
             raise FrameError(501, f"the broker speaks another version: {version}")
-        if left < HEADER.size:
+        if available < FRAME_PREFIX.size:
             return None
-        kind, channel, size = HEADER.unpack_from(self._data, start)
-        if kind not in (METHOD, CONTENT, BODY, HEARTBEAT):
-            raise FrameError(501, f"frame type {kind}")
-        if size + OVERHEAD > self.frame_max:
-            raise FrameError(501, f"a frame of {size + OVERHEAD} octets, {self.frame_max} agreed")
-        whole = size + OVERHEAD
-        if left < whole:
+        frame_type, channel, size = FRAME_PREFIX.unpack_from(self._data, start)
+        if frame_type not in (FRAME_METHOD, FRAME_HEADER, FRAME_BODY, FRAME_HEARTBEAT):
+            raise FrameError(501, f"frame type {frame_type}")
+        if size + FRAME_OVERHEAD_BYTES > self.frame_max:
+            raise FrameError(
+                501, f"a frame of {size + FRAME_OVERHEAD_BYTES} octets, {self.frame_max} agreed"
+            )
+        frame_bytes = size + FRAME_OVERHEAD_BYTES
+        if available < frame_bytes:
             return None
-        if self._data[start + whole - 1] != END:
+        if self._data[start + frame_bytes - 1] != FRAME_END:
             raise FrameError(501, "a frame without its end octet")
-        if kind == HEARTBEAT:
+        if frame_type == FRAME_HEARTBEAT:
             if channel or size:
                 raise FrameError(501, "a heartbeat with channel or payload")
-            return whole, Frame(0, Heartbeat())
-        if kind == BODY and not size:
-            return whole, None  # allowed, and says nothing
-        raw = bytes(self._data[start : start + whole])
+            return frame_bytes, Frame(0, Heartbeat())
+        if frame_type == FRAME_BODY and not size:
+            return frame_bytes, None  # allowed, and says nothing
+        frame_data = bytes(self._data[start : start + frame_bytes])
         try:
-            consumed, number, value = codec.unmarshal(raw)
+            consumed, number, value = codec.unmarshal(frame_data)
         except Exception as error:  # pamqp lets many kinds through on hostile input
             raise FrameError(502, f"a frame that cannot be read: {error}"[:200]) from None
-        if consumed != whole or not isinstance(value, base.Frame | ContentHeader | ContentBody):
+        if consumed != frame_bytes or not isinstance(
+            value, base.Frame | ContentHeader | ContentBody
+        ):
             raise FrameError(502, "a frame that is longer than what it holds")
-        return whole, Frame(number, value)
+        return frame_bytes, Frame(number, value)
--- a/ryegauge/queues/__init__.py
+++ b/ryegauge/queues/__init__.py
@@ -1,1 +1,4 @@
-"""Work queues: messages of a broker become jobs. Loaded only where a broker is named."""
+"""AMQP work queues: turns the messages of a broker into jobs and publishes their outcomes.
+
+Loaded only where a broker is configured.
+"""
--- a/ryegauge/queues/admission.py
+++ b/ryegauge/queues/admission.py
@@ -1,10 +1,11 @@
 # kind: decisions
-"""Whose message is recorded next, and how many are taken from a broker at once.
+"""Admission control of queue messages: which binding's message is recorded next, and how many
+messages are prefetched from a broker.
 
-Bindings share what a controller may record for queues by their weights (start-time fair
-queueing, one message as the unit); users who submit directly go before all of them. What can't
-be recorded now stays with its broker: the prefetch falls with refusals and rises again with
-what is recorded. No I/O and no clock but in `Gate`, which waits.
+Bindings share a controller's recording capacity by their weights (start-time fair queueing, one
+message as the unit of service). Direct submissions by users take precedence over all of them.
+Messages that cannot be recorded now stay with their broker: the prefetch shrinks on refusals and
+grows again with recorded messages. No I/O and no clock except in `AdmissionGate`, which waits.
 """
 
 import heapq
@@ -14,144 +15,161 @@
 import trio
 
 
-class FairTurns:
-    """The order in which waiting messages of several bindings have their turns: each takes
-    one over its weight of the service, and a binding that was idle saves nothing up."""
+class FairQueue:
+    """Start-time fair queue over the waiting messages of several bindings.
+
+    Each message costs its binding 1/weight of virtual time. A binding that was idle accumulates
+    no credit.
+    """
 
     def __init__(self, weights: Mapping[str, float]) -> None:
         self._weights = weights
-        self._now = 0.0  # virtual time: the start tag of the last turn
-        self._finish = dict.fromkeys(weights, 0.0)
+        self._virtual_time = 0.0  # start tag of the message that was dequeued last
+        self._finish_tags = dict.fromkeys(weights, 0.0)
         self._waiting: list[tuple[float, int]] = []
-        self._arrived = 0
-
-    def arrive(self, binding: str) -> int:
-        """A message waits from now on; its number."""
-        start = max(self._now, self._finish[binding])
-        self._finish[binding] = start + 1.0 / self._weights[binding]
-        self._arrived += 1
-        heapq.heappush(self._waiting, (start, self._arrived))
-        return self._arrived
-
-    def next(self) -> int | None:
-        """The message whose turn it is."""
+        self._last_number = 0
+
+    def enqueue(self, binding: str) -> int:
+        """Adds a message of the binding; returns the number that `dequeue` will return for it."""
+        start = max(self._virtual_time, self._finish_tags[binding])
+        self._finish_tags[binding] = start + 1.0 / self._weights[binding]
+        self._last_number += 1
+        heapq.heappush(self._waiting, (start, self._last_number))
+        return self._last_number
+
+    def dequeue(self) -> int | None:
+        """Removes the message to be served next; returns its number, or None if none waits."""
         if not self._waiting:
             return None
-        self._now, number = heapq.heappop(self._waiting)
+        self._virtual_time, number = heapq.heappop(self._waiting)
         return number
 
     def __len__(self) -> int:
         return len(self._waiting)
 
 
-class Gate:
-    """Lets messages through one after the other, at most `at_once` at a time. `open_` says
-    whether a binding may have any just now, `next_may` whether the next one may go, whosever
-    it is: asked before the turns, it would give them to whoever asks first."""
+class AdmissionGate:
+    """Admits messages in the order of a `FairQueue`, at most `max_concurrent` at a time.
+
+    `may_enqueue` tells whether messages of a binding may wait for admission at present;
+    `may_admit` tells whether the next message may be admitted, whichever binding it belongs to.
+    `may_admit` is evaluated when a message is dequeued: evaluated earlier, it would admit
+    messages in the order in which they ask, and not by weight. Both are polled every `pause_s`
+    seconds.
+    """
 
     def __init__(
         self,
         weights: Mapping[str, float],
-        at_once: int,
-        open_: Callable[[str], bool],
-        next_may: Callable[[], bool],
+        max_concurrent: int,
+        may_enqueue: Callable[[str], bool],
+        may_admit: Callable[[], bool],
         pause_s: float,
     ) -> None:
-        self._turns = FairTurns(weights)
-        self._free = at_once
-        self._open = open_
-        self._next_may = next_may
+        self._queue = FairQueue(weights)
+        self._free_slots = max_concurrent
+        self._may_enqueue = may_enqueue
+        self._may_admit = may_admit
         self._pause_s = pause_s
-        self._called: dict[int, trio.Event] = {}
+        self._admissions: dict[int, trio.Event] = {}
 
     @asynccontextmanager
-    async def turn(self, binding: str) -> AsyncIterator[None]:
-        # One that may not go now (its team has enough open) does not wait in line: it would
-        # keep the others waiting, or lose its place to them again and again.
-        while not self._open(binding):
+    async def admission(self, binding: str) -> AsyncIterator[None]:
+        """Waits until a message of the binding is admitted; the body holds one of the slots."""
+        # A binding that may not enqueue (its team has enough open jobs) waits outside the queue:
+        # inside it would block the others, or lose its position to them again and again.
+        while not self._may_enqueue(binding):
             await trio.sleep(self._pause_s)
-        number = self._turns.arrive(binding)
-        called = self._called[number] = trio.Event()
-        self._call()
+        number = self._queue.enqueue(binding)
+        admitted = self._admissions[number] = trio.Event()
+        self._admit_waiting()
         try:
-            while not called.is_set():
+            while not admitted.is_set():
                 with trio.move_on_after(self._pause_s):
-                    await called.wait()
-                self._call()
+                    await admitted.wait()
+                self._admit_waiting()
         except BaseException:
-            # Called or not, its place goes to the next.
-            if self._called.pop(number, None) is None:
-                self._free += 1
-                self._call()
+            # A cancelled message that was admitted already frees its slot for the next one.
+            if self._admissions.pop(number, None) is None:
+                self._free_slots += 1
+                self._admit_waiting()
             raise
         try:
             yield
         finally:
-            self._free += 1
-            self._call()
+            self._free_slots += 1
+            self._admit_waiting()
 
-    def _call(self) -> None:
-        while self._free > 0 and len(self._turns):
-            if not self._called:
-                self._turns.next()  # of those that gave up
+    def _admit_waiting(self) -> None:
+        while self._free_slots > 0 and len(self._queue):
+            if not self._admissions:
+                self._queue.dequeue()  # entries of cancelled messages
                 continue
-            if not self._next_may():
+            if not self._may_admit():
                 return
-            while (number := self._turns.next()) is not None:
-                if (called := self._called.pop(number, None)) is not None:
-                    self._free -= 1
-                    called.set()
+            while (number := self._queue.dequeue()) is not None:
+                if (admitted := self._admissions.pop(number, None)) is not None:
+                    self._free_slots -= 1
+                    admitted.set()
                     break
 
 
-class Window:
-    """How many messages of a binding are asked for at once: halved when one is refused for
-    now, one more for each full window that was recorded, within 1 and the configured most."""
+class PrefetchWindow:
+    """Number of messages of a binding to prefetch, between 1 and `max_size`.
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self.size = most
+    Halved when a message is refused temporarily; grows by one for each full window of recorded
+    messages.
+    """
+
+    def __init__(self, max_size: int) -> None:
+        self._max_size = max_size
+        self.size = max_size
         self._recorded = 0
 
-    def refused(self) -> None:
+    def on_refused(self) -> None:
+        """A message could not be recorded for now."""
         self.size = max(1, self.size // 2)
         self._recorded = 0
 
-    def recorded(self) -> None:
+    def on_recorded(self) -> None:
+        """A message was recorded."""
         self._recorded += 1
         if self._recorded >= self.size:
             self._recorded = 0
-            self.size = min(self._most, self.size + 1)
+            self.size = min(self._max_size, self.size + 1)
+
 
+class AdaptiveRateLimiter:
+    """Token bucket that limits the messages recorded per second.
 
-class Pace:
-    """How fast messages are recorded: halved when the state service refuses a write for its
-    rate, raised slowly while it does not. Only queues slow down for that: users who submit
-    directly find the room that they leave. (Without it the worst direct submission beside a
-    flood took 1.5 s instead of 13 ms, since all that could be written was written.)"""
+    The rate is halved when the state service rejects a write for its rate limit, and rises slowly
+    while it does not. Only queues slow down, which leaves write capacity to direct submissions:
+    without this limiter, the slowest direct submission during a flood of messages took 1.5 s
+    instead of 13 ms, because queues used up the whole write rate.
+    """
 
-    def __init__(self, most: float, now: float) -> None:
-        self._most = most  # messages a second
-        self._rate = most
-        self._least = most / 64
-        self._level = 1.0
-        self._at = now
+    def __init__(self, max_rate: float, now: float) -> None:
+        self._max_rate = max_rate  # messages per second
+        self._rate = max_rate
+        self._min_rate = max_rate / 64
+        self._tokens = 1.0
+        self._refilled_at = now
         self._refused = 0
         self._halved_at = now
 
-    def take(self, refused: int, now: float) -> bool:
-        """Whether one more may go now; `refused` counts all refusals so far."""
-        passed, self._at = now - self._at, now
+    def try_acquire(self, refused: int, now: float) -> bool:
+        """Takes a token if there is one; `refused` is the total of rejected writes so far."""
+        elapsed_s, self._refilled_at = now - self._refilled_at, now
         if refused > self._refused:
-            # Those of one burst are one sign.
+            # Rejections within a second belong to one burst and halve the rate once.
             if now - self._halved_at >= 1.0:
-                self._rate = max(self._least, self._rate / 2)
+                self._rate = max(self._min_rate, self._rate / 2)
                 self._halved_at = now
         else:
-            self._rate = min(self._most, self._rate + passed * self._most / 64)
+            self._rate = min(self._max_rate, self._rate + elapsed_s * self._max_rate / 64)
         self._refused = refused
-        self._level = min(1.0, self._level + passed * self._rate)
-        if self._level < 1.0:
+        self._tokens = min(1.0, self._tokens + elapsed_s * self._rate)
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -1,8 +1,8 @@
-"""Answers that are owed for messages whose jobs are over. Whoever leads gives them.
+"""Publishes the replies to messages whose jobs have ended. Runs on the leader only.
 
-A debt is a record beside its job (`r/q/JOB`); it goes once the broker has confirmed the answer,
-or by a stated rule: a debt whose binding is no longer configured, or whose answers no queue
-takes, is dropped when it is `keep_answers_s` old. The job and its outcome are kept for good.
+A pending reply is a record next to its job (`r/q/JOB`). It is deleted once the broker has
+confirmed the reply. A pending reply whose binding is no longer configured, or whose reply is
+unroutable, is dropped when it is `keep_answers_s` old. The job and its outcome are kept for good.
 """
 
 import logging
@@ -18,33 +18,39 @@
 from ryegauge.coordination.membership import LEADER_KEY
 from ryegauge.coordination.node_context import RETRYABLE_ERRORS, NodeContext
 from ryegauge.queues.meter import Meter
-from ryegauge.queues.serving import Serving
+from ryegauge.queues.serving import BindingChannel
 
 log = logging.getLogger(__name__)
 
-PERSISTENT = 2  # delivery mode
-# A debt that could not be paid is tried again after a report, then twice that, and so on up
-# to so many reports.
-MOST_REPORTS = 32.0
+PERSISTENT = 2  # AMQP delivery mode
+# A reply that could not be delivered is retried after one report interval, and then after pauses
+# that double up to this many report intervals.
+MAX_PAUSE_REPORTS = 32.0
 
 
 class Answers:
+    """Publishes pending replies while this controller leads.
+
+    `channels` and `meters` are by binding name; `max_age_s` is `keep_answers_s` of the settings.
+    """
+
     def __init__(
         self,
         context: NodeContext,
-        serving: Mapping[str, Serving],
+        channel: Mapping[str, BindingChannel],
         meters: Mapping[str, Meter],
-        keep_s: float,
+        max_age_s: float,
     ) -> None:
         self._context = context
-        self._serving = serving
+        self._channels = channel
         self._meters = meters
-        self._keep_s = keep_s
-        self._under_way: set[str] = set()
-        self._paid: set[str] = set()  # confirmed, and the debt still to be deleted
-        self._later: dict[str, tuple[float, float]] = {}  # job -> (not before, pause)
+        self._max_age_s = max_age_s
+        self._in_progress: set[str] = set()
+        self._confirmed: set[str] = set()  # confirmed by the broker, record not yet deleted
+        self._backoff: dict[str, tuple[float, float]] = {}  # uid -> (retry not before, pause in s)
 
     async def run(self) -> None:
+        """Looks for replies that are due, four times per report interval, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self._context.report_s / 4)
@@ -53,86 +59,103 @@
                     continue
                 now = trio.current_time()
                 pending_replies = self._context.replica.pending_replies
-                self._paid &= pending_replies.keys()
-                self._later = {u: later for u, later in self._later.items() if u in pending_replies}
-                for uid, (debt, _) in list(pending_replies.items()):
-                    if uid in self._under_way or self._later.get(uid, (0.0, 0.0))[0] > now:
+                self._confirmed &= pending_replies.keys()
+                self._backoff = {
+                    u: backoff for u, backoff in self._backoff.items() if u in pending_replies
+                }
+                for uid, (pending_reply, _) in list(pending_replies.items()):
+                    if uid in self._in_progress or self._backoff.get(uid, (0.0, 0.0))[0] > now:
                         continue
-                    serving = self._serving.get(debt["b"])
-                    if debt["b"] in self._meters and (serving is None or not serving.ready):
-                        continue  # its broker is away
-                    self._under_way.add(uid)
-                    nursery.start_soon(self._pay, leader, serving, uid)
+                    channel = self._channels.get(pending_reply["b"])
+                    if pending_reply["b"] in self._meters and (
+                        channel is None or not channel.ready
+                    ):
+                        continue  # its broker is not connected
+                    self._in_progress.add(uid)
+                    nursery.start_soon(self._settle, leader, channel, uid)
 
-    async def _pay(self, leader: Leader, serving: Serving | None, uid: str) -> None:
+    async def _settle(self, leader: Leader, channel: BindingChannel | None, uid: str) -> None:
         try:
-            if (final := await self._final(uid)) is None:
+            if (final_status := await self._final(uid)) is None:
                 return
             entry = self._context.replica.pending_replies.get(uid)
             if entry is None:
                 return
-            debt, version = entry
-            status, done = final
-            paid: bool | None = uid in self._paid
-            if serving is None and not paid:
-                paid = None
-            elif serving is not None and not paid:
-                paid = await self._tell(serving, uid, debt, status, done)
-            if paid is None:
-                if not self._is_old(debt):
-                    self._put_off(uid)
+            pending_reply, version = entry
+            status, done = final_status
+            confirmed: bool | None = uid in self._confirmed
+            if channel is None and not confirmed:
+                confirmed = None
+            elif channel is not None and not confirmed:
+                confirmed = await self._publish(channel, uid, pending_reply, status, done)
+            if confirmed is None:
+                if not self._is_expired(pending_reply):
+                    self._back_off(uid)
                     return
-                log.warning("%s: its answer to %r is given up: nobody takes it", uid, debt["r"])
-            if paid is False:
+                log.warning(
+                    "%s: dropping the reply to %r: undeliverable and expired",
+                    uid,
+                    pending_reply["r"],
+                )
+            if confirmed is False:
                 return
-            if paid:
-                # While the state service is away it is not told again and again.
-                self._paid.add(uid)
+            if confirmed:
+                # Not published again if the record cannot be deleted: the state service may be
+                # unavailable.
+                self._confirmed.add(uid)
             guards = {LEADER_KEY: leader.token, pending_reply_key(uid): version}
             await self._context.state.commit(
                 guards, [Delete(pending_reply_key(uid))], timeout_s=1.0
             )
-            if serving is not None:
-                serving.meter.answers[status if paid else "undeliverable"] += 1
+            if channel is not None:
+                channel.meter.answers[status if confirmed else "undeliverable"] += 1
             await self._context.syncer.wait_for_read()
         except RETRYABLE_ERRORS as error:
-            log.debug("%s: answering again later: %s", uid, error)
+            log.debug("%s: will retry the reply: %s", uid, error)
         finally:
-            self._under_way.discard(uid)
+            self._in_progress.discard(uid)
 
-    async def _tell(
-        self, serving: Serving, uid: str, debt: dict[str, str], status: str, done: int
+    async def _publish(
+        self,
+        channel: BindingChannel,
+        uid: str,
+        pending_reply: dict[str, str],
+        status: str,
+        done: int,
     ) -> bool | None:
+        """The result of `BindingChannel.publish`."""
         body = msgspec.json.encode({"uid": uid, "status": status, "done": done})
         properties = Basic.Properties(
             content_type="application/json",
             delivery_mode=PERSISTENT,
             message_id=f"{uid}/{status}",
-            headers={"x-ryegauge-message": debt["m"]},
-            correlation_id=debt.get("c") or debt["m"].removeprefix("id:"),
+            headers={"x-ryegauge-message": pending_reply["m"]},
+            correlation_id=pending_reply.get("c") or pending_reply["m"].removeprefix("id:"),
+        )
+        return await channel.publish(
+            channel.binding.reply_exchange, pending_reply["r"], body, properties
         )
-        return await serving.publish(serving.binding.reply_exchange, debt["r"], body, properties)
 
-    def _is_old(self, debt: dict[str, object]) -> bool:
-        """Debts of versions before carry no date; they count from when they are first seen to
-        be unpayable."""
-        at = debt.get("t")
+    def _is_expired(self, pending_reply: dict[str, object]) -> bool:
+        """Records written by earlier versions have no timestamp: their age counts from when
+        they are first found to be undeliverable."""
+        at = pending_reply.get("t")
         if not isinstance(at, int | float):
-            at = debt["t"] = self._context.wall()
-        return self._context.wall() - float(at) > self._keep_s
+            at = pending_reply["t"] = self._context.wall()
+        return self._context.wall() - float(at) > self._max_age_s
 
-    def _put_off(self, uid: str) -> None:
-        _, pause_s = self._later.get(uid, (0.0, 0.0))
+    def _back_off(self, uid: str) -> None:
+        _, pause_s = self._backoff.get(uid, (0.0, 0.0))
         report_s = self._context.report_s
-        pause_s = min(max(report_s, 2 * pause_s), MOST_REPORTS * report_s)
-        self._later[uid] = (trio.current_time() + pause_s, pause_s)
+        pause_s = min(max(report_s, 2 * pause_s), MAX_PAUSE_REPORTS * report_s)
+        self._backoff[uid] = (trio.current_time() + pause_s, pause_s)
 
     async def _final(self, uid: str) -> tuple[str, int] | None:
-        """How the job has ended, durably; None while it has not."""
+        """(status, number of done tasks) once the end of the job is durable; None before."""
         replica = self._context.replica
         if (job := replica.jobs.get(uid)) is not None:
             return (job.status, job.done_count) if job.is_terminal else None
-        if (restored_outcomes := replica.restored_outcomes.get(uid)) is not None:
-            return restored_outcomes  # put back after a loss: it has no record of its own
+        if (outcome := replica.restored_outcomes.get(uid)) is not None:
+            return outcome  # restored after a data loss, without a record of its own
         found = await self._context.state.get(archive_key(uid), timeout_s=1.0)
         return None if found is None else (found[0]["st"], found[0]["d"])
--- a/ryegauge/queues/exporter.py
+++ b/ryegauge/queues/exporter.py
@@ -1,5 +1,7 @@
-"""Shows what the queues' front counts to a Prometheus server: its text format, on a port of its
-own. An extra; a controller without `metrics.listen` loads none of it."""
+"""Prometheus exporter for the queue metrics: text format on a port of its own.
+
+An optional dependency; not loaded without `metrics.listen`.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping
 
@@ -12,15 +14,19 @@
 
 
 class QueueCollector(Collector):
+    """Exposes the meters, by binding name, as `ryegauge_queue_*` metrics."""
+
     def __init__(self, meters: Mapping[str, Meter]) -> None:
         self._meters = meters
 
     def collect(self) -> Iterator[Metric]:
+        """All metric families with their present values."""
+
         def counter(
-            name: str, text: str, label: str, of: Iterable[tuple[str, str, float]]
+            name: str, text: str, label: str, samples: Iterable[tuple[str, str, float]]
         ) -> CounterMetricFamily:
             family = CounterMetricFamily(name, text, labels=["binding", label])
-            for binding, value, count in of:
+            for binding, value, count in samples:
                 family.add_metric([binding, value], count)
             return family
 
@@ -61,7 +67,7 @@
 
 
 async def serve(network: Network, address: str, meters: Mapping[str, Meter]) -> None:
-    """`GET /metrics`, until cancelled."""
+    """Serves `GET /metrics` on the address until cancelled."""
     registry = CollectorRegistry()
     registry.register(QueueCollector(meters))
 
--- a/ryegauge/queues/lifecycle.py
+++ b/ryegauge/queues/lifecycle.py
@@ -1,16 +1,18 @@
 # kind: decisions
-"""The life of a message, as tables that the model check explores. The front goes through
-`TAKE` step by step; its `_answer` is written out in the order of `SETTLE`.
-
-Durable things: the message with its broker, the job and the *debt* (an answer is owed) with
-the state service, answers with the broker. A controller that ends forgets where it was and
-another begins anew; every step may have been carried out although its own end was not seen.
-Hence each step may be repeated after any other without harm, and the order is all there is:
-
-- `record` writes job and debt in one transaction, if the job does not exist; else nothing.
-- `ack` lets the broker forget the message.
-- `answer` publishes the final state, `confirm` is the broker's word that it has it, `forget`
-  deletes the debt. Who reads answers may drop those with an id that it has seen.
+"""The processing steps of a message, as tables that a model check explores exhaustively.
+
+`front` executes `CONSUME_STEPS` step by step. `answers` does not read `REPLY_STEPS`: its
+code is written out in that order.
+
+Durable state: the message at its broker, the job and its pending reply at the state service, and
+replies at the broker. A controller that crashes forgets its progress and another one starts over;
+a step may have taken effect without its result having been seen. Each step is therefore harmless
+when repeated after any other one, and correctness depends on their order alone:
+
+- `record` writes job and pending reply in one transaction if the job does not exist, else nothing.
+- `ack` lets the broker delete the message.
+- `answer` publishes the final status, `confirm` waits for the broker's confirm, `forget` deletes
+  the pending reply. Readers of replies may discard those with a message id that they have seen.
 """
 
 from collections.abc import Mapping
@@ -20,15 +22,15 @@
 
 Step = Literal["record", "ack", "answer", "confirm", "forget"]
 
-# What a consumer does with a message, in this order.
-TAKE: Mapping[Delivery, tuple[Step, ...]] = {
-    # A crash before `ack` brings the message back: it meets its job.
+# Steps of a consumer for one message, by delivery guarantee.
+CONSUME_STEPS: Mapping[Delivery, tuple[Step, ...]] = {
+    # After a crash before `ack` the message is redelivered and finds its job.
     "once": ("record", "ack"),
     "at_least_once": ("record", "ack"),
-    # A crash before `record` loses the message, and it never runs twice, even if the state
-    # service were to forget the job.
+    # A crash before `record` loses the message. It never runs twice, even if the state service
+    # loses the record of the job.
     "at_most_once": ("ack", "record"),
 }
 
-# What whoever leads does with a debt whose job is over.
-SETTLE: tuple[Step, ...] = ("answer", "confirm", "forget")
+# Steps of the leader for a pending reply whose job has ended.
+REPLY_STEPS: tuple[Step, ...] = ("answer", "confirm", "forget")
--- a/ryegauge/queues/meter.py
+++ b/ryegauge/queues/meter.py
@@ -1,21 +1,22 @@
-"""What the queues' front counts, for each binding: plain numbers, which `exporter` shows."""
+"""Counters and gauges of each queue binding; `exporter` exposes them as Prometheus metrics."""
 
 from collections import Counter
 from typing import Literal
 
-# recorded: a job was made; known: it was there already; refused: it can never run.
+# What became of a message. recorded: its job was created; known: its job existed already;
+# refused: it can never run; cancelled: it cancelled a job; requeued: it was returned to the queue.
 Fate = Literal["recorded", "known", "refused", "cancelled", "requeued"]
 
 
 class Meter:
-    """Of one binding."""
+    """The metrics of one binding in one controller since its start."""
 
     def __init__(self) -> None:
         self.fates: Counter[Fate] = Counter()
-        self.answers: Counter[str] = Counter()  # by the job's outcome, or "undeliverable"
-        self.retries = 0  # attempts to record that were refused for now
-        self.record_s = 0.0  # from delivery to being settled, summed over messages
-        self.settled = 0
-        self.in_hand = 0  # taken and not settled
-        self.window = 0  # asked for at once; 0 while another controller takes them
-        self.connections = 0
+        self.answers: Counter[str] = Counter()  # replies by job status, or "undeliverable"
+        self.retries = 0  # attempts to record that were refused temporarily
+        self.record_s = 0.0  # seconds from delivery until processed, summed over messages
+        self.settled = 0  # messages processed, whatever their fate
+        self.in_hand = 0  # delivered and not yet acknowledged or rejected
+        self.window = 0  # prefetch count; 0 while another controller consumes
+        self.connections = 0  # connections that became ready
--- a/ryegauge/queues/serving.py
+++ b/ryegauge/queues/serving.py
@@ -1,5 +1,7 @@
-"""One binding over one connection to a broker: taking messages, settling them, publishing.
-Whatever is under way ends with the connection."""
+"""One binding on one connection to a broker: consuming, settling and publishing messages.
+
+All work in progress ends with the connection.
+"""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -14,50 +16,53 @@
     Closed,
     Confirmed,
     ConsumerCancelled,
-    Counted,
     Delivery,
     Done,
     Event,
-    Misuse,
+    InvalidStateError,
     Opened,
+    QueueCounts,
     Returned,
 )
-from ryegauge.queues.admission import Window
+from ryegauge.queues.admission import PrefetchWindow
 from ryegauge.queues.bindings import Binding
-from ryegauge.queues.consuming import Consuming
+from ryegauge.queues.consuming import ConsumerElection
 from ryegauge.queues.meter import Meter
 
 log = logging.getLogger(__name__)
 
 
-class Serving:
+class BindingChannel:
+    """The AMQP channel of a binding. `handle_delivery` runs in `nursery`, once per delivery."""
+
     def __init__(
         self,
         binding: Binding,
         session: Session,
         nursery: trio.Nursery,
-        take: Callable[["Serving", Delivery], Awaitable[None]],
-        consuming: Consuming,
+        handle_delivery: Callable[["BindingChannel", Delivery], Awaitable[None]],
+        election: ConsumerElection,
         meter: Meter,
     ) -> None:
         self.binding = binding
         self.meter = meter
-        self.window = Window(binding.prefetch)
-        self.ready = False  # answers can be published
+        self.window = PrefetchWindow(binding.prefetch)
+        self.ready = False  # can subscribe and publish
         self._session = session
         self._nursery = nursery
-        self._take = take
-        self._consuming = consuming
+        self._handle_delivery = handle_delivery
+        self._election = election
         self._channel = 0
-        self._taking = False  # subscribed, or about to be
-        self._leaving = False  # the subscription's end is under way
-        self._asked = 0  # the prefetch of the subscription
-        self._subscribed = 0  # how often on this connection
-        self._confirms: dict[int, tuple[trio.Event, list[bool]]] = {}
-        self._returned: set[str] = set()  # ids of messages that no queue took
+        self._subscribed = False  # subscribed, or about to be
+        self._cancelling = False  # a subscription is cancelled, the broker's answer is pending
+        self._prefetch = 0  # of the present subscription
+        self._subscription_count = 0  # on this connection
+        self._pending_confirms: dict[int, tuple[trio.Event, list[bool]]] = {}
+        self._returned_ids: set[str] = set()  # ids of unroutable messages
         self._in_hand: dict[int, Delivery] = {}
 
-    def told(self, event: Event) -> None:
+    def on_event(self, event: Event) -> None:
+        """Handles an event of the connection."""
         protocol = self._session.protocol
         name = self.binding.name
         match event:
@@ -69,106 +74,108 @@
                 self.ready = True
                 self.meter.connections += 1
             case Done(method="Basic.Cancel"):
-                self._leaving = False
-                if self._taking:
+                self._cancelling = False
+                if self._subscribed:
                     self._subscribe()
-            case Counted(messages=messages, consumers=consumers):
-                self._consuming.counted(messages, consumers, self._taking, trio.current_time())
+            case QueueCounts(messages=messages, consumers=consumers):
+                self._election.on_counts(messages, consumers, self._subscribed, trio.current_time())
             case Delivery():
                 self._in_hand[event.tag] = event
                 self.meter.in_hand += 1
-                self._nursery.start_soon(self._take, self, event)
+                self._nursery.start_soon(self._handle_delivery, self, event)
             case Confirmed(tags=tags, good=good):
                 for tag in tags:
-                    if (waiting := self._confirms.pop(tag, None)) is not None:
-                        waiting[1].append(good)
-                        waiting[0].set()
+                    if (pending := self._pending_confirms.pop(tag, None)) is not None:
+                        pending[1].append(good)
+                        pending[0].set()
             case Returned(code=code, text=text, routing_key=key, properties=properties):
-                # Its confirm follows, which only says that the broker has dealt with it.
-                self._returned.add(str(properties.message_id))
-                log.warning("%s: nobody takes what goes to %r: %d %s", name, key, code, text)
+                # A confirm follows, which only means that the broker has processed the message.
+                self._returned_ids.add(str(properties.message_id))
+                log.warning("%s: message to %r is unroutable: %d %s", name, key, code, text)
             case ChannelClosed(code=code, text=text):
                 log.warning("%s: the broker closed the channel: %d %s", name, code, text)
-                self._give_up()
+                self._abandon()
             case ConsumerCancelled():
-                log.warning("%s: the broker no longer serves %s", name, self.binding.queue)
-                self._give_up()
+                log.warning("%s: the broker cancelled the consumer of %s", name, self.binding.queue)
+                self._abandon()
             case Closed():
                 self.ready = False
                 self.meter.window = 0
                 for tag in list(self._in_hand):
-                    self._done(tag)
-                for done, _ in self._confirms.values():
+                    self._remove_delivery(tag)
+                for done, _ in self._pending_confirms.values():
                     done.set()
 
-    def _give_up(self) -> None:
-        """The channel is of no use any more; a new connection begins anew."""
+    def _abandon(self) -> None:
+        """Closes the connection, since the channel is unusable; a new connection replaces it."""
         self.ready = False
         self._session.protocol.close()
 
-    # -- taking ----------------------------------------------------------------------------
+    # -- consuming -------------------------------------------------------------------------
 
-    def follow(self, takes: bool) -> None:
-        """Subscribes or stops, as is wanted now, and asks for as much as the window says. A
-        new prefetch counts for new consumers only, so for larger steps we subscribe anew."""
-        if not self.ready or self._leaving:
+    def update_subscription(self, consume_now: bool) -> None:
+        """Subscribes or unsubscribes, and follows the prefetch window. A new prefetch count
+        applies to new consumers only, so larger changes of the window need a new subscription."""
+        if not self.ready or self._cancelling:
             return
         size = self.window.size
-        grown = size >= 2 * self._asked or size == self.binding.prefetch
-        resize = self._taking and size != self._asked and (grown or 2 * size <= self._asked)
+        grown = size >= 2 * self._prefetch or size == self.binding.prefetch
+        resize = (
+            self._subscribed and size != self._prefetch and (grown or 2 * size <= self._prefetch)
+        )
         try:
-            if takes and not self._taking:
-                self._taking = True
-                log.info("%s: taking from %s", self.binding.name, self.binding.queue)
+            if consume_now and not self._subscribed:
+                self._subscribed = True
+                log.info("%s: consuming from %s", self.binding.name, self.binding.queue)
                 self._subscribe()
-            elif self._taking and (resize or not takes):
-                if not takes:
-                    self._taking = False
+            elif self._subscribed and (resize or not consume_now):
+                if not consume_now:
+                    self._subscribed = False
                     self.meter.window = 0
-                    log.info("%s: another takes from %s", self.binding.name, self.binding.queue)
-                self._leaving = True
-                self._session.protocol.cancel(self._channel, self._consumer)
-        except Misuse:
+                    log.info("%s: stopped consuming from %s", self.binding.name, self.binding.queue)
+                self._cancelling = True
+                self._session.protocol.cancel(self._channel, self._consumer_tag)
+        except InvalidStateError:
             return
         self._session.flush()
 
-    def count(self) -> None:
-        """Asks the broker for messages and consumers of the queue."""
+    def request_counts(self) -> None:
+        """Asks the broker how many messages and consumers the queue has."""
         if self.ready:
             try:
                 self._session.protocol.declare(self._channel, self.binding.queue, passive=True)
-            except Misuse:
+            except InvalidStateError:
                 return
             self._session.flush()
 
     def _subscribe(self) -> None:
-        self._asked = self.meter.window = self.window.size
-        self._subscribed += 1
+        self._prefetch = self.meter.window = self.window.size
+        self._subscription_count += 1
         protocol = self._session.protocol
-        protocol.prefetch(self._channel, self._asked)
-        protocol.consume(self._channel, self.binding.queue, self._consumer)
+        protocol.prefetch(self._channel, self._prefetch)
+        protocol.consume(self._channel, self.binding.queue, self._consumer_tag)
         self._session.flush()
 
     @property
-    def _consumer(self) -> str:
-        return f"ryegauge-{self.binding.name}-{self._subscribed}"
+    def _consumer_tag(self) -> str:
+        return f"ryegauge-{self.binding.name}-{self._subscription_count}"
 
-    def _done(self, tag: int) -> None:
+    def _remove_delivery(self, tag: int) -> None:
         if self._in_hand.pop(tag, None) is not None:
             self.meter.in_hand -= 1
 
     def settle(self, delivery: Delivery, *, reject: bool = False, requeue: bool = False) -> None:
-        """The broker may forget the message, or (`requeue`) give it to another. On a
-        connection that has ended it is too late: it comes again."""
+        """Acknowledges the message, rejects it, or requeues it for another consumer. No effect
+        after the connection has ended: the broker redelivers the message then."""
         if self._in_hand.get(delivery.tag) is not delivery:
             return
-        self._done(delivery.tag)
+        self._remove_delivery(delivery.tag)
         try:
             if reject or requeue:
                 self._session.protocol.reject(delivery.channel, delivery.tag, requeue=requeue)
             else:
                 self._session.protocol.ack(delivery.channel, delivery.tag)
-        except Misuse:
+        except InvalidStateError:
             return
         self._session.flush()
 
@@ -177,21 +184,24 @@
     async def publish(
         self, exchange: str, key: str, body: bytes, properties: Basic.Properties
     ) -> bool | None:
-        """Whether the broker has confirmed it; if not, it may have it all the same. None: it
-        has, and no queue takes what goes there."""
+        """Publishes a message and waits for its confirm.
+
+        Returns True if the broker confirmed it, None if it confirmed it but no queue accepts it,
+        False if there was no confirm: the broker may have the message nevertheless.
+        """
         if not self.ready:
             return False
         try:
             tag = self._session.protocol.publish(self._channel, exchange, key, body, properties)
-        except Misuse:
+        except InvalidStateError:
             return False
         name = str(properties.message_id)
-        self._returned.discard(name)
-        done, good = trio.Event(), list[bool]()
-        self._confirms[tag] = (done, good)
+        self._returned_ids.discard(name)
+        done, results = trio.Event(), list[bool]()
+        self._pending_confirms[tag] = (done, results)
         self._session.flush()
         await done.wait()
-        if name in self._returned:
-            self._returned.discard(name)
+        if name in self._returned_ids:
+            self._returned_ids.discard(name)
             return None
-        return good == [True]
+        return results == [True]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ryegauge.queues.admission import FairTurns, Gate, Pace, Window
-from ryegauge.queues.consuming import Consuming, consumers_in_turn
+from ryegauge.queues.admission import AdaptiveRateLimiter, AdmissionGate, FairQueue, PrefetchWindow
+from ryegauge.queues.consuming import ConsumerElection, rank_consumers
 
 NAMES = ["a", "b", "c"]
 weights_strategy = st.fixed_dictionaries(
@@ -23,14 +23,14 @@
 def test_bindings_that_always_wait_share_by_their_weights(
     weights: dict[str, float], busy: set[str]
 ) -> None:
-    turns = FairTurns(weights)
-    owner = {turns.arrive(name): name for name in sorted(busy) for _ in range(4)}
+    queue = FairQueue(weights)
+    owner = {queue.enqueue(name): name for name in sorted(busy) for _ in range(4)}
     served: Counter[str] = Counter()
     for _ in range(400):
-        number = turns.next()
+        number = queue.dequeue()
         assert number is not None
         served[owner[number]] += 1
-        owner[turns.arrive(owner[number])] = owner[number]
+        owner[queue.enqueue(owner[number])] = owner[number]
     whole = sum(weights[name] for name in busy)
     for name in busy:
         # Nobody is ahead of another by more than a message of each.
@@ -41,7 +41,7 @@
 def test_turns_are_those_of_the_plain_model(weights: dict[str, float], events: list[str]) -> None:
     """The model serves the binding whose next message has the earliest start: the later of
     when it came, in virtual time, and the finish of its binding's message before."""
-    turns = FairTurns(weights)
+    queue = FairQueue(weights)
     now, waiting = 0.0, {name: deque[tuple[float, int]]() for name in NAMES}
     finish = dict.fromkeys(NAMES, 0.0)
     count = 0
@@ -49,26 +49,26 @@
         if event == "serve":
             heads = [queue[0] for queue in waiting.values() if queue]
             if not heads:
-                assert turns.next() is None
+                assert queue.dequeue() is None
                 continue
             now, number = min(heads)
             next(q for q in waiting.values() if q and q[0] == (now, number)).popleft()
-            assert turns.next() == number
+            assert queue.dequeue() == number
         else:
             count += 1
             start = max(now, finish[event])
             finish[event] = start + 1.0 / weights[event]
             waiting[event].append((start, count))
-            assert turns.arrive(event) == count
+            assert queue.enqueue(event) == count
 
 
 def test_a_flood_of_one_binding_does_not_hold_up_another() -> None:
     async def scenario() -> dict[str, float]:
-        gate = Gate({"a": 1.0, "b": 1.0}, 1, lambda _: True, lambda: True, 0.1)
+        gate = AdmissionGate({"a": 1.0, "b": 1.0}, 1, lambda _: True, lambda: True, 0.1)
         ended: dict[str, float] = {}
 
         async def message(binding: str, name: str) -> None:
-            async with gate.turn(binding):
+            async with gate.admission(binding):
                 await trio.sleep(1.0)
             ended[name] = trio.current_time()
 
@@ -89,11 +89,11 @@
     """Before its turn, and in the middle of it."""
 
     async def scenario() -> float:
-        gate = Gate({"a": 1.0}, 1, lambda _: True, lambda: True, 0.1)
+        gate = AdmissionGate({"a": 1.0}, 1, lambda _: True, lambda: True, 0.1)
 
         async def message(give_up_s: float) -> None:
             with trio.move_on_after(give_up_s):
-                async with gate.turn("a"):
+                async with gate.admission("a"):
                     await trio.sleep(1.0)
 
         async with trio.open_nursery() as nursery:
@@ -109,7 +109,7 @@
 def test_a_binding_that_may_not_go_waits_aside() -> None:
     async def scenario() -> list[str]:
         open_at = {"a": 5.0, "b": 0.0}
-        gate = Gate(
+        gate = AdmissionGate(
             {"a": 9.0, "b": 1.0},
             1,
             lambda name: trio.current_time() >= open_at[name],
@@ -119,7 +119,7 @@
         order: list[str] = []
 
         async def message(binding: str) -> None:
-            async with gate.turn(binding):
+            async with gate.admission(binding):
                 order.append(binding)
                 await trio.sleep(1.0)
 
@@ -133,16 +133,16 @@
 
 
 def test_the_window_falls_at_once_and_rises_slowly() -> None:
-    window = Window(16)
+    window = PrefetchWindow(16)
     for size in (8, 4, 2, 1, 1):
-        window.refused()
+        window.on_refused()
         assert window.size == size
     recorded = 0
     while window.size < 16:
-        window.recorded()
+        window.on_recorded()
         recorded += 1
     assert recorded == sum(range(1, 16))
-    window.recorded()
+    window.on_recorded()
     assert window.size == 16
 
 
@@ -150,41 +150,41 @@
 def test_a_controller_that_goes_moves_only_its_own_bindings(live: set[str]) -> None:
     gone = min(live)
     for n in range(40):
-        before = consumers_in_turn(f"amqp://{n}", live)
-        after = consumers_in_turn(f"amqp://{n}", live - {gone})
+        before = rank_consumers(f"amqp://{n}", live)
+        after = rank_consumers(f"amqp://{n}", live - {gone})
         assert after == [name for name in before if name != gone]
 
 
 def test_another_stands_in_for_one_that_cannot_reach_the_broker() -> None:
     live = {"node-0", "node-1", "node-2"}
-    names = consumers_in_turn("amqp://b", live)
-    mine, theirs, last = (Consuming(name, "amqp://b", 7.0) for name in names)
-    assert mine.takes(live, 0.0)
-    theirs.counted(5, 1, False, 10.0)
-    assert not theirs.takes(live, 30.0)
+    names = rank_consumers("amqp://b", live)
+    mine, theirs, last = (ConsumerElection(name, "amqp://b", 7.0) for name in names)
+    assert mine.should_consume(live, 0.0)
+    theirs.on_counts(5, 1, False, 10.0)
+    assert not theirs.should_consume(live, 30.0)
     for each in (theirs, last):
-        each.counted(5, 0, False, 30.0)
-        each.counted(5, 0, False, 36.0)
-        assert not each.takes(live, 36.0)
-    assert theirs.takes(live, 37.0)
-    assert not last.takes(live, 43.0)  # unless the one before it does not either
-    last.counted(5, 1, False, 43.5)
-    assert not last.takes(live, 60.0)
-    theirs.counted(3, 1, True, 40.0)  # only ourselves
-    assert theirs.takes(live, 60.0)
-    theirs.counted(3, 2, True, 60.0)  # the wanted one is back
-    assert theirs.takes(live, 66.0)
-    assert not theirs.takes(live, 67.0)
-    theirs.counted(0, 0, False, 80.0)  # nothing to take
-    assert not theirs.takes(live, 99.0)
-    assert theirs.takes({names[1]}, 99.0)
+        each.on_counts(5, 0, False, 30.0)
+        each.on_counts(5, 0, False, 36.0)
+        assert not each.should_consume(live, 36.0)
+    assert theirs.should_consume(live, 37.0)
+    assert not last.should_consume(live, 43.0)  # unless the one before it does not either
+    last.on_counts(5, 1, False, 43.5)
+    assert not last.should_consume(live, 60.0)
+    theirs.on_counts(3, 1, True, 40.0)  # only ourselves
+    assert theirs.should_consume(live, 60.0)
+    theirs.on_counts(3, 2, True, 60.0)  # the wanted one is back
+    assert theirs.should_consume(live, 66.0)
+    assert not theirs.should_consume(live, 67.0)
+    theirs.on_counts(0, 0, False, 80.0)  # nothing to take
+    assert not theirs.should_consume(live, 99.0)
+    assert theirs.should_consume({names[1]}, 99.0)
 
 
 def test_queues_slow_down_at_the_first_refusal_and_speed_up_slowly() -> None:
-    pace = Pace(16.0, 0.0)
+    limiter = AdaptiveRateLimiter(16.0, 0.0)
 
     def in_a_second(now: float, refused: int) -> int:
-        return sum(pace.take(refused, now + n / 100) for n in range(100))
+        return sum(limiter.try_acquire(refused, now + n / 100) for n in range(100))
 
     assert in_a_second(0.0, 0) >= 14
     assert in_a_second(1.0, 1) in (7, 8, 9)
@@ -193,6 +193,6 @@
     assert all(later >= sooner - 1 for sooner, later in itertools.pairwise(speeds))
     assert speeds[-1] >= 14  # as fast as the steps of this test allow
     for n in range(200):
-        pace.take(10 + n, 100.0 + n)
+        limiter.try_acquire(10 + n, 100.0 + n)
     assert in_a_second(300.0, 209) >= 0
-    assert sum(pace.take(209, 301.0 + n) for n in range(8)) > 0  # never quite to nothing
+    assert sum(limiter.try_acquire(209, 301.0 + n) for n in range(8)) > 0  # never quite to nothing
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -14,7 +14,7 @@
 from pamqp.heartbeat import Heartbeat
 
 from ryegauge.amqp.connection import (
-    BODY_MAX,
+    MAX_MESSAGE_BYTES,
     ChannelClosed,
     ChannelOpened,
     Closed,
@@ -22,7 +22,7 @@
     Connection,
     Delivery,
     Event,
-    Misuse,
+    InvalidStateError,
     Opened,
     Returned,
 )
@@ -99,7 +99,7 @@
 def test_a_refused_login_is_told_as_one() -> None:
     connection = Connection("guest", "wrong")
     connection.receive(START, 0.0)
-    (closed,) = connection.ended()
+    (closed,) = connection.on_stream_end()
     assert isinstance(closed, Closed)
     assert closed.code == 403
     assert "wrong" not in closed.text
@@ -128,7 +128,7 @@
     connection.ack(number, 1)
     connection.reject(number, 2, requeue=False)
     for tag in (1, 2, 3):
-        with pytest.raises(Misuse):
+        with pytest.raises(InvalidStateError):
             connection.ack(number, tag)
     assert [(c, v.name) for c, v in sent(connection)] == [
         (number, "Basic.Ack"),
@@ -183,7 +183,7 @@
         ChannelClosed(number, 404, "no queue")
     ]
     assert [v.name for _, v in sent(connection)] == ["Channel.CloseOk"]
-    with pytest.raises(Misuse):
+    with pytest.raises(InvalidStateError):
         connection.ack(number, 1)
     assert connection.open_channel() == number
 
@@ -212,7 +212,7 @@
     + wire(ContentHeader(0, 1, Basic.Properties()), 1)
     + wire(ContentBody(b"xx"), 1),
     "a message without bound": wire(Basic.Deliver("me", 1, False, "", ""), 1)
-    + wire(ContentHeader(0, BODY_MAX + 1, Basic.Properties()), 1),
+    + wire(ContentHeader(0, MAX_MESSAGE_BYTES + 1, Basic.Properties()), 1),
     "tags that go back": delivery(1, 2, b"a") + delivery(1, 2, b"b"),
 }
 
@@ -262,11 +262,11 @@
     for start in range(0, len(data), 17):
         events += connection.receive(bytes(data[start : start + 17]), 0.0)
     closed = [event for event in events if isinstance(event, Closed)]
-    assert len(closed) == connection.over
+    assert len(closed) == connection.is_closed
     assert not closed or events[-1] is closed[0]
     if not closed:
-        events += connection.ended()
-        assert connection.over
+        events += connection.on_stream_end()
+        assert connection.is_closed
 
 
 def test_no_more_than_a_frame_is_kept() -> None:
--- a/tests/test_queue_days.py
+++ b/tests/test_queue_days.py
@@ -21,7 +21,7 @@
     put,
     random_ends,
 )
-from ryegauge.queues.consuming import consumers_in_turn
+from ryegauge.queues.consuming import rank_consumers
 from ryegauge.queues.messages import uid_of
 
 
@@ -169,7 +169,7 @@
 def test_one_controller_takes_and_another_stands_in() -> None:
     """The one that is wanted reaches the state service and not the broker: after a term
     another takes the messages, and gives them back once the first is there again."""
-    wanted = consumers_in_turn("amqp://127.0.0.1", {f"node-{n}" for n in range(3)})[0]
+    wanted = rank_consumers("amqp://127.0.0.1", {f"node-{n}" for n in range(3)})[0]
     taking: list[set[str]] = []
 
     async def cut(played: Played) -> None:
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -20,7 +20,7 @@
 from ryegauge.config import ConfigError, load
 from ryegauge.protocol.jobs import valid_uid
 from ryegauge.queues import bindings
-from ryegauge.queues.lifecycle import SETTLE, TAKE
+from ryegauge.queues.lifecycle import CONSUME_STEPS, REPLY_STEPS
 from ryegauge.queues.messages import Cancellation, Never, Submission, read, uid_of
 from ryegauge.queues.schema import message_schema
 
@@ -198,14 +198,14 @@
 @pytest.mark.parametrize(
     ("old", "new", "says"),
     [
-        ('team = "red"', 'team = "green"', "no team 'green'"),
+        ('team = "red"', 'team = "green"', "unknown team 'green'"),
         ('name = "picks"', 'name = "Picks!"', r"\$\.bindings\[0\]\.name"),
         ('"5" = "high"', '"five" = "high"', "priorities"),
         ('"5" = "high"', '"5" = "urgent"', "urgent"),
         ("amqp://127.0.0.1:5672/work", "http://127.0.0.1", r"brokers\[0\]\.url"),
         ("amqp://127.0.0.1:5672/work", "amqp://u:p@127.0.0.1", "keys of their own"),
         ("queue =", "queu =", "queu"),
-        (FILE, FILE + FILE, "twice"),
+        (FILE, FILE + FILE, "duplicate name 'picks'"),
     ],
 )
 def test_wrong_bindings_name_the_place(tmp_path: Path, old: str, new: str, says: str) -> None:
@@ -292,7 +292,7 @@
 
 
 def explore(
-    take: tuple[str, ...], settle: tuple[str, ...] = SETTLE, *, fixed_uid: bool = True
+    take: tuple[str, ...], settle: tuple[str, ...] = REPLY_STEPS, *, fixed_uid: bool = True
 ) -> set[str]:
     """Every state that can be reached; what is wrong in any of them, or at the end of all
     that can happen."""
@@ -316,16 +316,16 @@
 
 
 def test_no_order_of_crashes_loses_or_doubles_a_message() -> None:
-    assert explore(TAKE["once"]) == set()
-    assert explore(TAKE["at_least_once"]) == set()
-    assert explore(TAKE["at_most_once"]) == {"lost"}  # as it says
+    assert explore(CONSUME_STEPS["once"]) == set()
+    assert explore(CONSUME_STEPS["at_least_once"]) == set()
+    assert explore(CONSUME_STEPS["at_most_once"]) == {"lost"}  # as it says
 
 
 @pytest.mark.parametrize(
     ("order", "settle", "fixed_uid", "finds"),
     [
-        (("ack", "record"), SETTLE, True, "lost"),
-        (("record", "ack"), SETTLE, False, "two jobs"),
+        (("ack", "record"), REPLY_STEPS, True, "lost"),
+        (("record", "ack"), REPLY_STEPS, False, "two jobs"),
         (("record", "ack"), ("forget", "answer", "confirm"), True, "never answered"),
     ],
 )
