--- a/ryegauge/amqp/__init__.py
+++ b/ryegauge/amqp/__init__.py
@@ -1,2 +1,2 @@
-"""AMQP 0-9-1 as a client, without I/O: bytes in, events out. Loaded only where a broker is
-named. Codec: pamqp."""
+"""AMQP 0-9-1 client: a protocol state machine without I/O (`connection`, `frames`) and its
+connections on trio (`client`). Loaded only where a broker is configured. Codec: pamqp."""
--- a/ryegauge/amqp/client.py
+++ b/ryegauge/amqp/client.py
@@ -1,6 +1,6 @@
-"""Connections to a list of brokers on trio: TLS, heartbeats, another try after each end.
+"""Connections to a list of brokers on trio: TLS, heartbeats and reconnection.
 
-A `Session` is one connection, from its opening to its end; what is under way ends with it.
+A `Session` is one connection from opening to end; all work in progress ends with it.
 `keep_connected` runs one session after another.
 """
 
@@ -21,8 +21,8 @@
 log = logging.getLogger(__name__)
 
 READ_CHUNK_BYTES = 64 * 1024
-# Another broker is tried after a pause between the first and the last of these, doubled
-# with each failure, with luck in it: brokers that come back are not stormed.
+# The pause before the next attempt doubles with each failure between these limits, with random
+# jitter, so that controllers do not all reconnect at once to a broker that comes back.
 MIN_RECONNECT_PAUSE_S = 0.5
 MAX_RECONNECT_PAUSE_S = 30.0
 
@@ -30,29 +30,30 @@
 
 
 class BrokerError(Exception):
-    """A broker that cannot be used as it is configured; names the key."""
+    """The configuration of a broker is unusable; the message begins with the key at fault."""
 
 
 class Broker(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where and as whom. Passwords stand in a file or in the environment, and never in a log."""
+    """Address and credentials of a broker. Passwords are read from a file or the environment and
+    never logged."""
 
     url: str  # amqp://host:port/vhost or amqps://...
     user: str = "guest"
     password_file: str | None = None
     password_env: str | None = None
-    ca_file: str | None = None  # who may certify the broker; default: the system's list
-    cert_file: str | None = None  # our certificate and its key, if the broker wants one
+    ca_file: str | None = None  # trusted CA certificates; default: those of the system
+    cert_file: str | None = None  # client certificate and its key, if the broker requires one
     key_file: str | None = None
     heartbeat_s: Annotated[int, msgspec.Meta(ge=0, le=600)] = 10
     timeout_s: Annotated[float, msgspec.Meta(gt=0)] = 10.0
 
     def address(self) -> tuple[str, int, bool, str]:
-        """Host, port, whether by TLS, virtual host; raises BrokerError."""
+        """Host, port, whether to use TLS, virtual host; raises BrokerError."""
         parts = urlsplit(self.url)
         if parts.scheme not in ("amqp", "amqps") or not parts.hostname:
             raise BrokerError(f"url: expected amqp://HOST:PORT/VHOST, got {self.url!r}")
         if parts.username or parts.password:
-            raise BrokerError("url: user and password have keys of their own")
+            raise BrokerError("url: must not contain credentials, which have keys of their own")
         try:
             port = parts.port
         except ValueError as error:
@@ -61,7 +62,8 @@
         return parts.hostname, port or (5671 if tls else 5672), tls, unquote(parts.path[1:]) or "/"
 
     def password(self) -> str:
-        """Read anew for every connection: it may have been changed."""
+        """The password as configured at present, read again for every connection; "guest" if none
+        is configured. Raises BrokerError."""
         if self.password_file is not None:
             try:
                 return Path(self.password_file).read_text(encoding="utf-8").rstrip("\r\n")
@@ -75,8 +77,9 @@
             return os.environ[self.password_env]
         return "guest"
 
-    def context(self) -> ssl.SSLContext:
-        """Keys and certificates as they are in their files now."""
+    def ssl_context(self) -> ssl.SSLContext:
+        """A client context with the present contents of the key and certificate files. Raises
+        BrokerError."""
         try:
             context = ssl.create_default_context(cafile=self.ca_file)
             if self.cert_file is not None:
@@ -87,10 +90,11 @@
 
 
 async def connect_tcp(broker: Broker) -> trio.abc.Stream:
+    """Opens a TCP connection to the broker, with TLS for amqps:// URLs."""
     host, port, tls, _ = broker.address()
     stream: trio.abc.Stream = await trio.open_tcp_stream(host, port)
     if tls:
-        secure = trio.SSLStream(stream, broker.context(), server_hostname=host)
+        secure = trio.SSLStream(stream, broker.ssl_context(), server_hostname=host)
         try:
             await secure.do_handshake()
         except BaseException:
@@ -101,7 +105,7 @@
 
 
 class Session:
-    """One open connection. Ask `protocol` for things and call `flush`."""
+    """One open connection. Call operations of `protocol`, and then `flush` to send them."""
 
     def __init__(self, stream: trio.abc.Stream, protocol: Connection) -> None:
         self.protocol = protocol
@@ -110,12 +114,12 @@
         self._send_requested = trio.Event()
 
     def flush(self) -> None:
-        """Sends, soon and in order, what the protocol has been asked for."""
+        """Makes `run` send the protocol's pending output, in order."""
         self._send_requested.set()
 
     async def run(self, on_event: Callable[[Event], None]) -> Closed:
-        """Until the connection ends, for whichever reason. All events go to `told`, one
-        after the other, in the order in which they came."""
+        """Runs until the connection ends for any reason, which it returns. All events are passed
+        to `on_event` one by one in the order of arrival."""
         closed: list[Closed] = []
 
         def deliver(events: list[Event]) -> None:
@@ -155,7 +159,7 @@
 
         async def send_heartbeats() -> None:
             while True:
-                await trio.sleep(self.protocol.pause_s)
+                await trio.sleep(self.protocol.tick_interval_s)
                 deliver(self.protocol.tick(trio.current_time()))
 
         async with trio.open_nursery() as nursery:
@@ -166,18 +170,20 @@
         return closed[0] if closed else Closed(0, "cancelled")
 
     async def _close_stream(self) -> None:
+        """Closes the stream after an attempt to send the remaining output (the close method)."""
         data = self.protocol.data_to_send(trio.current_time())
         with trio.move_on_after(1.0):
             try:
                 if data:
                     await self._stream.send_all(data)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
-                log.debug("the broker no longer listened to our last words")
+                log.debug("the broker closed the stream before the last data was sent")
         await trio.aclose_forcefully(self._stream)
 
 
 async def open_session(broker: Broker, connect: Connect = connect_tcp) -> Session:
-    """Connected, not yet logged in: that is `Opened` among the events."""
+    """Connects to the broker. The login is part of `Session.run`, which reports `Opened`. Raises
+    BrokerError, OSError, ssl.SSLError, trio.BrokenResourceError or trio.TooSlowError."""
     *_, vhost = broker.address()
     password = broker.password()
     with trio.fail_after(broker.timeout_s):
@@ -194,8 +200,10 @@
     rng: random.Random,
     connect: Connect = connect_tcp,
 ) -> None:
-    """One session after another, each with the next broker of the list, until cancelled.
-    `serve` makes of a session what is told its events."""
+    """Runs one session after another, each with the next broker of the list, until cancelled.
+
+    `serve` is called with each new session and returns its event handler.
+    """
     failures, pause_s = 0, 0.0
     broker_index = rng.randrange(len(brokers))
     while True:
@@ -207,8 +215,8 @@
             session = await open_session(broker, connect)
             closed = await _run_with_login_timeout(session, serve(session), broker.timeout_s)
             reason = f"{closed.code} {closed.text}"
-            # One that opens and ends at once (no such queue) is as bad as none: without this
-            # it was tried again twice a second for good.
+            # A session that opens and ends at once (the queue does not exist, say) counts as a
+            # failure: otherwise it would be retried twice a second forever.
             was_stable = trio.current_time() - started_at > 4 * pause_s
             failures = 0 if session.opened and was_stable and closed.code else failures
         except (OSError, ssl.SSLError, trio.TooSlowError, trio.BrokenResourceError) as error:
@@ -217,14 +225,15 @@
             reason = str(error)
         pause_s = min(MAX_RECONNECT_PAUSE_S, MIN_RECONNECT_PAUSE_S * 2 ** min(failures, 10))
         pause_s *= rng.uniform(0.5, 1.0)
-        log.warning("%s: %s; the next try in %.1f s", broker.url, reason, pause_s)
+        log.warning("%s: %s; next attempt in %.1f s", broker.url, reason, pause_s)
         await trio.sleep(pause_s)
 
 
 async def _run_with_login_timeout(
     session: Session, on_event: Callable[[Event], None], timeout_s: float
 ) -> Closed:
-    """Gives a broker up that accepts connections and says nothing."""
+    """Runs the session; ends it if there is no login within the timeout, as with a broker that
+    accepts connections and never answers."""
     result: list[Closed] = []
     async with trio.open_nursery() as nursery:
 
--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -1,11 +1,10 @@
 # kind: decisions
 """One connection to a broker as a state machine: bytes and the time go in, events and bytes
-come out (AMQP 0-9-1, section 2.2.4, and the methods' pages; publisher confirms and blocking
-as the extensions of that version define them).
+come out (AMQP 0-9-1, section 2.2.4 and the method reference; publisher confirms and
+connection.blocked as RabbitMQ's extensions define them).
 
-Nothing here waits or reads a clock. After a `Closed` event the object does nothing more; a
-new connection begins with a new one, since channels, delivery tags and confirms end with
-theirs.
+No I/O and no clock. After a `Closed` event the object is of no further use: a new connection needs
+a new object, since channels, delivery tags and confirms are only valid within a connection.
 """
 
 from dataclasses import dataclass, field
@@ -26,11 +25,11 @@
     FrameError,
 )
 
-# A message larger than this closes its channel instead of filling our memory.
+# A larger message closes the connection, which bounds the memory that a message can take.
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 MAX_CHANNELS = 255
 MAX_FRAME_BYTES = 128 * 1024
-# A peer is given up on after so many heartbeats of silence (section 4.2.7).
+# The connection is closed after this many heartbeat intervals without data (section 4.2.7).
 MAX_SILENT_HEARTBEATS = 2.0
 
 State = Literal["start", "tune", "open", "running", "closing", "closed"]
@@ -38,15 +37,17 @@
 
 
 class Opened(NamedTuple):
-    """The connection can be used."""
+    """The login has succeeded; channels can be opened."""
 
 
 class ChannelOpened(NamedTuple):
+    """The channel can be used."""
+
     channel: int
 
 
 class ChannelClosed(NamedTuple):
-    """By the broker; what was not acknowledged comes again."""
+    """The broker closed the channel; unacknowledged messages will be redelivered."""
 
     channel: int
     code: int
@@ -54,18 +55,22 @@
 
 
 class ConsumerStarted(NamedTuple):
+    """The broker accepted a consumer; deliveries may follow."""
+
     channel: int
     consumer: str
 
 
 class ConsumerCancelled(NamedTuple):
-    """By the broker: the queue was deleted, or its node failed."""
+    """The broker cancelled the consumer: the queue was deleted, or its node failed."""
 
     channel: int
     consumer: str
 
 
 class Delivery(NamedTuple):
+    """A message for a consumer, to be acknowledged or rejected by its tag."""
+
     channel: int
     consumer: str
     tag: int
@@ -77,7 +82,7 @@
 
 
 class Confirmed(NamedTuple):
-    """The broker took published messages over, or (`good` false) could not."""
+    """The broker has taken responsibility for published messages, or failed to (`good` false)."""
 
     channel: int
     tags: tuple[int, ...]
@@ -85,7 +90,7 @@
 
 
 class Returned(NamedTuple):
-    """A mandatory message that no queue takes; its confirm follows."""
+    """A mandatory message is unroutable; its confirm follows."""
 
     channel: int
     code: int
@@ -95,24 +100,24 @@
 
 
 class Blocked(NamedTuple):
-    """The broker takes no messages for now."""
+    """The broker accepts no messages for now."""
 
     reason: str
 
 
 class Unblocked(NamedTuple):
-    pass
+    """The broker accepts messages again."""
 
 
 class Done(NamedTuple):
-    """The broker has done what was asked for: the method's name."""
+    """The broker has completed the method of this name, such as `Basic.Cancel`."""
 
     channel: int
     method: str
 
 
 class QueueCounts(NamedTuple):
-    """Of a queue: messages that wait for a consumer, and consumers."""
+    """The result of `declare`: messages ready for delivery, and consumers of the queue."""
 
     channel: int
     queue: str
@@ -121,7 +126,8 @@
 
 
 class Closed(NamedTuple):
-    """The last event. `code` 0: as we wanted."""
+    """The connection has ended; no event follows. `code` is 0 if this side asked for it, else an
+    AMQP reply code."""
 
     code: int
     text: str
@@ -145,12 +151,12 @@
 
 
 class InvalidStateError(Exception):
-    """The caller asks for what the state of the connection or channel does not allow."""
+    """The state of the connection or channel does not allow the operation."""
 
 
 @dataclass(slots=True)
 class _Content:
-    """A message under way: its method, then its header, then its body in pieces."""
+    """A partly received message: its method, then its header, then its body frames."""
 
     method: Basic.Deliver | Basic.Return
     header: ContentHeader | None = None
@@ -163,14 +169,21 @@
     state: ChannelState = "opening"
     content: _Content | None = None
     confirms: bool = False
-    published_count: int = 0  # delivery tags of ours count from 1 once confirms are selected
+    published_count: int = 0  # since confirms were selected; the last delivery tag for a confirm
     unconfirmed: dict[int, None] = field(default_factory=dict)
-    # Delivery tags that were given to us and not yet settled, in order.
+    # Tags of deliveries not yet acknowledged or rejected, in order.
     unsettled: dict[int, None] = field(default_factory=dict)
     last_tag: int = 0
 
 
 class Connection:
+    """The client side of a connection, with PLAIN authentication.
+
+    `now` and all later times are seconds of one monotonic clock. Methods that take a channel id
+    raise InvalidStateError unless that channel is open; what they send is fetched with
+    `data_to_send`.
+    """
+
     def __init__(
         self,
         user: str,
@@ -207,7 +220,7 @@
     # -- bytes and time ------------------------------------------------------------------
 
     def data_to_send(self, now: float) -> bytes:
-        """What has to be sent, once; the caller sends it in order."""
+        """Returns and forgets the bytes to be sent; the caller has to send them in this order."""
         if not self._send_buffer:
             return b""
         data = bytes(self._send_buffer)
@@ -216,8 +229,8 @@
         return data
 
     def receive(self, data: bytes, now: float) -> list[Event]:
-        """What the bytes mean. Never raises for what a peer sends: a peer that breaks the
-        protocol ends in `Closed`, with the bytes that tell it so still to be sent."""
+        """Handles received bytes. Never raises for what a peer sends: a protocol violation ends in
+        `Closed`, with the close method for the peer still to be sent."""
         if self.is_closed:
             return []
         self._received_at = now
@@ -232,40 +245,45 @@
         return events
 
     def on_stream_end(self) -> list[Event]:
-        """The stream has ended, or failed."""
+        """The stream has ended or failed."""
         if self.state == "closed":
             return []
         last_state = self.state
         self.state = "closed"
         if last_state in ("start", "tune"):
-            # Brokers of old close the stream without a word when they refuse a user.
-            return [Closed(403, "the broker ended the connection during the login")]
+            # Brokers without authentication_failure_close close the stream without a reason when
+            # they refuse a user.
+            return [Closed(403, "the broker closed the connection during login")]
         requested = last_state == "closing"
-        return [Closed(0 if requested else 320, "closed" if requested else "the stream has ended")]
+        return [Closed(0 if requested else 320, "closed" if requested else "connection lost")]
 
     def tick(self, now: float) -> list[Event]:
-        """Heartbeats, both ways. To be called at least every `pause_s`."""
+        """Sends heartbeats and detects a silent peer. To be called every `tick_interval_s`."""
         interval_s = self._heartbeat_s
         if self.state == "closed" or not interval_s:
             return []
         if now - self._received_at > MAX_SILENT_HEARTBEATS * interval_s:
             self.state = "closed"
-            return [Closed(320, f"nothing heard for {now - self._received_at:.0f} s")]
+            return [Closed(320, f"no data received for {now - self._received_at:.0f} s")]
         if self.state == "running" and now - self._sent_at >= interval_s / 2:
             self._send_buffer += codec.marshal(Heartbeat(), 0)
         return []
 
     @property
     def is_closed(self) -> bool:
+        """Whether the connection has ended."""
         return self.state == "closed"
 
     @property
-    def pause_s(self) -> float:
+    def tick_interval_s(self) -> float:
+        """Seconds between calls of `tick`."""
         return self._heartbeat_s / 4 if self._heartbeat_s else 60.0
 
-    # -- what the caller may ask for -----------------------------------------------------
+    # -- operations ----------------------------------------------------------------------
 
     def open_channel(self) -> int:
+        """Opens a channel and returns its id; it can be used after `ChannelOpened`. Raises
+        InvalidStateError if the connection is not open or has no free channel."""
         if self.state != "running":
             raise InvalidStateError(f"the connection is not open: {self.state}")
         channel_id = next(
@@ -278,34 +296,39 @@
         return channel_id
 
     def prefetch(self, channel_id: int, count: int) -> None:
-        """At most so many deliveries unsettled at once, of each consumer; 0: any number."""
+        """Limits the unsettled deliveries of each consumer started from now on; 0: no limit."""
         self._require_open_channel(channel_id)
         self._send(channel_id, Basic.Qos(0, count, False))
 
     def consume(self, channel_id: int, queue: str, consumer: str) -> None:
+        """Starts a consumer, with `consumer` as its tag."""
         self._require_open_channel(channel_id)
         self._send(channel_id, Basic.Consume(0, queue, consumer, False, False, False, False, {}))
 
     def cancel(self, channel_id: int, consumer: str) -> None:
+        """Stops the consumer with this tag."""
         self._require_open_channel(channel_id)
         self._send(channel_id, Basic.Cancel(consumer, False))
 
     def declare(self, channel_id: int, queue: str, *, passive: bool = False) -> None:
-        """Makes a durable queue, or (`passive`) only asks for its counts: `Counted`. One that
-        is not there closes the channel then."""
+        """Declares a durable queue, or only requests its `QueueCounts` (`passive`). A passive
+        declaration of a missing queue closes the channel."""
         self._require_open_channel(channel_id)
         self._send(channel_id, amqp.Queue.Declare(0, queue, passive, True, False, False, False, {}))
 
     def select_confirms(self, channel_id: int) -> None:
+        """Enables publisher confirms on the channel."""
         self._require_open_channel(channel_id)
         self._send(channel_id, amqp.Confirm.Select(False))
 
     def ack(self, channel_id: int, tag: int) -> None:
+        """Acknowledges a delivery; raises InvalidStateError if it is not unsettled."""
         self._settle(channel_id, tag)
         self._send(channel_id, Basic.Ack(tag, False))
 
     def reject(self, channel_id: int, tag: int, *, requeue: bool) -> None:
-        """Without `requeue` the broker drops it, or hands it to the dead-letter exchange."""
+        """Rejects a delivery; raises InvalidStateError if it is not unsettled. Without `requeue`
+        the broker drops the message or dead-letters it."""
         self._settle(channel_id, tag)
         self._send(channel_id, Basic.Reject(tag, requeue))
 
@@ -319,7 +342,7 @@
         *,
         mandatory: bool = True,
     ) -> int:
-        """The number under which it will be confirmed; 0 without confirms."""
+        """Publishes a message; returns its delivery tag for `Confirmed`, or 0 without confirms."""
         channel = self._require_open_channel(channel_id)
         self._send(channel_id, Basic.Publish(0, exchange, routing_key, mandatory, False))
         self._send_buffer += codec.marshal(ContentHeader(0, len(body), properties), channel_id)
@@ -333,6 +356,7 @@
         return channel.published_count
 
     def close(self, code: int = 200, text: str = "done") -> None:
+        """Starts to close the connection; `Closed` follows once the broker has agreed."""
         if self.state in ("closing", "closed"):
             return
         if self.state == "start":
@@ -342,9 +366,10 @@
         self._send(0, amqp.Connection.Close(code, text, 0, 0))
 
     def unsettled(self, channel_id: int) -> int:
+        """The number of deliveries on the channel that are not acknowledged or rejected."""
         return len(self._require_open_channel(channel_id).unsettled)
 
-    # -- inside --------------------------------------------------------------------------
+    # -- internals -----------------------------------------------------------------------
 
     def _require_open_channel(self, channel_id: int) -> _Channel:
         channel = self._channels.get(channel_id)
@@ -353,16 +378,17 @@
         return channel
 
     def _settle(self, channel_id: int, tag: int) -> None:
-        """A tag settled twice, or of an earlier connection, would close the channel, and all
-        that is under way on it would come again."""
+        """Marks a delivery as settled. Settling a tag twice, or one of an earlier connection,
+        would make the broker close the channel and redeliver everything unsettled on it."""
         if self._require_open_channel(channel_id).unsettled.pop(tag, 0) is not None:
-            raise InvalidStateError(f"delivery {tag} on channel {channel_id} is not ours to settle")
+            raise InvalidStateError(f"no unsettled delivery {tag} on channel {channel_id}")
 
     def _send(self, channel: int, method: Any) -> None:
         self._send_buffer += codec.marshal(method, channel)
 
     def _fail(self, error: FrameError, events: list[Event]) -> None:
-        """A hard error: said to the broker as far as it will listen, and over for us."""
+        """Ends the connection after a protocol error, with a close method for the broker unless
+        the handshake has not begun or the connection is closing already."""
         if self.state not in ("start", "closing"):
             self._send(0, amqp.Connection.Close(error.code, str(error)[:200], 0, 0))
         self.state = "closed"
@@ -376,7 +402,7 @@
             self._on_connection(value, events)
             return
         if self.state == "closing":
-            return  # whatever still comes is of no interest
+            return  # sent before the broker saw our close method
         channel = self._channels.get(channel_id)
         if self.state != "running" or channel is None:
             raise FrameError(504, f"a frame on channel {channel_id}, which is not open")
@@ -424,7 +450,8 @@
                 raise FrameError(503, f"{name} while the connection is in state {self.state}")
 
     def _on_tune(self, value: amqp.Connection.Tune) -> None:
-        """The smaller of both sides' wishes; 0 is no wish."""
+        """Negotiates the limits: the smaller of both sides' values, 0 from the broker meaning no
+        limit."""
 
         def smaller(ours: int, theirs: int) -> int:
             return min(ours, theirs) if theirs else ours
@@ -434,7 +461,7 @@
         if self._frame_max < MIN_FRAME_LIMIT_BYTES:
             raise FrameError(501, f"frames of at most {self._frame_max} octets are too small")
         self._decoder.frame_max = self._frame_max
-        # Silence is noticed by us in any case; a broker that wants no heartbeats sends none.
+        # A 0 from either side disables heartbeats, and with them the detection of a silent broker.
         theirs = value.heartbeat or 0
         self._heartbeat_s = smaller(self._heartbeat_s, theirs) if theirs else 0
         self.state = "open"
@@ -493,15 +520,13 @@
         value: Basic.Ack | Basic.Nack,
         events: list[Event],
     ) -> None:
-        last_confirmed = value.delivery_tag or 0
+        delivery_tag = value.delivery_tag or 0
         if value.multiple:
-            tags = tuple(
-                n for n in channel.unconfirmed if n <= last_confirmed or not last_confirmed
-            )
+            tags = tuple(n for n in channel.unconfirmed if n <= delivery_tag or not delivery_tag)
         else:
-            tags = (last_confirmed,) if last_confirmed in channel.unconfirmed else ()
+            tags = (delivery_tag,) if delivery_tag in channel.unconfirmed else ()
         if not tags:
-            raise FrameError(506, f"a confirm for {last_confirmed}, which is not open")
+            raise FrameError(506, f"a confirm for {delivery_tag}, which is not open")
         for tag in tags:
             del channel.unconfirmed[tag]
         events.append(Confirmed(channel_id, tags, isinstance(value, Basic.Ack)))
--- a/ryegauge/amqp/frames.py
+++ b/ryegauge/amqp/frames.py
@@ -1,7 +1,7 @@
-"""Cutting a stream of bytes into frames, with bounds on what is kept of it.
+"""Splits a byte stream into frames with bounded buffering.
 
-AMQP 0-9-1, sections 2.3.5 and 4.2: type, channel, size, payload, end octet. The payloads are
-pamqp's; that a hostile or broken peer can make it raise anything at all is caught here.
+AMQP 0-9-1, sections 2.3.5 and 4.2: type, channel, size, payload, end octet. pamqp decodes the
+payloads; whatever it raises on malformed input of a hostile or broken peer becomes a FrameError.
 """
 
 import struct
@@ -16,14 +16,14 @@
 FRAME_PREFIX = struct.Struct(">BHI")
 FRAME_END = 0xCE
 FRAME_METHOD, FRAME_HEADER, FRAME_BODY, FRAME_HEARTBEAT = 1, 2, 3, 8
-# What a peer may send before the sizes are agreed on (frame-min-size).
+# The frame size that every peer has to accept, and the limit before negotiation (frame-min-size).
 MIN_FRAME_LIMIT_BYTES = 4096
 FRAME_OVERHEAD_BYTES = FRAME_PREFIX.size + 1
 
 
 class FrameError(Exception):
-    """The peer's bytes are no frames, or break what was agreed on. The connection is of no
-    use any more. `code` is the reply code to close it with."""
+    """The peer sent malformed frames or violated the protocol, which makes the connection
+    unusable. `code` is the AMQP reply code to close it with."""
 
     def __init__(self, code: int, text: str) -> None:
         super().__init__(text)
@@ -31,19 +31,21 @@
 
 
 class Frame(NamedTuple):
+    """A decoded frame; `value` is a method if it is neither content nor a heartbeat."""
+
     channel: int
     value: base.Frame | ContentHeader | ContentBody | Heartbeat
 
 
 class Cutter:
-    """Takes bytes in any pieces; keeps at most one frame's worth."""
+    """Incremental frame decoder; buffers less than one frame of at most `frame_max` bytes."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self.frame_max = MIN_FRAME_LIMIT_BYTES
 
     def feed(self, data: bytes) -> list[Frame]:
-        """All frames that are complete now; raises FrameError."""
+        """Appends bytes and returns the frames that are complete now; raises FrameError."""
         self._data += data
         frames: list[Frame] = []
         start = 0
@@ -60,7 +62,7 @@
     def _next(self, start: int) -> tuple[int, Frame | None] | None:
         available = len(self._data) - start
         if available >= 4 and self._data[start : start + 4] == b"AMQP":
-            # A server that does not speak 0-9-1 answers with the version that it does.
+            # A broker that does not support 0-9-1 answers with a protocol header of its version.
             version = ".".join(str(n) for n in self._data[start + 5 : start + 8])
             raise FrameError(501, f"the broker speaks another version: {version}")
         if available < FRAME_PREFIX.size:
@@ -82,14 +84,14 @@
                 raise FrameError(501, "a heartbeat with channel or payload")
             return frame_bytes, Frame(0, Heartbeat())
         if frame_type == FRAME_BODY and not size:
-            return frame_bytes, None  # allowed, and says nothing
+            return frame_bytes, None  # allowed, carries no data
         frame_data = bytes(self._data[start : start + frame_bytes])
         try:
-            consumed, number, value = codec.unmarshal(frame_data)
-        except Exception as error:  # pamqp lets many kinds through on hostile input
+            consumed, channel_id, value = codec.unmarshal(frame_data)
+        except Exception as error:  # pamqp raises many types on malformed input
             raise FrameError(502, f"a frame that cannot be read: {error}"[:200]) from None
         if consumed != frame_bytes or not isinstance(
             value, base.Frame | ContentHeader | ContentBody
         ):
             raise FrameError(502, "a frame that is longer than what it holds")
-        return frame_bytes, Frame(number, value)
+        return frame_bytes, Frame(channel_id, value)
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -173,7 +173,7 @@
     connection.receive(wire(Heartbeat()), 5.0)
     assert connection.tick(17.0) == []
     (closed,) = connection.tick(17.1)
-    assert closed == Closed(320, "nothing heard for 12 s")
+    assert closed == Closed(320, "no data received for 12 s")
     assert connection.receive(OPEN_OK, 18.0) == []
 
 
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -203,7 +203,7 @@
         ('"5" = "high"', '"five" = "high"', "priorities"),
         ('"5" = "high"', '"5" = "urgent"', "urgent"),
         ("amqp://127.0.0.1:5672/work", "http://127.0.0.1", r"brokers\[0\]\.url"),
-        ("amqp://127.0.0.1:5672/work", "amqp://u:p@127.0.0.1", "keys of their own"),
+        ("amqp://127.0.0.1:5672/work", "amqp://u:p@127.0.0.1", "must not contain credentials"),
         ("queue =", "queu =", "queu"),
         (FILE, FILE + FILE, "duplicate name 'picks'"),
     ],
