--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -346,9 +346,11 @@
         channel = self._require_open_channel(channel_id)
         self._send(channel_id, Basic.Publish(0, exchange, routing_key, mandatory, False))
         self._send_buffer += codec.marshal(ContentHeader(0, len(body), properties), channel_id)
-        step = self._frame_max - FRAME_OVERHEAD_BYTES
-        for start in range(0, len(body), step):
-            self._send_buffer += codec.marshal(ContentBody(body[start : start + step]), channel_id)
+        chunk_bytes = self._frame_max - FRAME_OVERHEAD_BYTES
+        for start in range(0, len(body), chunk_bytes):
+            self._send_buffer += codec.marshal(
+                ContentBody(body[start : start + chunk_bytes]), channel_id
+            )
         if not channel.confirms:
             return 0
         channel.published_count += 1
@@ -453,8 +455,8 @@
         """Negotiates the limits: the smaller of both sides' values, 0 from the broker meaning no
         limit."""
 
-        def smaller(ours: int, theirs: int) -> int:
-            return min(ours, theirs) if theirs else ours
+        def smaller(client_value: int, broker_value: int) -> int:
+            return min(client_value, broker_value) if broker_value else client_value
 
         self._channel_max = smaller(MAX_CHANNELS, value.channel_max or 0)
         self._frame_max = smaller(MAX_FRAME_BYTES, value.frame_max or 0)
@@ -462,8 +464,8 @@
             raise FrameError(501, f"frames of at most {self._frame_max} octets are too small")
         self._decoder.frame_max = self._frame_max
         # A 0 from either side disables heartbeats, and with them the detection of a silent broker.
-        theirs = value.heartbeat or 0
-        self._heartbeat_s = smaller(self._heartbeat_s, theirs) if theirs else 0
+        broker_value = value.heartbeat or 0
+        self._heartbeat_s = smaller(self._heartbeat_s, broker_value) if broker_value else 0
         self.state = "open"
         self._send(0, amqp.Connection.TuneOk(self._channel_max, self._frame_max, self._heartbeat_s))
         self._send(0, amqp.Connection.Open(self._vhost))
--- a/ryegauge/amqp/frames.py
+++ b/ryegauge/amqp/frames.py
@@ -50,7 +50,7 @@
         frames: list[Frame] = []
         start = 0
         try:
-            while (frame := self._next(start)) is not None:
+            while (frame := self._decode_next(start)) is not None:
                 size, value = frame
                 start += size
                 if value is not None:
@@ -59,7 +59,7 @@
             del self._data[:start]
         return frames
 
-    def _next(self, start: int) -> tuple[int, Frame | None] | None:
+    def _decode_next(self, start: int) -> tuple[int, Frame | None] | None:
         available = len(self._data) - start
         if available >= 4 and self._data[start : start + 4] == b"AMQP":
             # A broker that does not support 0-9-1 answers with a protocol header of its version.
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -2,7 +2,7 @@
 
 A pending reply is a record next to its job (`r/q/JOB`). It is deleted once the broker has
 confirmed the reply. A pending reply whose binding is no longer configured, or whose reply is
-unroutable, is dropped when it is `keep_answers_s` old. The job and its outcome are kept for good.
+unroutable, is dropped when it is `keep_answers_s` old. The job and its outcome are kept forever.
 """
 
 import logging
@@ -82,12 +82,12 @@
             if entry is None:
                 return
             pending_reply, version = entry
-            status, done = final_status
+            status, done_count = final_status
             confirmed: bool | None = uid in self._confirmed
             if channel is None and not confirmed:
                 confirmed = None
             elif channel is not None and not confirmed:
-                confirmed = await self._publish(channel, uid, pending_reply, status, done)
+                confirmed = await self._publish(channel, uid, pending_reply, status, done_count)
             if confirmed is None:
                 if not self._is_expired(pending_reply):
                     self._back_off(uid)
@@ -121,10 +121,10 @@
         uid: str,
         pending_reply: dict[str, str],
         status: str,
-        done: int,
+        done_count: int,
     ) -> bool | None:
         """The result of `BindingChannel.publish`."""
-        body = msgspec.json.encode({"uid": uid, "status": status, "done": done})
+        body = msgspec.json.encode({"uid": uid, "status": status, "done": done_count})
         properties = Basic.Properties(
             content_type="application/json",
             delivery_mode=PERSISTENT,
