--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -1,4 +1,5 @@
-"""Messages as jobs: what each means, and that no order of crashes loses or doubles one."""
+"""Parsing of queue messages into jobs, validation of bindings, and a model check that no order
+of crashes loses or duplicates a message."""
 
 import gzip
 import json
@@ -24,7 +25,7 @@
 from ryegauge.queues.messages import Cancellation, Never, Submission, read, uid_of
 from ryegauge.queues.schema import message_schema
 
-FILE = """
+QUEUES_TOML = """
 [[bindings]]
 name = "picks"
 queue = "seismic.picks"
@@ -34,33 +35,33 @@
 [[bindings.brokers]]
 url = "amqp://127.0.0.1:5672/work"
 """
-VALID = jsonschema.Draft202012Validator(message_schema())
+MESSAGE_VALIDATOR = jsonschema.Draft202012Validator(message_schema())
 BODY = {"pieces": 2, "cpus": 1.0, "memoryGb": 1.0, "kit": "img-1", "expectS": 20.0}
 
 
 @pytest.fixture
 def binding(tmp_path: Path) -> bindings.Binding:
     path = tmp_path / "queues.toml"
-    path.write_text(FILE)
-    (found,) = bindings.load(str(path)).bindings
-    return found
+    path.write_text(QUEUES_TOML)
+    (loaded,) = bindings.load(str(path)).bindings
+    return loaded
 
 
 def properties(**changes: Any) -> Basic.Properties:
     return Basic.Properties(**{"message_id": "m-1", "content_type": "application/json", **changes})
 
 
-def test_a_message_is_the_same_job_wherever_it_is_read(binding: bindings.Binding) -> None:
+def test_encodings_of_a_message_yield_the_same_job(binding: bindings.Binding) -> None:
     data = json.dumps(BODY).encode()
-    forms = [
+    variants = [
         read(binding, properties(), data),
         read(binding, properties(content_type="application/cbor"), cbor2.dumps(BODY)),
         read(binding, properties(content_encoding="gzip"), gzip.compress(data)),
         read(binding, properties(content_encoding="zstd"), zstandard.compress(data)),
     ]
-    assert all(isinstance(form, Submission) for form in forms)
-    assert len({msgspec.json.encode(form) for form in forms}) == 1
-    spec = forms[0].spec  # type: ignore[union-attr]
+    assert all(isinstance(variant, Submission) for variant in variants)
+    assert len({msgspec.json.encode(variant) for variant in variants}) == 1
+    spec = variants[0].spec  # type: ignore[union-attr]
     assert (spec.team, spec.job_class, spec.priority, spec.tasks) == ("red", "pick", "normal", 2)
     assert valid_uid(spec.uid)
     assert len(spec.uid) == 35
@@ -69,18 +70,18 @@
     assert urgent.spec.priority == "high"
 
 
-def test_without_an_id_the_content_within_its_window_is_the_message(
+def test_without_message_id_content_and_window_identify_the_message(
     binding: bindings.Binding,
 ) -> None:
-    """By the message's own timestamp, not by ours: a redelivery after the window is over is
-    still the same message."""
+    """The window depends on the message's timestamp, not on the time of delivery: a redelivery
+    after the end of the window is still the same message."""
     data = json.dumps(BODY).encode()
 
     def uid(second: int | None, body: bytes = data) -> str:
-        at = None if second is None else datetime.fromtimestamp(second, UTC)
-        found = read(binding, properties(message_id=None, timestamp=at), body)
-        assert isinstance(found, Submission)
-        return found.spec.uid
+        timestamp = None if second is None else datetime.fromtimestamp(second, UTC)
+        parsed = read(binding, properties(message_id=None, timestamp=timestamp), body)
+        assert isinstance(parsed, Submission)
+        return parsed.spec.uid
 
     assert uid(7200) == uid(7200) == uid(10_799)
     assert uid(7200) != uid(10_800)
@@ -88,23 +89,23 @@
     assert uid(7200) != uid(7200, json.dumps({**BODY, "pieces": 3}).encode())
 
 
-def test_bindings_do_not_share_messages() -> None:
-    names = {uid_of(name, f"id:{n}") for name in ("a", "b") for n in range(500)}
-    assert len(names) == 1000
-    # No field can be mistaken for a part of another.
+def test_uids_of_different_bindings_differ() -> None:
+    uids = {uid_of(name, f"id:{n}") for name in ("a", "b") for n in range(500)}
+    assert len(uids) == 1000
+    # Moving text between the two parts yields another uid.
     assert uid_of("a", "id:x y") != uid_of("a id:x", "y")
 
 
-def test_needs_and_cancellations_name_messages(binding: bindings.Binding) -> None:
-    found = read(binding, properties(), json.dumps({**BODY, "awaits": ["m-0"]}).encode())
-    assert isinstance(found, Submission)
-    assert found.spec.needs == (uid_of("picks", "id:m-0"),)
-    end = read(binding, properties(message_id="m-2"), b'{"cancel": "m-1"}')
-    assert end == Cancellation("id:m-2", uid_of("picks", "id:m-1"))
+def test_needs_and_cancellations_refer_to_message_ids(binding: bindings.Binding) -> None:
+    parsed = read(binding, properties(), json.dumps({**BODY, "awaits": ["m-0"]}).encode())
+    assert isinstance(parsed, Submission)
+    assert parsed.spec.needs == (uid_of("picks", "id:m-0"),)
+    cancellation = read(binding, properties(message_id="m-2"), b'{"cancel": "m-1"}')
+    assert cancellation == Cancellation("id:m-2", uid_of("picks", "id:m-1"))
 
 
-BOMB = gzip.compress(b" " * 50_000_000, mtime=0)
-NEVER = [
+DECOMPRESSION_BOMB = gzip.compress(b" " * 50_000_000, mtime=0)
+INVALID_MESSAGES = [
     ({}, b"", "JSON"),
     ({}, b"[1]", "map"),
     ({}, b"{}", "pieces"),
@@ -121,19 +122,21 @@
     ({"content_encoding": "lzma"}, b"x", "content_encoding"),
     ({"content_encoding": "gzip"}, b"x", "gzip"),
     ({"content_encoding": "gzip"}, gzip.compress(b"{}", mtime=0)[:-4], "cut short"),
-    ({"content_encoding": "gzip"}, BOMB, "longer than"),
+    ({"content_encoding": "gzip"}, DECOMPRESSION_BOMB, "longer than"),
     ({"content_encoding": "zstd"}, zstandard.compress(b" " * 50_000_000), "longer than"),
     ({"content_encoding": "zstd"}, b"x", "zstd"),
 ]
 
 
-@pytest.mark.parametrize(("changes", "body", "says"), NEVER, ids=range(len(NEVER)))
-def test_what_can_never_run_says_why(
-    binding: bindings.Binding, changes: dict[str, Any], body: bytes, says: str
+@pytest.mark.parametrize(
+    ("changes", "body", "expected"), INVALID_MESSAGES, ids=range(len(INVALID_MESSAGES))
+)
+def test_invalid_messages_report_the_reason(
+    binding: bindings.Binding, changes: dict[str, Any], body: bytes, expected: str
 ) -> None:
-    found = read(binding, properties(**changes), body)
-    assert isinstance(found, Never)
-    assert any(word in found.reason for word in says.split("|"))
+    parsed = read(binding, properties(**changes), body)
+    assert isinstance(parsed, Never)
+    assert any(word in parsed.reason for word in expected.split("|"))
 
 
 @given(
@@ -141,14 +144,16 @@
     st.sampled_from([None, "gzip", "zstd"]),
     st.sampled_from([None, "application/json", "application/cbor"]),
 )
-def test_no_body_makes_it_raise(body: bytes, encoding: str | None, kind: str | None) -> None:
+def test_arbitrary_bodies_do_not_raise(
+    body: bytes, encoding: str | None, content_type: str | None
+) -> None:
     broker = bindings.Broker("amqp://127.0.0.1")
     binding = bindings.Binding("b", "q", "red", "pick", [broker])
-    found = read(binding, properties(content_encoding=encoding, content_type=kind), body)
-    assert found.identity == "id:m-1"
+    parsed = read(binding, properties(content_encoding=encoding, content_type=content_type), body)
+    assert parsed.identity == "id:m-1"
 
 
-VALUES = st.one_of(
+FIELD_VALUES = st.one_of(
     st.none(),
     st.booleans(),
     st.integers(-2, 200_000),
@@ -157,7 +162,7 @@
     st.lists(st.sampled_from(["m-1", "", "x"]), max_size=2),
     st.sampled_from(["sweep", "gang"]),
 )
-FIELDS = st.dictionaries(
+CHANGED_FIELDS = st.dictionaries(
     st.sampled_from(
         [
             "pieces",
@@ -177,26 +182,26 @@
             "other",
         ]
     ),
-    VALUES,
+    FIELD_VALUES,
     max_size=4,
 )
 
 
-@given(FIELDS, st.sampled_from(sorted(BODY)), st.booleans(), st.booleans())
-def test_the_published_schema_says_what_is_accepted(
-    changes: dict[str, Any], without: str, whole: bool, alone: bool
+@given(CHANGED_FIELDS, st.sampled_from(sorted(BODY)), st.booleans(), st.booleans())
+def test_schema_accepts_what_the_parser_accepts(
+    changes: dict[str, Any], omitted: str, complete: bool, changes_only: bool
 ) -> None:
     broker = bindings.Broker("amqp://127.0.0.1")
     binding = bindings.Binding("b", "q", "red", "pick", [broker])
-    body = changes if alone else {**BODY, **changes}
-    if not whole:
-        body.pop(without, None)
-    found = read(binding, properties(), json.dumps(body).encode())
-    assert VALID.is_valid(body) == (not isinstance(found, Never)), found
+    body = changes if changes_only else {**BODY, **changes}
+    if not complete:
+        body.pop(omitted, None)
+    parsed = read(binding, properties(), json.dumps(body).encode())
+    assert MESSAGE_VALIDATOR.is_valid(body) == (not isinstance(parsed, Never)), parsed
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "expected"),
     [
         ('team = "red"', 'team = "green"', "unknown team 'green'"),
         ('name = "picks"', 'name = "Picks!"', r"\$\.bindings\[0\]\.name"),
@@ -205,131 +210,157 @@
         ("amqp://127.0.0.1:5672/work", "http://127.0.0.1", r"brokers\[0\]\.url"),
         ("amqp://127.0.0.1:5672/work", "amqp://u:p@127.0.0.1", "must not contain credentials"),
         ("queue =", "queu =", "queu"),
-        (FILE, FILE + FILE, "duplicate name 'picks'"),
+        (QUEUES_TOML, QUEUES_TOML + QUEUES_TOML, "duplicate name 'picks'"),
     ],
 )
-def test_wrong_bindings_name_the_place(tmp_path: Path, old: str, new: str, says: str) -> None:
-    path, file = tmp_path / "queues.toml", tmp_path / "settings.toml"
-    path.write_text(FILE.replace(old, new, 1))
-    file.write_text(settings_text())
-    with pytest.raises(ConfigError, match=says):
-        bindings.load(str(path), load(file))
+def test_invalid_bindings_report_the_place(
+    tmp_path: Path, old: str, new: str, expected: str
+) -> None:
+    path, settings_path = tmp_path / "queues.toml", tmp_path / "settings.toml"
+    path.write_text(QUEUES_TOML.replace(old, new, 1))
+    settings_path.write_text(settings_text())
+    with pytest.raises(ConfigError, match=expected):
+        bindings.load(str(path), load(settings_path))
 
 
-# -- the life of a message -------------------------------------------------------------------
+# -- model check of the processing steps -----------------------------------------------------
 
 
-class State(NamedTuple):
-    """Of one message, with two consumers and one that answers, any of which may end."""
+class MessageState(NamedTuple):
+    """State of one message with two consumers and a leader that replies; any of them may crash."""
 
-    ready: bool = True  # with the broker
-    taken: tuple[int, ...] = ()  # consumers that hold a delivery of it
-    done: tuple[tuple[str, ...] | None, ...] = (None, None)  # steps of each consumer
+    ready: bool = True  # in the queue
+    holders: tuple[int, ...] = ()  # consumers with an unacknowledged delivery
+    # Completed steps of each consumer; None: it is not processing the message.
+    consumer_progress: tuple[tuple[str, ...] | None, ...] = (None, None)
     jobs: int = 0
-    debt: bool = False
-    over: bool = False
-    settled: tuple[str, ...] = ()
+    reply_pending: bool = False
+    job_ended: bool = False
+    reply_progress: tuple[str, ...] = ()
     answers: int = 0
-    copies: int = 0  # redeliveries so far, to keep the space finite
+    redeliveries: int = 0  # bounded, to keep the state space finite
     crashes: int = 0
 
 
-CRASHES, COPIES = 3, 2
-
-
-def next_step(done: tuple[str, ...], order: tuple[str, ...]) -> str | None:
-    """What follows the steps that are done; None: nothing is left to do."""
-    return order[len(done)] if len(done) < len(order) else None
-
-
-def following(
-    s: State, take: tuple[str, ...], settle: tuple[str, ...], fixed_uid: bool
-) -> Iterator[State]:
-    for c in (0, 1):
-        steps = s.done[c]
-        if steps is None and s.ready:
-            yield s._replace(ready=False, taken=(*s.taken, c), done=_set(s.done, c, ()))
-        if steps is not None:
-            step = next_step(steps, take)
-            after = _set(s.done, c, None if len(steps) + 1 >= len(take) else (*steps, step))
+MAX_CRASHES, MAX_REDELIVERIES = 3, 2
+
+
+def next_step(completed: tuple[str, ...], step_order: tuple[str, ...]) -> str | None:
+    """The step after those that are done; None if all are done."""
+    return step_order[len(completed)] if len(completed) < len(step_order) else None
+
+
+def successors(
+    s: MessageState, consume_order: tuple[str, ...], reply_order: tuple[str, ...], stable_uid: bool
+) -> Iterator[MessageState]:
+    """All states that one step, redelivery or crash leads to."""
+    for consumer in (0, 1):
+        progress = s.consumer_progress[consumer]
+        if progress is None and s.ready:
+            yield s._replace(
+                ready=False,
+                holders=(*s.holders, consumer),
+                consumer_progress=_replaced(s.consumer_progress, consumer, ()),
+            )
+        if progress is not None:
+            step = next_step(progress, consume_order)
+            after = _replaced(
+                s.consumer_progress,
+                consumer,
+                None if len(progress) + 1 >= len(consume_order) else (*progress, step),
+            )
             if step == "ack":
-                yield s._replace(taken=tuple(t for t in s.taken if t != c), done=after)
+                yield s._replace(
+                    holders=tuple(holder for holder in s.holders if holder != consumer),
+                    consumer_progress=after,
+                )
             elif step == "record":
-                new = not s.jobs or not fixed_uid
-                yield s._replace(jobs=s.jobs + new, debt=s.debt or new, done=after)
-            # The broker takes the connection for dead and delivers again, while the consumer
-            # goes on: what it acknowledges later counts for nothing.
-            if c in s.taken and s.copies < COPIES:
+                new = not s.jobs or not stable_uid
+                yield s._replace(
+                    jobs=s.jobs + new, reply_pending=s.reply_pending or new, consumer_progress=after
+                )
+            # The broker considers the connection dead and redelivers while the consumer goes on;
+            # its later acknowledgement has no effect.
+            if consumer in s.holders and s.redeliveries < MAX_REDELIVERIES:
                 yield s._replace(
-                    ready=True, copies=s.copies + 1, taken=tuple(t for t in s.taken if t != c)
+                    ready=True,
+                    redeliveries=s.redeliveries + 1,
+                    holders=tuple(holder for holder in s.holders if holder != consumer),
                 )
-            # It ends, before or after a step: what it holds unacknowledged comes again.
-            if s.crashes < CRASHES and s.copies < COPIES:
-                back = c in s.taken
+            # The consumer crashes before or after a step; its unacknowledged delivery is requeued.
+            if s.crashes < MAX_CRASHES and s.redeliveries < MAX_REDELIVERIES:
+                holds = consumer in s.holders
                 yield s._replace(
-                    done=_set(s.done, c, None),
-                    taken=tuple(t for t in s.taken if t != c),
-                    ready=s.ready or back,
-                    copies=s.copies + back,
+                    consumer_progress=_replaced(s.consumer_progress, consumer, None),
+                    holders=tuple(holder for holder in s.holders if holder != consumer),
+                    ready=s.ready or holds,
+                    redeliveries=s.redeliveries + holds,
                     crashes=s.crashes + 1,
                 )
-    if s.jobs and not s.over:
-        yield s._replace(over=True)
-    if s.debt and s.over:
-        step = next_step(s.settled, settle)
+    if s.jobs and not s.job_ended:
+        yield s._replace(job_ended=True)
+    if s.reply_pending and s.job_ended:
+        step = next_step(s.reply_progress, reply_order)
         if step == "answer":
-            yield s._replace(settled=(*s.settled, step), answers=s.answers + 1)
+            yield s._replace(reply_progress=(*s.reply_progress, step), answers=s.answers + 1)
         elif step == "forget":
-            yield s._replace(settled=(), debt=False)
+            yield s._replace(reply_progress=(), reply_pending=False)
         elif step is not None:
-            yield s._replace(settled=(*s.settled, step))
-        if s.settled and s.crashes < CRASHES:
-            yield s._replace(settled=(), crashes=s.crashes + 1)
+            yield s._replace(reply_progress=(*s.reply_progress, step))
+        if s.reply_progress and s.crashes < MAX_CRASHES:
+            yield s._replace(reply_progress=(), crashes=s.crashes + 1)
 
 
-def _set(done: tuple, c: int, value: Any) -> tuple:
-    return tuple(value if n == c else old for n, old in enumerate(done))
+def _replaced(values: tuple, index: int, value: Any) -> tuple:
+    return tuple(value if n == index else old for n, old in enumerate(values))
 
 
-def explore(
-    take: tuple[str, ...], settle: tuple[str, ...] = REPLY_STEPS, *, fixed_uid: bool = True
+def find_violations(
+    consume_order: tuple[str, ...],
+    reply_order: tuple[str, ...] = REPLY_STEPS,
+    *,
+    stable_uid: bool = True,
 ) -> set[str]:
-    """Every state that can be reached; what is wrong in any of them, or at the end of all
-    that can happen."""
-    todo, seen, wrong = [State()], {State()}, set()
+    """Explores every reachable state; returns the violations found in any of them."""
+    todo, seen, violations = [MessageState()], {MessageState()}, set()
     while todo:
         state = todo.pop()
         if state.jobs > 1:
-            wrong.add("two jobs")
-        if state.answers and not state.over:
-            wrong.add("answered early")
-        if not (state.ready or state.taken or state.jobs or any(d is not None for d in state.done)):
-            wrong.add("lost")
-        if state.over and not state.debt and not state.answers:
-            wrong.add("never answered")
-        for after in following(state, take, settle, fixed_uid):
+            violations.add("two jobs")
+        if state.answers and not state.job_ended:
+            violations.add("answered early")
+        if not (
+            state.ready
+            or state.holders
+            or state.jobs
+            or any(d is not None for d in state.consumer_progress)
+        ):
+            violations.add("lost")
+        if state.job_ended and not state.reply_pending and not state.answers:
+            violations.add("never answered")
+        for after in successors(state, consume_order, reply_order, stable_uid):
             if after not in seen:
                 seen.add(after)
                 todo.append(after)
     assert len(seen) > 200
-    return wrong
+    return violations
 
 
-def test_no_order_of_crashes_loses_or_doubles_a_message() -> None:
-    assert explore(CONSUME_STEPS["once"]) == set()
-    assert explore(CONSUME_STEPS["at_least_once"]) == set()
-    assert explore(CONSUME_STEPS["at_most_once"]) == {"lost"}  # as it says
+def test_no_crash_order_loses_or_duplicates_a_message() -> None:
+    assert find_violations(CONSUME_STEPS["once"]) == set()
+    assert find_violations(CONSUME_STEPS["at_least_once"]) == set()
+    assert find_violations(CONSUME_STEPS["at_most_once"]) == {"lost"}  # by definition
 
 
 @pytest.mark.parametrize(
-    ("order", "settle", "fixed_uid", "finds"),
+    ("step_order", "reply_order", "stable_uid", "violation"),
     [
         (("ack", "record"), REPLY_STEPS, True, "lost"),
         (("record", "ack"), REPLY_STEPS, False, "two jobs"),
         (("record", "ack"), ("forget", "answer", "confirm"), True, "never answered"),
     ],
 )
-def test_the_exploration_finds_the_faults_that_the_order_guards_against(
-    order: tuple[str, ...], settle: tuple[str, ...], fixed_uid: bool, finds: str
+def test_model_check_finds_wrong_step_orders(
+    step_order: tuple[str, ...], reply_order: tuple[str, ...], stable_uid: bool, violation: str
 ) -> None:
-    assert finds in explore(order, settle, fixed_uid=fixed_uid)
+    assert violation in find_violations(step_order, reply_order, stable_uid=stable_uid)
