--- a/tests/test_queue_cli.py
+++ b/tests/test_queue_cli.py
@@ -1,4 +1,4 @@
-"""The command line of queues against a whole installation on loopback sockets."""
+"""The `queues` commands against an emulated broker on loopback sockets; the metrics exporter."""
 
 import os
 import random
@@ -13,7 +13,7 @@
 from ryegauge.emulator.broker import Broker
 from ryegauge.queues.meter import Meter
 
-FILE = """
+QUEUES_TOML = """
 [[bindings]]
 name = "picks"
 queue = "work"
@@ -25,65 +25,67 @@
 """
 
 
-def test_a_message_is_put_counted_and_taken(tmp_path: Path) -> None:
-    ready: list[int] = []
-    up, over = threading.Event(), threading.Event()
+def test_put_count_and_take_against_a_broker(tmp_path: Path) -> None:
+    ports: list[int] = []
+    started, stopped = threading.Event(), threading.Event()
 
     async def serve() -> None:
         async with trio.open_nursery() as nursery:
             broker = Broker(nursery, random.Random(1))
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
             nursery.start_soon(trio.serve_listeners, broker.serve, listeners)
-            ready.append(listeners[0].socket.getsockname()[1])
-            up.set()
-            while not over.is_set():
+            ports.append(listeners[0].socket.getsockname()[1])
+            started.set()
+            while not stopped.is_set():
                 await trio.sleep(0.02)
             nursery.cancel_scope.cancel()
 
     thread = threading.Thread(target=trio.run, args=(serve,))
     thread.start()
     try:
-        assert up.wait(30)
+        assert started.wait(30)
         path = tmp_path / "queues.toml"
-        path.write_text(FILE.format(port=ready[0]))
+        path.write_text(QUEUES_TOML.format(port=ports[0]))
         body = tmp_path / "body.json"
         body.write_text('{"pieces": 2, "kit": "img-1"}')
-        at = ["--file", str(path)]
+        file_option = ["--file", str(path)]
 
-        def call(*words: str) -> tuple[int, str]:
-            result = CliRunner().invoke(main, ["queues", *words])
+        def call(*arguments: str) -> tuple[int, str]:
+            result = CliRunner().invoke(main, ["queues", *arguments])
             return result.exit_code, result.output
 
-        code, said = call("count", *at, "picks")
+        code, output = call("count", *file_option, "picks")
         assert code == 1
-        assert "404" in said
-        put = ("put", *at, "--id", "m-1", "--declare", "picks", str(body))
-        code, uid = call(*put)
+        assert "404" in output
+        put_arguments = ("put", *file_option, "--id", "m-1", "--declare", "picks", str(body))
+        code, uid = call(*put_arguments)
         assert code == 0
         assert uid.startswith("wk-9")
-        assert call(*put) == (0, uid)  # the same id is the same job
-        assert call("count", *at, "picks") == (0, "work: 2 messages, 0 consumers\n")
-        out = str(tmp_path / "got")
-        code, said = call("take", *at, "--most", "2", "--out", out, "picks", "work")
+        assert call(*put_arguments) == (0, uid)  # the same message id yields the same job
+        assert call("count", *file_option, "picks") == (0, "work: 2 messages, 0 consumers\n")
+        directory = str(tmp_path / "got")
+        code, output = call(
+            "take", *file_option, "--most", "2", "--out", directory, "picks", "work"
+        )
         assert code == 0
         assert (tmp_path / "got" / "m-1.json").read_text() == body.read_text()
-        assert call("count", *at, "picks") == (0, "work: 0 messages, 0 consumers\n")
+        assert call("count", *file_option, "picks") == (0, "work: 0 messages, 0 consumers\n")
         body.write_text('{"pieces": 0, "kit": "x"}')
-        code, said = call(*put)
+        code, output = call(*put_arguments)
         assert code == 2
-        assert "pieces" in said
-        code, said = call("take", *at, "--wait", "0.2", "picks", "work")
+        assert "pieces" in output
+        code, output = call("take", *file_option, "--wait", "0.2", "picks", "work")
         assert code == 1
-        assert "nothing came within 0.2 s" in said
+        assert "nothing came within 0.2 s" in output
     finally:
-        over.set()
+        stopped.set()
         thread.join()
-    code, said = call("count", *at, "picks")
+    code, output = call("count", *file_option, "picks")
     assert code == 3
-    assert os.fspath(path) not in said
+    assert os.fspath(path) not in output
 
 
-def test_figures_are_shown_in_prometheus_format() -> None:
+def test_metrics_are_exported_in_prometheus_format() -> None:
     pytest.importorskip("prometheus_client")
     from prometheus_client import CollectorRegistry, generate_latest
 
