--- a/ryegauge/cli/experiment.py
+++ b/ryegauge/cli/experiment.py
@@ -12,11 +12,11 @@
 from ryegauge.config import ConfigError
 from ryegauge.experiments import POLICIES
 
-EXTRA = "the experiments need: pip install 'ryegauge[experiments]'"
+INSTALL_HINT = "the experiments need: pip install 'ryegauge[experiments]'"
 DAYS = Path(__file__).resolve().parent.parent / "experiments" / "days"
 
 
-def _built_in() -> list[str]:
+def _built_in_days() -> list[str]:
     return sorted(path.stem for path in DAYS.glob("*.toml"))
 
 
@@ -28,7 +28,7 @@
     multiple=True,
     metavar="DAY",
     help="A built-in day, or a TOML file; may be repeated. Built in: "
-    f"{', '.join(_built_in())}. Default: all of these.",
+    f"{', '.join(_built_in_days())}. Default: all of these.",
 )
 @click.option(
     "--policy",
@@ -151,9 +151,9 @@
             totals,
             write_events,
         )
-        from ryegauge.experiments.runs import Outcome, ageing_runs, play_all
+        from ryegauge.experiments.runs import RunResult, ageing_runs, run_all
     except ImportError as error:
-        fail(f"{EXTRA} ({error})", 2)
+        fail(f"{INSTALL_HINT} ({error})", 2)
     console = Console(width=None if os.isatty(1) else 160)
     if name == "recovery":
         _recovery(
@@ -182,8 +182,8 @@
         _queues(list(range(seed, seed + seeds)), processes, as_json, console)
         return
     named: dict[str, Day] = {}
-    for day_name in days or _built_in():
-        path = DAYS / f"{day_name}.toml" if day_name in _built_in() else Path(day_name)
+    for day_name in days or _built_in_days():
+        path = DAYS / f"{day_name}.toml" if day_name in _built_in_days() else Path(day_name)
         try:
             named[path.stem] = load(path)
         except ConfigError as error:
@@ -205,8 +205,8 @@
             bar = progress.add_task(f"{title}: {len(runs)} days", total=len(runs))
             step = -(-len(runs) // 10)
 
-            def told(
-                _: Outcome,
+            def on_result(
+                _: RunResult,
                 bar: Any = bar,
                 progress: Progress = progress,
                 title: str = title,
@@ -218,12 +218,12 @@
                 if not progress.console.is_terminal and ended % step == 0:
                     click.echo(f"{title}: {ended} of {total} days", err=True)
 
-            outcomes = list(play_all(runs, processes, out is not None, told))
+            outcomes = list(run_all(runs, processes, out is not None, on_result))
         tables = [summary(outcomes), totals(outcomes)]
         result[title] = {"title": day.title, "delays": tables[0], "totals": tables[1]}
-        broken += sum(len(o.figures.broken) for o in outcomes)
+        broken += sum(len(o.metrics.broken) for o in outcomes)
         for outcome in outcomes:
-            for rule in outcome.figures.broken[:3]:
+            for rule in outcome.metrics.broken[:3]:
                 run = outcome.run
                 click.echo(f"{title}, {run.name}, seed {run.seed}: {rule}", err=True)
         if not as_json:
@@ -238,7 +238,9 @@
         fail(f"{broken} times a rule was broken", 1)
 
 
-def _play(calls: Sequence[tuple[Callable[..., Any], tuple[Any, ...]]], processes: int) -> list[Any]:
+def _run_parallel(
+    calls: Sequence[tuple[Callable[..., Any], tuple[Any, ...]]], processes: int
+) -> list[Any]:
     """What each call comes to, in their order, and how far it has come."""
     from concurrent.futures import ProcessPoolExecutor, as_completed
     from multiprocessing import get_context
@@ -272,8 +274,8 @@
         for version, checkout in versions
         for seed in seeds
     ]
-    rows = recovery.table(_play(calls, processes))
-    _tell(f"Recovery, about {machines} machines", rows, as_json, console)
+    rows = recovery.summarize(_run_parallel(calls, processes))
+    _report_rows(f"Recovery, about {machines} machines", rows, as_json, console)
 
 
 def _loss(
@@ -293,7 +295,15 @@
     chosen = [] if cells else loss.default_cells()
     for cell in cells:
         parts = [part.strip() for part in cell.split("/")]
-        known = [list(n) for n in (loss.LOSSES, loss.LIVES, loss.SNAPSHOTS, loss.MEANWHILE)]
+        known = [
+            list(n)
+            for n in (
+                loss.LOSS_TROUBLES,
+                loss.SURVIVOR_TROUBLES,
+                loss.SNAPSHOT_INTERVALS_S,
+                loss.CONCURRENT_TROUBLES,
+            )
+        ]
         if len(parts) != len(known):
             fail(f"--cell: {cell!r}: expected LOSS/LIVES/SNAPSHOTS/MEANWHILE", 2)
         for part, names in zip(parts, known, strict=True):
@@ -308,14 +318,14 @@
         for version, checkout in versions
         for seed in seeds
     ]
-    rows = loss.table(_play(calls, processes))
-    _tell(f"Lost state, about {machines} machines", rows, as_json, console)
+    rows = loss.summarize(_run_parallel(calls, processes))
+    _report_rows(f"Lost state, about {machines} machines", rows, as_json, console)
 
 
-def _tell(title: str, rows: list[dict[str, Any]], as_json: bool, console: Any) -> None:
+def _report_rows(title: str, rows: list[dict[str, Any]], as_json: bool, console: Any) -> None:
     """Ends with exit code 1 if a rule was broken by this version, or too little was served."""
     from ryegauge.experiments.report import print_tables
-    from ryegauge.experiments.served import LEAST
+    from ryegauge.experiments.served import MIN_SERVED_SHARE
 
     if as_json:
         click.echo(json.dumps(rows, indent=2))
@@ -324,12 +334,12 @@
     mine = [row for row in rows if row["version"] == "this"]
     if broken := sum(row["broken"] for row in mine):
         fail(f"{broken} times a rule was broken", 1)
-    if poor := [row for row in mine if row["served"] < LEAST]:
+    if poor := [row for row in mine if row["served"] < MIN_SERVED_SHARE]:
         fail(f"in {len(poor)} rows less than half of {poor[0]['least']} was served", 1)
 
 
 # Frames after which connections drop: login and subscription take ten, each message a few.
-STEPS = range(40)
+DROP_AFTER_FRAMES = range(40)
 
 
 def _queues(seeds: list[int], processes: int, as_json: bool, console: Any) -> None:
@@ -337,14 +347,14 @@
         from ryegauge.experiments import queues
         from ryegauge.queues.bindings import Delivery
     except ImportError as error:
-        fail(f"{EXTRA} 'ryegauge[queues]' ({error})", 2)
+        fail(f"{INSTALL_HINT} 'ryegauge[queues]' ({error})", 2)
     from ryegauge.experiments.report import print_tables
 
     deliveries: tuple[Delivery, ...] = ("once", "at_least_once", "at_most_once")
     counts = [
         (queues.count, (delivery, trouble, seed, 30))
         for delivery in deliveries
-        for trouble, some in (("ends", seeds), *((str(n), seeds[:1]) for n in STEPS))
+        for trouble, some in (("ends", seeds), *((str(n), seeds[:1]) for n in DROP_AFTER_FRAMES))
         for seed in some
     ]
     floods = [
@@ -352,9 +362,9 @@
         for seed in seeds[:4]
         for with_queues in (False, True)
     ]
-    played = _play([*counts, *floods], processes)
+    played = _run_parallel([*counts, *floods], processes)
     tables = [
-        queues.table(played[: len(counts)]),
+        queues.summarize(played[: len(counts)]),
         [one._asdict() for one in played[len(counts) :]],
     ]
     if as_json:
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -15,7 +15,7 @@
     from ryegauge.amqp.connection import Event
     from ryegauge.queues.bindings import Binding
 
-ANSWER_S = 10.0
+BROKER_TIMEOUT_S = 10.0
 file_option = click.option(
     "--file",
     "file",
@@ -52,8 +52,8 @@
 
 def _with_channel(
     binding: "Binding",
-    use: Callable[["Session", int, trio.MemoryReceiveChannel[Any]], Awaitable[None]],
-    patience_s: float = ANSWER_S,
+    operation: Callable[["Session", int, trio.MemoryReceiveChannel[Any]], Awaitable[None]],
+    timeout_s: float = BROKER_TIMEOUT_S,
 ) -> None:
     """One connection to the first broker that answers, with a channel that confirms."""
     import ssl
@@ -74,7 +74,7 @@
         send, receive = trio.open_memory_channel[Any](1000)
         number = 0
 
-        def told(event: "Event") -> None:
+        def on_event(event: "Event") -> None:
             nonlocal number
             match event:
                 case Opened():
@@ -84,26 +84,26 @@
                 case Done(method="Confirm.Select"):
                     nursery.start_soon(work)
                 case ChannelClosed(code=code, text=text) | Closed(code=code, text=text) if code:
-                    refused.append(f"{code} {text}")
+                    errors.append(f"{code} {text}")
                     nursery.cancel_scope.cancel()
                 case _:
                     send.send_nowait(event)
 
         async def work() -> None:
-            with trio.move_on_after(patience_s) as scope:
-                await use(session, number, receive)
+            with trio.move_on_after(timeout_s) as scope:
+                await operation(session, number, receive)
             if scope.cancelled_caught:
-                refused.append(f"nothing came within {patience_s:g} s")
+                errors.append(f"nothing came within {timeout_s:g} s")
             session.protocol.close()
             session.flush()
             await trio.sleep(0.1)
             nursery.cancel_scope.cancel()
 
-        refused: list[str] = []
+        errors: list[str] = []
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(session.run, told)
-        if refused:
-            fail(refused[0], 1)
+            nursery.start_soon(session.run, on_event)
+        if errors:
+            fail(errors[0], 1)
 
     trio.run(run)
 
@@ -113,15 +113,15 @@
 @click.argument("binding")
 def count(file: str, binding: str) -> None:
     """Print how many messages wait for BINDING, and how many consumers the queue has."""
-    bound = _binding(file, binding)
+    selected = _binding(file, binding)
 
-    async def use(session: "Session", number: int, events: Any) -> None:
-        session.protocol.declare(number, bound.queue, passive=True)
+    async def operation(session: "Session", number: int, events: Any) -> None:
+        session.protocol.declare(number, selected.queue, passive=True)
         session.flush()
         counted = await events.receive()
-        click.echo(f"{bound.queue}: {counted.messages} messages, {counted.consumers} consumers")
+        click.echo(f"{selected.queue}: {counted.messages} messages, {counted.consumers} consumers")
 
-    _with_channel(bound, use)
+    _with_channel(selected, operation)
 
 
 @queues.command()
@@ -153,7 +153,7 @@
     It is checked first as a controller would check it; exit code 0 means that the broker has
     confirmed it.
     """
-    bound = _binding(file, binding)
+    selected = _binding(file, binding)
     from pamqp.commands import Basic
 
     from ryegauge.amqp.connection import Confirmed, Returned
@@ -168,26 +168,26 @@
         delivery_mode=PERSISTENT,
         content_type=content_type,
     )
-    if isinstance(found := read(bound, properties, data), Never):
+    if isinstance(found := read(selected, properties, data), Never):
         fail(f"{body.name}: {found.reason}", 2)
 
-    async def use(session: "Session", number: int, events: Any) -> None:
-        for queue in (bound.queue, reply_to) if declare else ():
+    async def operation(session: "Session", number: int, events: Any) -> None:
+        for queue in (selected.queue, reply_to) if declare else ():
             if queue:
                 session.protocol.declare(number, queue)
-        session.protocol.publish(number, "", bound.queue, data, properties)
+        session.protocol.publish(number, "", selected.queue, data, properties)
         session.flush()
         while True:
             match await events.receive():
                 case Returned(code=code, text=text):
-                    fail(f"{bound.queue}: {code} {text}", 1)
+                    fail(f"{selected.queue}: {code} {text}", 1)
                 case Confirmed(good=good):
                     if not good:
                         fail("the broker did not take it", 1)
                     break
         click.echo(found.uid if isinstance(found, Cancellation) else found.spec.uid)
 
-    _with_channel(bound, use)
+    _with_channel(selected, operation)
 
 
 @queues.command()
@@ -212,9 +212,9 @@
 def take(file: str, most: int, wait: float, out: Path | None, binding: str, queue: str) -> None:
     """Take answers from QUEUE, at the broker of BINDING; each is acknowledged once it is
     printed or written."""
-    bound = _binding(file, binding)
+    selected = _binding(file, binding)
 
-    async def use(session: "Session", number: int, events: Any) -> None:
+    async def operation(session: "Session", number: int, events: Any) -> None:
         from ryegauge.amqp.connection import Delivery
 
         session.protocol.prefetch(number, most)
@@ -235,4 +235,4 @@
             session.protocol.ack(number, event.tag)
             session.flush()
 
-    _with_channel(bound, use, wait)
+    _with_channel(selected, operation, wait)
--- a/ryegauge/cli/snapshot.py
+++ b/ryegauge/cli/snapshot.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from ryegauge.rebuilding.snapshots import Snapshot
 
-config_if_any = click.option(
+optional_config_option = click.option(
     "--config", type=click.Path(), help="Settings file (TOML): whether they are of this fleet."
 )
 
@@ -28,7 +28,7 @@
     """
 
 
-def _read(path: Path, fleet: str | None) -> "Snapshot":
+def _read_snapshot(path: Path, fleet: str | None) -> "Snapshot":
     """Raises Unusable."""
     try:
         from ryegauge.rebuilding.snapshots import Unusable, decoded
@@ -40,7 +40,7 @@
         raise Unusable(f"cannot be read: {error.strerror}") from None
 
 
-def _fleet(config: str | None) -> str | None:
+def _configured_fleet(config: str | None) -> str | None:
     if config is None:
         return None
     try:
@@ -53,11 +53,11 @@
         fail(str(error), 2)
 
 
-def _line(path: Path, fleet: str | None) -> tuple[str, bool]:
+def _describe(path: Path, fleet: str | None) -> tuple[str, bool]:
     from ryegauge.rebuilding.snapshots import Unusable
 
     try:
-        header, known_state = _read(path, fleet)
+        header, known_state = _read_snapshot(path, fleet)
     except Unusable as error:
         return f"{path}: {error}", False
     jobs = sum(key.startswith("r/j/") and key.count("/") == 2 for key in known_state.records)
@@ -71,24 +71,24 @@
 
 @snapshot.command("list")
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
-@config_if_any
+@optional_config_option
 def list_(directory: Path, config: str | None) -> None:
     """What is in DIRECTORY, the newest first; those that cannot be used with the reason."""
-    fleet = _fleet(config)
+    fleet = _configured_fleet(config)
     paths = sorted(directory.glob("*.ryegauge"), reverse=True)
     for path in paths:
-        click.echo(_line(path, fleet)[0])
+        click.echo(_describe(path, fleet)[0])
     if not paths:
         click.echo(f"{directory}: no snapshots", err=True)
 
 
 @snapshot.command()
 @click.argument("file", nargs=-1, required=True, type=click.Path(path_type=Path))
-@config_if_any
+@optional_config_option
 def check(file: tuple[Path, ...], config: str | None) -> None:
     """Whether each FILE can be used; exit code 1 if one cannot."""
-    fleet = _fleet(config)
-    lines = [_line(path, fleet) for path in file]
+    fleet = _configured_fleet(config)
+    lines = [_describe(path, fleet) for path in file]
     for line, _ in lines:
         click.echo(line)
     if not all(good for _, good in lines):
@@ -107,15 +107,15 @@
 def put(file: Path, into: Path, config: str) -> None:
     """Have a controller put FILE back: it looks at it within snapshots.every.s, or when it
     starts. Nothing is undone: of a record that is there, the newer one counts."""
-    line, good = _line(file, _fleet(config))
+    line, good = _describe(file, _configured_fleet(config))
     click.echo(line)
     if not good:
         fail("cannot be used", 1)
     name = f"{round(1000 * time.time()):015d}-put{file.suffix}"
-    beside = into / f"{name}.part"
+    temporary = into / f"{name}.part"
     try:
-        beside.write_bytes(file.read_bytes())
-        os.replace(beside, into / name)
+        temporary.write_bytes(file.read_bytes())
+        os.replace(temporary, into / name)
     except OSError as error:
         fail(f"{into}: {error.strerror}", 2)
     click.echo(f"{into / name}: the controller's log tells what it makes of it")
--- a/ryegauge/experiments/day.py
+++ b/ryegauge/experiments/day.py
@@ -1,4 +1,7 @@
-"""A day of an experiment as data: installation, arrivals and troubles, from a TOML file."""
+"""The scenario of an experiment, called a day: installation, job arrivals and troubles.
+
+A day is read from a TOML file. A trouble is a fault that is injected while the day is played.
+"""
 
 import random
 from collections.abc import Iterator
@@ -11,65 +14,79 @@
 from ryegauge.emulator.fleet import FleetType
 from ryegauge.protocol.jobs import Kind, Priority
 
-Amount = Annotated[float, msgspec.Meta(ge=0)]
-Positive = Annotated[float, msgspec.Meta(gt=0)]
-Count = Annotated[int, msgspec.Meta(ge=1)]
-# A fixed figure, or bounds between which luck decides evenly.
-Span = Positive | Annotated[list[float], msgspec.Meta(min_length=2, max_length=2)]
-Number = Count | Annotated[list[int], msgspec.Meta(min_length=2, max_length=2)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0)]
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0)]
+PositiveInt = Annotated[int, msgspec.Meta(ge=1)]
+# A fixed value, or the bounds of a uniform distribution.
+FloatOrRange = PositiveFloat | Annotated[list[float], msgspec.Meta(min_length=2, max_length=2)]
+IntOrRange = PositiveInt | Annotated[list[int], msgspec.Meta(min_length=2, max_length=2)]
+
 
+class TeamQuota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A team with its guaranteed CPUs and the most that it may use."""
 
-class TeamSize(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     name: str
-    cpus: Amount
-    cpus_max: Amount
+    cpus: NonNegativeFloat
+    cpus_max: NonNegativeFloat
 
 
 class Installation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    teams: list[TeamSize]
-    controllers: Count = 3
+    """The controllers of a day and the settings that they share.
+
+    `areas` are the zones of the controllers, used in turn. `rps`, `write_rps`, `value_kb` and
+    `txn_ops` are limits of the state service.
+    """
+
+    teams: list[TeamQuota]
+    controllers: PositiveInt = 3
     areas: tuple[str, ...] = ("a",)
-    report_s: Positive = 1.0
-    lease_s: Positive = 10.0
-    cancel_s: Positive = 35.0
-    rps: Positive = 200.0
-    write_rps: Positive = 100.0
-    value_kb: Positive = 16.0
-    txn_ops: Count = 12
-    list_lag_s: Positive = 4.0
-    clock_error_ms: Amount = 5.0
+    report_s: PositiveFloat = 1.0
+    lease_s: PositiveFloat = 10.0
+    cancel_s: PositiveFloat = 35.0
+    rps: PositiveFloat = 200.0
+    write_rps: PositiveFloat = 100.0
+    value_kb: PositiveFloat = 16.0
+    txn_ops: PositiveInt = 12
+    list_lag_s: PositiveFloat = 4.0
+    clock_error_ms: NonNegativeFloat = 5.0
 
 
 class Arrivals(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Jobs of one class: `count` at `from_s`, or one every `every_s` on average."""
+    """Jobs of one class: `count` at `from_s`, or one every `every_s` on average.
+
+    With `every_s` they arrive as a Poisson process from `from_s` to `until_s`, by default the
+    end of the day. Times are in seconds since the start of the day.
+    """
 
     job_class: str
     team: str
     priority: Priority
-    tasks: Number
-    run_s: Span
-    cpus: Positive = 1.0
-    memory_gb: Positive = 1.0
+    tasks: IntOrRange
+    run_s: FloatOrRange
+    cpus: PositiveFloat = 1.0
+    memory_gb: PositiveFloat = 1.0
     kind: Kind = "sweep"
-    image_gb: Amount = 0.5
-    from_s: Amount = 0.0
-    until_s: Amount | None = None
-    every_s: Positive | None = None
-    count: Count = 1
-    deadline_s: Positive | None = None
+    image_gb: NonNegativeFloat = 0.5
+    from_s: NonNegativeFloat = 0.0
+    until_s: NonNegativeFloat | None = None
+    every_s: PositiveFloat | None = None
+    count: PositiveInt = 1
+    deadline_s: PositiveFloat | None = None
     spot: bool = True
     one_zone: bool = False
     spread: bool = False
-    # Left out where a day is played without what lies around already.
+    # Left out when the day is played without its backlog.
     backlog: bool = False
-    # Of so many of them every task fails on every machine.
+    # Share of the jobs whose tasks fail on every machine.
     mistaken: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
-    # Their users cancel them after so long, if they are mistaken.
-    cancelled_after_s: Positive | None = None
+    # Seconds from acceptance until the user cancels a mistaken job.
+    cancelled_after_s: PositiveFloat | None = None
 
 
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    at_s: Amount
+    """A fault that begins `at_s` seconds into the day and, of most kinds, lasts `lasts_s`."""
+
+    at_s: NonNegativeFloat
     kind: Literal[
         "crash_leader",
         "crash_all",
@@ -101,28 +118,30 @@
         "odd_requests",
         "close_looks",
     ]
-    lasts_s: Amount = 0.0
-    # For `state_back`: how far; with `part` 1 without leases.
-    # For `machines_*` and `spot_taken`: of those that are up; for `boots`: that never end; for
-    # `late_writes` and `late_reports`: of transactions and reports; for `cancel_at_end`: of the
-    # jobs that end.
+    lasts_s: NonNegativeFloat = 0.0
+    # Share, for `machines_*` and `spot_taken`: of the machines that are up; for `boots`: of the
+    # boots that never end; for `late_writes`: of transactions; for `late_reports`: of reports;
+    # for `cancel_at_end`: of the jobs that end. For `state_back`, which rolls the data back by
+    # `lasts_s` seconds, 1 also drops the leases.
     part: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.0
-    # For `machines_deaf` and `machines_mute`, instead of `part`: so many of them, or all in a
-    # zone; for `leader_refused` and `leader_cut`: so many controllers, the leader first; for
-    # `cancel_now`: so many jobs.
+    # For `machines_deaf` and `machines_mute`, instead of `part`: number of machines, or 0 for all
+    # in `zone`; for `leader_refused` and `leader_cut`: number of controllers, the leader first;
+    # for `cancel_now`: number of jobs.
     count: Annotated[int, msgspec.Meta(ge=0)] = 0
     zone: str = ""
-    times: Positive = 1.0  # for `boots`: as long as usual; for `polls`: as often
-    # For `clock`: by how much the controllers' times of day are wrong, at most.
-    error_s: Amount = 0.0
-    at_once: bool = False  # for `late_writes`: carried out at once, only the answer is lost
+    times: PositiveFloat = 1.0  # factor, for `boots`: of boot times; for `polls`: of the poll rate
+    # For `clock`: maximum error of the controllers' wall clocks.
+    error_s: NonNegativeFloat = 0.0
+    at_once: bool = False  # for `late_writes`: executed at once, only the response is lost
     for_next: bool = False  # for `late_reports`: the copies are kept for the next leader
-    hang_s: Amount = 0.0  # for `cancel_now`: so long up to eight of the jobs' machines hang
+    # For `cancel_now`: seconds that up to eight of the jobs' machines hang.
+    hang_s: NonNegativeFloat = 0.0
 
 
-# Keys of one kind only, and what a kind cannot do without.
-ONLY_FOR = {"at_once": "late_writes", "for_next": "late_reports", "hang_s": "cancel_now"}
-NEEDED = {
+# Key -> the only kind of trouble that has it.
+KIND_SPECIFIC_KEYS = {"at_once": "late_writes", "for_next": "late_reports", "hang_s": "cancel_now"}
+# Kind of trouble -> keys of which at least one has to be given.
+REQUIRED_KEYS = {
     "machines_mute": ("count", "part", "zone"),
     "cancel_now": ("count",),
     "cancel_at_end": ("part",),
@@ -130,8 +149,10 @@
 
 
 class Day(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A scenario of `seconds` of simulated time; `properties` override the operators' defaults."""
+
     title: str
-    seconds: Positive
+    seconds: PositiveFloat
     installation: Installation
     types: list[FleetType]
     arrivals: list[Arrivals]
@@ -140,39 +161,42 @@
 
 
 class Submission(NamedTuple):
+    """A job that a user submits `at_s` seconds into the day; times are in seconds."""
+
     at_s: float
-    run_s: float
+    run_s: float  # actual run time of a task
     body: dict[str, Any]
-    mistaken: bool = False
-    cancel_after_s: float | None = None
+    mistaken: bool = False  # every task fails on every machine
+    cancel_after_s: float | None = None  # from acceptance until the user cancels it
 
 
 def load(path: str | Path) -> Day:
-    """A day that can be played; raises ConfigError with the file and the place in it."""
+    """Read and check a day; raises ConfigError that names the file and the place in it."""
     day = read_toml(path, Day)
     try:
         msgspec.convert(day.properties, Properties)
     except msgspec.ValidationError as error:
         raise ConfigError(f"{path}: $.properties: {error}") from None
-    zones = {zone for type_ in day.types for zone in type_.zones}
+    zones = {zone for machine_type in day.types for zone in machine_type.zones}
     for n, trouble in enumerate(day.troubles):
         if trouble.zone and trouble.zone not in zones:
             raise ConfigError(f"{path}: $.troubles[{n}].zone: no zone {trouble.zone!r}")
-        for key, kind in ONLY_FOR.items():
+        for key, kind in KIND_SPECIFIC_KEYS.items():
             if getattr(trouble, key) and trouble.kind != kind:
                 raise ConfigError(f"{path}: $.troubles[{n}].{key}: only for {kind}")
-        needed = NEEDED.get(trouble.kind, ())
-        if needed and not any(getattr(trouble, key) for key in needed):
+        required = REQUIRED_KEYS.get(trouble.kind, ())
+        if required and not any(getattr(trouble, key) for key in required):
             raise ConfigError(
-                f"{path}: $.troubles[{n}].{needed[0]}: {trouble.kind} needs {' or '.join(needed)}"
+                f"{path}: $.troubles[{n}].{required[0]}: "
+                f"{trouble.kind} needs {' or '.join(required)}"
             )
-    known = {team.name for team in day.installation.teams}
+    team_names = {team.name for team in day.installation.teams}
     for n, arrivals in enumerate(day.arrivals):
-        if arrivals.team not in known:
+        if arrivals.team not in team_names:
             raise ConfigError(f"{path}: $.arrivals[{n}].team: no team {arrivals.team!r}")
         for key in ("tasks", "run_s"):
-            span = getattr(arrivals, key)
-            if isinstance(span, list) and not 0 < span[0] <= span[1]:
+            bounds = getattr(arrivals, key)
+            if isinstance(bounds, list) and not 0 < bounds[0] <= bounds[1]:
                 raise ConfigError(
                     f"{path}: $.arrivals[{n}].{key}: expected two positive numbers, "
                     f"the smaller first"
@@ -183,49 +207,53 @@
     return day
 
 
-def settings_of(day: Day, ordering: str) -> list[Settings]:
-    """What each controller would be handed by its platform."""
-    inst = day.installation
+def controller_settings(day: Day, ordering: str) -> list[Settings]:
+    """The settings of each controller, as the platform would provide them."""
+    installation = day.installation
     nodes = [
         {
             "node_name": f"node-{n}",
-            "area": inst.areas[n % len(inst.areas)],
+            "area": installation.areas[n % len(installation.areas)],
             "listen": f"10.0.0.{n + 1}:8080",
             "mesh_addr": f"10.0.0.{n + 1}:8081",
         }
-        for n in range(inst.controllers)
+        for n in range(installation.controllers)
     ]
     shared = {
-        "nodes": inst.controllers,
-        "zones": sorted(set(inst.areas)),
-        "clock_error_ms": inst.clock_error_ms,
-        "teams": [msgspec.to_builtins(team) for team in inst.teams],
+        "nodes": installation.controllers,
+        "zones": sorted(set(installation.areas)),
+        "clock_error_ms": installation.clock_error_ms,
+        "teams": [msgspec.to_builtins(team) for team in installation.teams],
         "workers": {
-            "report_s": inst.report_s,
-            "lease_s": inst.lease_s,
-            "cancel_s": inst.cancel_s,
+            "report_s": installation.report_s,
+            "lease_s": installation.lease_s,
+            "cancel_s": installation.cancel_s,
         },
         "state": {
-            "rps": inst.rps,
-            "write_rps": inst.write_rps,
-            "value_kb": inst.value_kb,
-            "txn_ops": inst.txn_ops,
+            "rps": installation.rps,
+            "write_rps": installation.write_rps,
+            "value_kb": installation.value_kb,
+            "txn_ops": installation.txn_ops,
         },
-        "cloud": {"rps": 6.0, "list_lag_s": inst.list_lag_s},
+        "cloud": {"rps": 6.0, "list_lag_s": installation.list_lag_s},
     }
     properties = msgspec.convert({**day.properties, "ordering": ordering}, Properties)
     result: list[Settings] = []
     for node in nodes:
-        known = [
-            {"node_name": o["node_name"], "area": o["area"], "peer_addr": o["mesh_addr"]}
-            for o in nodes
-            if o is not node
+        peers = [
+            {
+                "node_name": other["node_name"],
+                "area": other["area"],
+                "peer_addr": other["mesh_addr"],
+            }
+            for other in nodes
+            if other is not node
         ]
         settings = msgspec.convert(
             {
                 **node,
                 "settings": shared,
-                "known": known,
+                "known": peers,
                 "outside": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
             },
             Settings,
@@ -234,61 +262,65 @@
     return result
 
 
-def _draw(rng: random.Random, span: Span) -> float:
-    return span if isinstance(span, float | int) else rng.uniform(span[0], span[1])
+def _draw(rng: random.Random, value: FloatOrRange) -> float:
+    return value if isinstance(value, float | int) else rng.uniform(value[0], value[1])
 
 
 def submissions(
     day: Day, seed: int, size: float = 1.0, backlog: bool = True
 ) -> Iterator[Submission]:
-    """The jobs of a day, the same for the same seed; `size` scales how many there are, and
-    without `backlog` those that are marked so are left out. Names come in order of arrival
-    within each class."""
+    """The jobs of a day, the same for the same seed.
+
+    `size` scales their number. Without `backlog`, jobs that are marked as backlog are left out.
+    Within a class, job names are in order of arrival.
+    """
     number = 0
-    for n, a in enumerate(day.arrivals):
+    for n, arrivals in enumerate(day.arrivals):
         rng = random.Random(f"{seed}/{n}")
-        at_s = a.from_s
-        until_s = day.seconds if a.until_s is None else a.until_s
+        at_s = arrivals.from_s
+        until_s = day.seconds if arrivals.until_s is None else arrivals.until_s
         times: list[float] = []
-        if a.every_s is None:
-            times = [at_s] * max(1, round(a.count * size))
+        if arrivals.every_s is None:
+            times = [at_s] * max(1, round(arrivals.count * size))
         else:
-            while (at_s := at_s + rng.expovariate(size / a.every_s)) < until_s:
+            while (at_s := at_s + rng.expovariate(size / arrivals.every_s)) < until_s:
                 times.append(at_s)
         for at_s in times:
             number += 1
-            if a.backlog and not backlog:
-                # Counted and left out: the rest has the same luck and names. Found when the
-                # baseline had other arrivals than the days that were held against it.
+            if arrivals.backlog and not backlog:
+                # Skipped only after counting, so that all other jobs keep their random numbers
+                # and names, and the baseline has the same arrivals as the days it is compared to.
                 continue
-            tasks = a.tasks if isinstance(a.tasks, int) else rng.randint(*a.tasks)
-            run_s = _draw(rng, a.run_s)
-            mistaken = a.mistaken > 0 and rng.random() < a.mistaken
+            tasks = (
+                arrivals.tasks if isinstance(arrivals.tasks, int) else rng.randint(*arrivals.tasks)
+            )
+            run_s = _draw(rng, arrivals.run_s)
+            mistaken = arrivals.mistaken > 0 and rng.random() < arrivals.mistaken
             yield Submission(
                 at_s,
                 run_s,
                 {
                     "uid": f"wk-{(n + 1) * 1_000_000 + number:08d}",
-                    "duty": a.job_class,
-                    "crew": a.team,
-                    "shape": a.kind,
-                    "urgency": a.priority,
+                    "duty": arrivals.job_class,
+                    "crew": arrivals.team,
+                    "shape": arrivals.kind,
+                    "urgency": arrivals.priority,
                     "pieces": tasks,
-                    "cpus": a.cpus,
+                    "cpus": arrivals.cpus,
                     "cards": 0.0,
-                    "memoryGb": a.memory_gb,
-                    "kit": f"img-{a.job_class}",
-                    "imageGb": a.image_gb,
+                    "memoryGb": arrivals.memory_gb,
+                    "kit": f"img-{arrivals.job_class}",
+                    "imageGb": arrivals.image_gb,
                     "builds": None,
                     "district": None,
-                    "together": a.one_zone,
-                    "spread": a.spread,
-                    "loaners": a.spot,
-                    "expectS": run_s if a.kind == "sweep" else 0.0,
+                    "together": arrivals.one_zone,
+                    "spread": arrivals.spread,
+                    "loaners": arrivals.spot,
+                    "expectS": run_s if arrivals.kind == "sweep" else 0.0,
                     "waypointS": 0.0,
                     "stowS": 0.0,
-                    "dueS": a.deadline_s,
+                    "dueS": arrivals.deadline_s,
                 },
                 mistaken,
-                a.cancelled_after_s if mistaken else None,
+                arrivals.cancelled_after_s if mistaken else None,
             )
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -1,24 +1,30 @@
-"""What a played day shows of the order of jobs: delays to the first task, inversions, jobs
-that never started, and how much of the money did useful work."""
+"""Metrics of how a scheduling policy ordered the jobs of a day.
+
+These are delays to the first task, inversions, jobs that never started, and the share of the
+cost that paid for useful work.
+"""
 
 from collections import defaultdict
 from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram
 
-from ryegauge.experiments.day import Day, settings_of
-from ryegauge.experiments.play import Played
+from ryegauge.experiments.day import Day, controller_settings
+from ryegauge.experiments.play import DayResult
 from ryegauge.experiments.served import least_served
 from ryegauge.ordering import create_policy
 from ryegauge.ordering.ageing import Ageing
 from ryegauge.protocol.jobs import PRIORITIES
 
-HOUR_MS = 3_600_000
+MAX_DELAY_MS = 3_600_000  # upper end of the histogram of delays
+
 
+class PriorityMetrics(NamedTuple):
+    """Metrics of all jobs of one priority.
 
-class RankFigures(NamedTuple):
-    """Of all jobs of one priority; delays in seconds from readiness to the first start. A
-    job that never started counts with what it had waited for when the day ended."""
+    Delays are in seconds from submission to the first start of a task. A job that never started
+    counts with the time that it had waited by the end of the day.
+    """
 
     priority: str
     jobs: int
@@ -29,58 +35,72 @@
     inversions: int
 
 
-class DayFigures(NamedTuple):
+class DayMetrics(NamedTuple):
+    """Metrics of one played day over all priorities."""
+
     seed: int
     ordering: str
-    ranks: dict[str, RankFigures]
-    inversions: int  # starts of lower work, not for its age, past waiting work that fitted
-    aged_starts: int  # tasks that were due by age when they started
-    lost: int  # tasks that ended without being done
-    useful: float  # cost of the completed runs at the lowest price, of all that was paid
-    changes: int  # written to the state service
-    broken: list[str]
-    served: float  # least share of the tasks of a class or a team, of the first three quarters
-    least: str  # which one
+    ranks: dict[str, PriorityMetrics]  # by priority
+    # Starts, not justified by age, of a task while a job of higher priority that fitted waited.
+    inversions: int
+    aged_starts: int  # starts of tasks that were entitled to run by their age
+    lost: int  # task attempts that ended without being done
+    useful: float  # cost of the completed runs at the lowest price, as a share of the total cost
+    changes: int  # writes to the state service
+    broken: list[str]  # violated rules of the protocol
+    # Smallest share of tasks served of any class or team, of jobs of the first three quarters.
+    served: float
+    least: str  # name of that class or team
 
 
-class _Wait(NamedTuple):
-    ready: float
-    first: float  # infinite if never
+class _StartTimes(NamedTuple):
+    submitted_at: float
+    first_start_at: float  # infinite if no task ever started
 
 
-def _waits(played: Played) -> dict[str, _Wait]:
-    ready: dict[str, float] = {}
-    first: dict[str, float] = {}
+def _start_times(played: DayResult) -> dict[str, _StartTimes]:
+    submitted_at: dict[str, float] = {}
+    first_start_at: dict[str, float] = {}
     for event in played.happened:
         if event.what == "submitted":
-            ready[event.uid] = event.at
+            submitted_at[event.uid] = event.at
         elif event.what == "started":
-            first.setdefault(event.uid, event.at)
-    return {uid: _Wait(at, first.get(uid, float("inf"))) for uid, at in ready.items()}
-
-
-def figures(day: Day, played: Played) -> DayFigures:
-    settings = settings_of(day, "ageing")[0]
-    tags = create_policy(settings)
-    assert isinstance(tags, Ageing)
-    waits = _waits(played)
-    names: list[str] = list(PRIORITIES)
-    rank_of = {uid: names.index(str(b["urgency"])) for uid, b in played.bodies.items()}
+            first_start_at.setdefault(event.uid, event.at)
+    return {
+        uid: _StartTimes(at, first_start_at.get(uid, float("inf")))
+        for uid, at in submitted_at.items()
+    }
+
+
+def figures(day: Day, played: DayResult) -> DayMetrics:
+    """Compute the metrics of a played day.
+
+    Ages are judged by the ageing policy with the day's properties, whichever policy was played.
+    """
+    settings = controller_settings(day, "ageing")[0]
+    ageing = create_policy(settings)
+    assert isinstance(ageing, Ageing)
+    start_times = _start_times(played)
+    priorities: list[str] = list(PRIORITIES)
+    rank_of = {uid: priorities.index(str(b["urgency"])) for uid, b in played.bodies.items()}
     inversions: dict[int, int] = defaultdict(int)
     aged_starts = lost = 0
     running: dict[str, set[str]] = defaultdict(set)
     done: dict[str, set[str]] = defaultdict(set)
-    spent_cpu_s = 0.0
-    # What had been decided before the other was ready is on its way: submission and round,
-    # and two reports. What started later than its image takes was decided before that; a
-    # job's own first start was decided a fetch and the way of a command before it shows.
-    flight_s = 2 * settings.report_gap_s + 1.0
-    hop_s = 0.5
+    useful_cpu_s = 0.0
+    # A start is no inversion if it was decided before the other job was known. From submission to
+    # start that takes the submission and a planning round, two reports and the image fetch. The
+    # waiting job's own first start was decided one fetch and one command latency before it
+    # happened.
+    decision_latency_s = 2 * settings.report_gap_s + 1.0
+    command_latency_s = 0.5
     slowest_gb_per_s = min(t.fetch_gb_per_s for t in day.types)
-    fetch = {u: _number(b["imageGb"]) / slowest_gb_per_s for u, b in played.bodies.items()}
-    waiting_by_rank: dict[int, list[str]] = defaultdict(list)
+    image_fetch_s = {
+        u: _as_float(b["imageGb"]) / slowest_gb_per_s for u, b in played.bodies.items()
+    }
+    uids_by_rank: dict[int, list[str]] = defaultdict(list)
     for uid, rank in rank_of.items():
-        waiting_by_rank[rank].append(uid)
+        uids_by_rank[rank].append(uid)
     for event in played.happened:
         uid = event.uid
         if event.what == "ended":
@@ -89,7 +109,7 @@
                 if event.task not in done[uid]:
                     done[uid].add(event.task)
                     body = played.bodies[uid]
-                    spent_cpu_s += _number(body["expectS"]) * _number(body["cpus"])
+                    useful_cpu_s += _as_float(body["expectS"]) * _as_float(body["cpus"])
             else:
                 lost += 1
         elif event.what == "started":
@@ -97,29 +117,36 @@
             served = len(done[uid]) + len(running[uid])
             running[uid].add(event.task)
             rank = rank_of[uid]
-            # When it was allotted at the latest: its image was fetched after that.
-            aged = tags.tag(waits[uid].ready, rank, served) <= event.at
+            # The start is an upper bound of the time of assignment: the image is fetched between.
+            aged = ageing.tag(start_times[uid].submitted_at, rank, served) <= event.at
             aged_starts += aged
             if aged:
                 continue
             for higher in range(rank):
                 inversions[higher] += any(
-                    waits[u].ready + flight_s + fetch[uid] < event.at
-                    and event.at + hop_s + fetch[u] < waits[u].first
-                    and _number(played.bodies[u]["cpus"]) <= _number(body["cpus"])
-                    and _number(played.bodies[u]["memoryGb"]) <= _number(body["memoryGb"])
-                    for u in waiting_by_rank[higher]
+                    start_times[u].submitted_at + decision_latency_s + image_fetch_s[uid] < event.at
+                    and event.at + command_latency_s + image_fetch_s[u]
+                    < start_times[u].first_start_at
+                    and _as_float(played.bodies[u]["cpus"]) <= _as_float(body["cpus"])
+                    and _as_float(played.bodies[u]["memoryGb"]) <= _as_float(body["memoryGb"])
+                    for u in uids_by_rank[higher]
                 )
-    ranks: dict[str, RankFigures] = {}
-    for rank, uids in sorted(waiting_by_rank.items()):
+    ranks: dict[str, PriorityMetrics] = {}
+    for rank, uids in sorted(uids_by_rank.items()):
         if not uids:
             continue
-        histogram = HdrHistogram(1, HOUR_MS, 3)
-        delays = [min(waits[u].first, played.seconds) - waits[u].ready for u in uids if u in waits]
+        histogram = HdrHistogram(1, MAX_DELAY_MS, 3)
+        delays = [
+            min(start_times[u].first_start_at, played.seconds) - start_times[u].submitted_at
+            for u in uids
+            if u in start_times
+        ]
         for delay in delays:
             histogram.record_value(max(1, round(1000 * delay)))
-        unserved = sum(waits[u].first == float("inf") for u in uids if u in waits)
-        ranks[PRIORITIES[rank]] = RankFigures(
+        unserved = sum(
+            start_times[u].first_start_at == float("inf") for u in uids if u in start_times
+        )
+        ranks[PRIORITIES[rank]] = PriorityMetrics(
             PRIORITIES[rank],
             len(delays),
             unserved,
@@ -129,8 +156,8 @@
             inversions[rank],
         )
     cheapest = min(t.spot_price / t.cpus for t in day.types)
-    useful = spent_cpu_s / 3600 * cheapest / played.cost if played.cost else 0.0
-    return DayFigures(
+    useful = useful_cpu_s / 3600 * cheapest / played.cost if played.cost else 0.0
+    return DayMetrics(
         played.seed,
         played.ordering,
         ranks,
@@ -144,5 +171,5 @@
     )
 
 
-def _number(value: Any) -> float:
+def _as_float(value: Any) -> float:
     return float(value)
--- a/ryegauge/experiments/play.py
+++ b/ryegauge/experiments/play.py
@@ -1,4 +1,4 @@
-"""Playing a day of an experiment, and what is kept of it."""
+"""Plays a day on the emulator: injects its troubles and records what happened."""
 
 from collections.abc import Callable
 from contextlib import ExitStack
@@ -10,22 +10,27 @@
 from ryegauge.coordination.node import Node
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.world import Happened, Program, World, run_simulated
-from ryegauge.experiments.day import Day, Trouble, settings_of, submissions
+from ryegauge.experiments.day import Day, Trouble, controller_settings, submissions
 
 
-class Played(NamedTuple):
+class DayResult(NamedTuple):
+    """What happened on a played day."""
+
     seed: int
     ordering: str
     seconds: float
     happened: list[Happened]
-    bodies: dict[str, dict[str, object]]
-    broken: list[str]
-    cost: float
-    changes: int  # of the state service
+    bodies: dict[str, dict[str, object]]  # submitted jobs, by uid
+    broken: list[str]  # violated rules of the protocol
+    cost: float  # of all rented machines
+    changes: int  # writes to the state service
+
 
+def _select_machines(world: World, trouble: Trouble) -> list[str]:
+    """Names of random machines that are up, in the trouble's zone if it names one.
 
-def _some_machines(world: World, trouble: Trouble) -> list[str]:
-    """So many of those that are up, or this share of them, or all, in its zone or in any."""
+    The trouble's `count` of them or, if that is 0, all of the zone or else the share `part`.
+    """
     up = sorted(w.name for w in world.workers.values() if w.alive and w.up)
     if trouble.zone:
         up = [name for name in up if world.workers[name].zone == trouble.zone]
@@ -33,7 +38,8 @@
     return world.rng.sample(up, min(count, len(up)))
 
 
-async def _trouble(world: World, trouble: Trouble) -> None:
+async def _apply_trouble(world: World, trouble: Trouble) -> None:
+    """Wait until the trouble begins, inject it and, if it lasts, end it in time."""
     await trio.sleep(trouble.at_s)
     world.note("trouble", detail=trouble.kind)
     match trouble.kind:
@@ -51,9 +57,9 @@
                 await trio.sleep(trouble.lasts_s / len(world.settings))
         case "away":
             host = world.settings[0].listen.partition(":")[0]
-            rest = {s.listen.partition(":")[0] for s in world.settings[1:]} | {"users"}
-            rest |= {world.settings[0].outside.state.partition(":")[0], *world.workers}
-            with world.cut({host}, rest, hold=False):
+            others = {s.listen.partition(":")[0] for s in world.settings[1:]} | {"users"}
+            others |= {world.settings[0].outside.state.partition(":")[0], *world.workers}
+            with world.cut({host}, others, hold=False):
                 await trio.sleep(trouble.lasts_s)
         case "silent":
             record = world.state.data.get("r/l")
@@ -80,7 +86,7 @@
             await trio.sleep(trouble.lasts_s)
             world.state.end_outage()
         case "clock":
-            # Each controller's time of day wanders within its bound, back as well.
+            # Each controller's wall clock jumps at random within the error, backwards too.
             until = trio.current_time() + trouble.lasts_s
             while trio.current_time() < until:
                 world.wall_errors = [
@@ -110,10 +116,10 @@
             with world.late_reports(trouble.part, trouble.for_next):
                 await trio.sleep(trouble.lasts_s)
         case "machines_deaf":
-            with world.deaf(_some_machines(world, trouble)):
+            with world.deaf(_select_machines(world, trouble)):
                 await trio.sleep(trouble.lasts_s)
         case "machines_mute":
-            with world.mute(_some_machines(world, trouble)):
+            with world.mute(_select_machines(world, trouble)):
                 await trio.sleep(trouble.lasts_s)
         case "cancel_now":
             await world.cancel_now(trouble.count, trouble.hang_s)
@@ -128,12 +134,12 @@
                 await trio.sleep(trouble.lasts_s)
         case "leader_refused" | "leader_cut":
             first = world.leading or 0
-            some = [(first + n) % len(world.settings) for n in range(max(1, trouble.count))]
+            affected = [(first + n) % len(world.settings) for n in range(max(1, trouble.count))]
             with ExitStack() as cuts:
                 if trouble.kind == "leader_refused":
-                    cuts.enter_context(world.refused_by_state(*some))
+                    cuts.enter_context(world.refused_by_state(*affected))
                 else:
-                    for n in some:
+                    for n in affected:
                         cuts.enter_context(world.cut_from_state_and_peers(n, hold=True))
                 await trio.sleep(trouble.lasts_s)
         case "owner_deaf":
@@ -172,32 +178,36 @@
     program: Program = Node,
     watch: Callable[[World], None] | None = None,
     prepare: Callable[[World], None] | None = None,
-) -> Played:
-    """`program` is what runs as a controller; `watch` looks at the world twice a second,
-    `prepare` has it before it begins."""
+) -> DayResult:
+    """Simulate a day under a policy; the same arguments give the same result.
+
+    `size` scales the number of jobs; without `backlog`, jobs marked as backlog are left out.
+    `program` makes a controller. `prepare` is called with the world before the day begins,
+    `watch` twice a second of simulated time.
+    """
     worlds: list[World] = []
-    inst = day.installation
+    installation = day.installation
 
-    async def look(world: World) -> None:
+    async def sample(world: World) -> None:
         while watch is not None:
             watch(world)
             await trio.sleep(0.5)
 
     async def script(world: World) -> None:
-        world.nursery.start_soon(look, world)
+        world.nursery.start_soon(sample, world)
         async with trio.open_nursery() as nursery:
             for trouble in day.troubles:
-                nursery.start_soon(_trouble, world, trouble)
+                nursery.start_soon(_apply_trouble, world, trouble)
 
     async def main() -> None:
         state = StateService(
-            value_kb=inst.value_kb,
-            txn_ops=inst.txn_ops,
-            rps=inst.rps,
-            write_rps=inst.write_rps,
+            value_kb=installation.value_kb,
+            txn_ops=installation.txn_ops,
+            rps=installation.rps,
+            write_rps=installation.write_rps,
         )
         world = World(
-            settings_of(day, ordering),
+            controller_settings(day, ordering),
             seed,
             fleet=tuple(day.types),
             state=state,
@@ -223,7 +233,7 @@
 
     run_simulated(main, seed)
     (world,) = worlds
-    return Played(
+    return DayResult(
         seed,
         ordering,
         day.seconds,
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -1,5 +1,8 @@
-"""Whole controllers serving queues of the stand-in broker in simulated time, with broker,
-controllers and state service ending; every message's jobs, runs and answers are counted."""
+"""Controllers that serve queues of the emulated broker in simulated time, under failures.
+
+The broker, the controllers and the state service fail; the jobs, runs and answers of every message
+are counted.
+"""
 
 import json
 import random
@@ -17,7 +20,7 @@
 from ryegauge.emulator.network import Processors
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.world import World, run_simulated
-from ryegauge.experiments.day import Day, Installation, TeamSize, settings_of
+from ryegauge.experiments.day import Day, Installation, TeamQuota, controller_settings
 from ryegauge.queues.bindings import Binding, Delivery, Queues
 from ryegauge.queues.front import front_of
 from ryegauge.queues.messages import uid_of
@@ -31,56 +34,62 @@
     "imageGb": 0.2,
     "expectS": 4.0,
 }
-RUN_S = 4.0
-TYPE = FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 10.0, steady=4, spot=8)
+TASK_RUN_S = 4.0
+MACHINE_TYPE = FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 10.0, steady=4, spot=8)
 
 
 def bind(name: str = "picks", queue: str = "work", **changes: Any) -> Binding:
-    where = BrokerAddress("amqp://127.0.0.1", timeout_s=3.0)
+    """A binding of the queue to team red and class pick; `changes` are further fields of it."""
+    address = BrokerAddress("amqp://127.0.0.1", timeout_s=3.0)
     fields: dict[str, Any] = {"dead_letter_exchange": "dead.", **changes}
-    return Binding(name, queue, "red", "pick", [where], **fields)
+    return Binding(name, queue, "red", "pick", [address], **fields)
 
 
 class Played:
-    """A day, and what is to be counted of it."""
+    """A day that is being played or is over, with what is counted of it."""
 
     def __init__(self, world: World, broker: Broker) -> None:
         self.world = world
         self.broker = broker
         self.records: set[str] = set()  # jobs that were ever recorded
-        self.meters: list[dict[str, Meter]] = []  # of each start of each controller
-        self.processor_s = 0.0  # that the controllers' code took
+        # Binding -> its meter, one mapping for each start of a controller.
+        self.meters: list[dict[str, Meter]] = []
+        self.processor_s = 0.0  # processor time of the controllers' code
 
     @property
     def told(self) -> dict[str, list[tuple[str, str]]]:
-        """(message id, status) of the answers for each job."""
-        told: dict[str, list[tuple[str, str]]] = {}
+        """The (message id, status) of each answer in the queue `answers`, by job."""
+        answers: dict[str, list[tuple[str, str]]] = {}
         for message in self.broker.queues.get("answers", ()):
             body = json.loads(message.body)
             entry = (str(message.properties.message_id), str(body["status"]))
-            told.setdefault(body["uid"], []).append(entry)
-        return told
+            answers.setdefault(body["uid"], []).append(entry)
+        return answers
 
     @property
     def again(self) -> Counter[str]:
-        """How often each task was started after it was done. (One that is lost with its
-        machine or its lease starts anew by right.)"""
+        """How often each task was started after it was done.
+
+        Restarts of tasks that were lost with their machine or lease are correct and not counted.
+        """
         done: set[str] = set()
-        again: Counter[str] = Counter()
+        restarts: Counter[str] = Counter()
         for event in self.world.happened:
             if event.what == "ended" and event.detail == "done":
                 done.add(event.task)
             elif event.what == "started" and event.task in done:
-                again[event.task] += 1
-        return again
+                restarts[event.task] += 1
+        return restarts
 
 
+# Runs beside a day: puts messages and injects failures.
 Script = Callable[[Played], Awaitable[None]]
 
 
 def put(
     broker: Broker, queue: str, name: str, body: dict[str, Any] = MESSAGE, **properties: Any
 ) -> None:
+    """Put a message with the id `name` onto the queue."""
     properties = {
         "message_id": name,
         "reply_to": "answers",
@@ -100,21 +109,24 @@
     write_rps: float = 100.0,
     known: Iterable[str] = (),
 ) -> Played:
-    """`known` are the jobs whose description workers can fetch: users upload them."""
+    """Simulate a day with the bindings; `script` runs until it ends.
+
+    `known` are the jobs whose description workers can fetch, as if users had uploaded them.
+    """
     queues = Queues(list(bindings))
-    inst = Installation(
-        [TeamSize("red", 16.0, 32.0), TeamSize("blue", 8.0, 48.0)],
+    installation = Installation(
+        [TeamQuota("red", 16.0, 32.0), TeamQuota("blue", 8.0, 48.0)],
         controllers,
         write_rps=write_rps,
     )
-    day = Day("queues", seconds, inst, [TYPE], [])
-    made: list[Played] = []
+    day = Day("queues", seconds, installation, [MACHINE_TYPE], [])
+    played_days: list[Played] = []
     processors = Processors()
 
     async def main() -> None:
         trio.lowlevel.add_instrument(processors)
-        state = StateService(write_rps=write_rps, rps=inst.rps)
-        world = World(settings_of(day, "settled"), seed, fleet=(TYPE,), state=state)
+        state = StateService(write_rps=write_rps, rps=installation.rps)
+        world = World(controller_settings(day, "settled"), seed, fleet=(MACHINE_TYPE,), state=state)
         for uid in known:
             world.checker.specs[uid] = described(uid)
 
@@ -123,14 +135,21 @@
             for binding in queues.bindings:
                 broker.queues.setdefault(binding.queue, deque())
             played = Played(world, broker)
-            made.append(played)
-            state.on_write.append(lambda key, value: _note(played, key))
+            played_days.append(played)
+            state.on_write.append(lambda key, value: _note_write(played, key))
 
-            def program(s: Any, n: Any, w: Any, r: Any) -> Node:
+            def program(settings: Any, network: Any, wall_clock: Any, rng: Any) -> Node:
                 meters: dict[str, Meter] = {}
                 played.meters.append(meters)
-                return Node(s, n, w, r, front_of(queues, r, broker.connect, meters))
+                return Node(
+                    settings,
+                    network,
+                    wall_clock,
+                    rng,
+                    front_of(queues, rng, broker.connect, meters),
+                )
 
+            # Restarts all controllers, so that they run `program`.
             world.programs = [program] * controllers
             world.crash(*range(controllers))
             await script(played)
@@ -139,12 +158,12 @@
 
     run_simulated(main, seed)
     hosts = {f"10.0.0.{n + 1}" for n in range(controllers)}
-    made[0].processor_s = sum(s for host, s in processors.seconds.items() if host in hosts)
-    return made[0]
+    played_days[0].processor_s = sum(s for host, s in processors.seconds.items() if host in hosts)
+    return played_days[0]
 
 
 def described(uid: str, team: str = "red", tasks: int = 2) -> dict[str, Any]:
-    """A message's job, or a user's, as the world knows it."""
+    """The description of a job, of a message or of a user, as the emulator keeps it."""
     return {
         **MESSAGE,
         "uid": uid,
@@ -162,39 +181,44 @@
         "waypointS": 0.0,
         "stowS": 0.0,
         "dueS": None,
-        "really": RUN_S,
+        "really": TASK_RUN_S,
         "broken": False,
     }
 
 
-def _note(played: Played, key: str) -> None:
+def _note_write(played: Played, key: str) -> None:
     match key.split("/"):
         case ["r", "j", uid]:
             played.records.add(uid)
 
 
-# -- once, and no more than once -------------------------------------------------------------
+# -- delivery guarantees ---------------------------------------------------------------------
 
 
-class Counts(NamedTuple):
+class DeliveryCounts(NamedTuple):
+    """What became of the messages of one day; the field names are the columns of the report."""
+
     delivery: str
     trouble: str
     days: int
     messages: int
     jobs: int
-    waiting: int  # messages that are still with the broker when the day ends
+    waiting: int  # messages without a job that are still at the broker when the day ends
     lost: int  # messages without a job that are in no queue any more
-    # Starts of tasks that were done, the word of it lost with their lease: the kept result
-    # ends them at once.
+    # Starts of tasks that were done but whose outcome was lost with their lease; the worker's
+    # stored result ends such a task at once.
     told_again: int
-    unanswered: int  # jobs that are over and were never told of
-    two_answers: int  # jobs that were told of under more than one id
+    unanswered: int  # jobs that are over and for which no answer was sent
+    two_answers: int  # jobs with answers under more than one id or status
     repeats: int  # answers sent again under the same id
-    broken: int
+    broken: int  # violations of protocol rules
 
 
 async def random_ends(played: Played, rng: random.Random) -> None:
-    """Eight ends within a minute, of whatever has its turn."""
+    """Inject eight random failures of broker, connections, controllers or state service.
+
+    They follow each other within about a minute.
+    """
     world, broker = played.world, played.broker
     for _ in range(8):
         await trio.sleep(rng.uniform(0.5, 7.0))
@@ -216,14 +240,17 @@
 
 
 async def cut_after(played: Played, frames: int) -> None:
-    """The connection of whoever takes and answers drops after so many frames, twice."""
+    """Drop the connection of the consuming controller after `frames` frames, twice."""
     for pause_s in (6.0, 8.0):
         await trio.sleep(pause_s)
         played.broker.frames_left = frames
 
 
-def count(delivery: Delivery, trouble: str, seed: int, messages: int) -> Counts:
-    """One day; `trouble` is "ends" or the number of frames after which connections drop."""
+def count(delivery: Delivery, trouble: str, seed: int, messages: int) -> DeliveryCounts:
+    """Play one day and count what became of its messages.
+
+    `trouble` is "ends" for random failures, or the number of frames after which connections drop.
+    """
     names = [f"m-{n}" for n in range(messages)]
     uids = {uid_of("picks", f"id:{name}"): name for name in names}
 
@@ -236,128 +263,133 @@
             await cut_after(played, int(trouble))
 
     played = play(seed, [bind(delivery=delivery)], script, 170.0, known=uids)
-    told = played.told
+    answers_of_job = played.told
     waiting = {str(m.properties.message_id) for m in played.broker.queues.get("work", ())}
     waiting |= {str(m.properties.message_id) for m in played.broker.queues.get("dead.work", ())}
-    without = [name for uid, name in uids.items() if uid not in played.records]
-    over = [
+    without_job = [name for uid, name in uids.items() if uid not in played.records]
+    completed = [
         uid
         for uid in played.records
         if all(f"{uid}/{n}" in played.world.results for n in range(MESSAGE["pieces"]))
     ]
-    return Counts(
+    return DeliveryCounts(
         delivery,
         "ends" if trouble == "ends" else "drops",
         1,
         messages,
         len(played.records),
-        sum(name in waiting for name in without),
-        sum(name not in waiting for name in without),
+        sum(name in waiting for name in without_job),
+        sum(name not in waiting for name in without_job),
         played.again.total(),
-        sum(uid not in told for uid in over),
-        sum(len(set(answers)) > 1 for answers in told.values()),
-        sum(len(answers) - len(set(answers)) for answers in told.values()),
+        sum(uid not in answers_of_job for uid in completed),
+        sum(len(set(answers)) > 1 for answers in answers_of_job.values()),
+        sum(len(answers) - len(set(answers)) for answers in answers_of_job.values()),
         len(played.world.checker.broken),
     )
 
 
-def table(counted: Iterable[Counts]) -> list[dict[str, Any]]:
+def summarize(counted: Iterable[DeliveryCounts]) -> list[dict[str, Any]]:
+    """One row of sums per delivery guarantee and kind of trouble."""
     rows: dict[tuple[str, str], dict[str, Any]] = {}
-    for one in counted:
+    for counts in counted:
         row = rows.setdefault(
-            (one.delivery, one.trouble),
+            (counts.delivery, counts.trouble),
             {
-                "delivery": one.delivery,
-                "trouble": one.trouble,
-                **dict.fromkeys(Counts._fields[2:], 0),
+                "delivery": counts.delivery,
+                "trouble": counts.trouble,
+                **dict.fromkeys(DeliveryCounts._fields[2:], 0),
             },
         )
-        for name in Counts._fields[2:]:
-            row[name] += getattr(one, name)
+        for name in DeliveryCounts._fields[2:]:
+            row[name] += getattr(counts, name)
     return list(rows.values())
 
 
-# -- more than the cluster can take ----------------------------------------------------------
+# -- overload --------------------------------------------------------------------------------
+
 
+class OverloadMetrics(NamedTuple):
+    """Metrics of a flood of messages on two bindings with weights 1 and 3.
 
-class Overload(NamedTuple):
-    """A long flood on two bindings, weights 1 and 3, beside users who submit directly."""
+    Users submit jobs directly meanwhile. The field names are the columns of the report.
+    """
 
-    queues: bool
-    direct_median_ms: float
+    queues: bool  # whether there were messages at all, or only the direct submissions
+    direct_median_ms: float  # from a user's first attempt to the accepted submission
     direct_p99_ms: float
-    recorded_1: int
+    recorded_1: int  # messages recorded as jobs, of the binding with weight 1
     recorded_3: int
-    share_3: float  # of what was recorded for queues; by the weights 0.75
-    most_in_hand: int
-    left: int
-    per_s: float  # messages recorded a second
-    processor_ms: float  # for each job recorded, of all controllers, without HTTP
-    broken: int
+    share_3: float  # of the messages recorded; 0.75 by the weights
+    most_in_hand: int  # maximum of delivered and unacknowledged messages
+    left: int  # messages still in the queues at the end
+    per_s: float  # messages recorded per second
+    processor_ms: float  # per job recorded, of all controllers, without HTTP
+    broken: int  # violations of protocol rules
 
 
-def overload(seed: int, seconds: float, queues: bool) -> Overload:
+def overload(seed: int, seconds: float, queues: bool) -> OverloadMetrics:
+    """Play a day of `seconds`, with the flood if `queues`, and measure it."""
     from hdrh.histogram import HdrHistogram
 
     histogram = HdrHistogram(1, 60_000, 3)
-    most = 0
-    flood = 4000
-    limit = 4000
+    most_in_hand = 0
+    messages_per_queue = 4000
+    max_open_jobs = 4000
     bindings = [
-        bind(name, name, weight=weight, prefetch=40, open_jobs=limit)
+        bind(name, name, weight=weight, prefetch=40, open_jobs=max_open_jobs)
         for name, weight in (("one", 1.0), ("three", 3.0))
     ]
-    direct = [f"wk-{n:06d}" for n in range(1, int(seconds * 2))]
+    direct_uids = [f"wk-{n:06d}" for n in range(1, int(seconds * 2))]
 
     async def user(world: World, uid: str, at_s: float) -> None:
         await trio.sleep(at_s)
-        began = trio.current_time()
-        world.checker.specs[uid] = whole = described(uid, "blue", 1)
-        body = {k: v for k, v in whole.items() if k not in ("really", "broken")}
+        began_at = trio.current_time()
+        world.checker.specs[uid] = spec = described(uid, "blue", 1)
+        body = {k: v for k, v in spec.items() if k not in ("really", "broken")}
         while True:
             status, answer = await world.ask("POST", "/v1/jobs", body)
             world.checker.answered(uid, status, answer, "submit")
             if status in (200, 201):
                 break
             await trio.sleep(1.0)
-        histogram.record_value(max(1, round(1000 * (trio.current_time() - began))))
+        histogram.record_value(max(1, round(1000 * (trio.current_time() - began_at))))
 
     async def script(played: Played) -> None:
-        nonlocal most
+        nonlocal most_in_hand
         world, broker = played.world, played.broker
         if queues:
             for name in ("one", "three"):
-                for n in range(flood):
+                for n in range(messages_per_queue):
                     put(broker, name, f"m-{n}", reply_to=None)
         async with trio.open_nursery() as nursery:
             rng = random.Random(seed)
-            for uid in direct:
+            for uid in direct_uids:
                 nursery.start_soon(user, world, uid, rng.uniform(15.0, seconds - 5.0))
             while True:
                 await trio.sleep(0.25)
                 in_hand = sum(
                     len(c.unsettled) for link in broker.links for c in link.channels.values()
                 )
-                most = max(most, in_hand)
+                most_in_hand = max(most_in_hand, in_hand)
 
-    known = [uid_of(b, f"id:m-{n}") for b in ("one", "three") for n in range(flood)]
+    known = [uid_of(b, f"id:m-{n}") for b in ("one", "three") for n in range(messages_per_queue)]
     played = play(seed, bindings, script, seconds, write_rps=40.0, known=known if queues else [])
     recorded = {
         name: sum(meters[name].fates["recorded"] for meters in played.meters if name in meters)
         for name in ("one", "three")
     }
-    whole = sum(recorded.values())
+    recorded_total = sum(recorded.values())
     left = sum(len(played.broker.queues.get(name, ())) for name in ("one", "three"))
-    return Overload(
+    return OverloadMetrics(
         queues,
         histogram.get_value_at_percentile(50),
         histogram.get_value_at_percentile(99),
         recorded["one"],
         recorded["three"],
-        round(recorded["three"] / max(1, whole), 3),
-        most,
+        round(recorded["three"] / max(1, recorded_total), 3),
+        most_in_hand,
         left,
-        round(whole / seconds, 1),
+        round(recorded_total / seconds, 1),
         round(1000 * played.processor_s / max(1, len(played.records)), 2),
         len(played.world.checker.broken),
     )
--- a/ryegauge/experiments/report.py
+++ b/ryegauge/experiments/report.py
@@ -1,4 +1,7 @@
-"""Tables for people and machines, raw events as Parquet, plots as PNG."""
+"""Reports of played days: tables, raw events as Parquet and plots as PNG.
+
+The keys of the rows are the columns of the tables and the keys of the JSON output.
+"""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -7,19 +10,22 @@
 from rich.console import Console
 from rich.table import Table
 
-from ryegauge.experiments.runs import Outcome
-from ryegauge.experiments.served import LEAST
+from ryegauge.experiments.runs import RunResult
+from ryegauge.experiments.served import MIN_SERVED_SHARE
 from ryegauge.protocol.jobs import PRIORITIES
 
 
-def summary(outcomes: list[Outcome]) -> list[dict[str, Any]]:
-    """Per policy and priority, over all seeds: medians and tails of the worst seed."""
-    names = list(dict.fromkeys(o.run.name for o in outcomes))
+def summary(results: list[RunResult]) -> list[dict[str, Any]]:
+    """One row per policy and priority over all seeds.
+
+    `median_s` is the median of the seeds' medians; `p99_s` and `worst_s` are of the worst seed.
+    """
+    names = list(dict.fromkeys(result.run.name for result in results))
     rows: list[dict[str, Any]] = []
     for name in names:
-        some = [o.figures for o in outcomes if o.run.name == name]
+        metrics = [result.metrics for result in results if result.run.name == name]
         for priority in PRIORITIES:
-            ranks = [f.ranks[priority] for f in some if priority in f.ranks]
+            ranks = [m.ranks[priority] for m in metrics if priority in m.ranks]
             if not ranks:
                 continue
             medians = sorted(r.median_s for r in ranks)
@@ -38,30 +44,36 @@
     return rows
 
 
-def totals(outcomes: list[Outcome]) -> list[dict[str, Any]]:
-    names = list(dict.fromkeys(o.run.name for o in outcomes))
+def totals(results: list[RunResult]) -> list[dict[str, Any]]:
+    """One row per policy over all seeds and priorities.
+
+    `useful` and `changes` are means, `served` is the minimum and `failed` the number of days below
+    MIN_SERVED_SHARE; all else are sums.
+    """
+    names = list(dict.fromkeys(result.run.name for result in results))
     rows: list[dict[str, Any]] = []
     for name in names:
-        some = [o.figures for o in outcomes if o.run.name == name]
+        metrics = [result.metrics for result in results if result.run.name == name]
         rows.append(
             {
                 "policy": name,
-                "days": len(some),
-                "inversions": sum(f.inversions for f in some),
-                "aged_starts": sum(f.aged_starts for f in some),
-                "lost": sum(f.lost for f in some),
-                "useful": round(sum(f.useful for f in some) / len(some), 3),
-                "changes": round(sum(f.changes for f in some) / len(some)),
-                "broken": sum(len(f.broken) for f in some),
-                "served": min(f.served for f in some),
-                "least": min((f.served, f.least) for f in some)[1],
-                "failed": sum(f.served < LEAST for f in some),
+                "days": len(metrics),
+                "inversions": sum(m.inversions for m in metrics),
+                "aged_starts": sum(m.aged_starts for m in metrics),
+                "lost": sum(m.lost for m in metrics),
+                "useful": round(sum(m.useful for m in metrics) / len(metrics), 3),
+                "changes": round(sum(m.changes for m in metrics) / len(metrics)),
+                "broken": sum(len(m.broken) for m in metrics),
+                "served": min(m.served for m in metrics),
+                "least": min((m.served, m.least) for m in metrics)[1],
+                "failed": sum(m.served < MIN_SERVED_SHARE for m in metrics),
             }
         )
     return rows
 
 
 def print_tables(title: str, tables: Iterable[list[dict[str, Any]]], console: Console) -> None:
+    """Print the title and each table that has rows; columns are the keys of its first row."""
     console.print(f"{title} (simulated machines)")
     for rows in tables:
         if not rows:
@@ -74,39 +86,42 @@
         console.print(table)
 
 
-def write_events(outcomes: list[Outcome], path: Path) -> None:
-    """One row per event: run, seed, seconds, what, job, task, machine, detail."""
+def write_events(results: list[RunResult], path: Path) -> None:
+    """Write a Parquet file with a row per event, of the runs whose events were kept.
+
+    `at` is in seconds since the start of the day.
+    """
     import pyarrow as pa
     import pyarrow.parquet as pq
 
     columns: dict[str, list[Any]] = {
         name: [] for name in ("run", "seed", "at", "what", "uid", "task", "machine", "detail")
     }
-    for outcome in outcomes:
-        for event in outcome.played.happened if outcome.played else ():
-            columns["run"].append(outcome.run.name)
-            columns["seed"].append(outcome.run.seed)
+    for result in results:
+        for event in result.played.happened if result.played else ():
+            columns["run"].append(result.run.name)
+            columns["seed"].append(result.run.seed)
             for name, value in event._asdict().items():
                 columns[name].append(value)
     pq.write_table(pa.table(columns), path, compression="zstd")
 
 
-def plot_delays(outcomes: list[Outcome], path: Path) -> None:
-    """Worst delay to the first task, by priority, a dot for each day."""
+def plot_delays(results: list[RunResult], path: Path) -> None:
+    """Plot the worst delay to the first task as PNG: an axis per priority, a dot per day."""
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
-    names = list(dict.fromkeys(o.run.name for o in outcomes))
-    priorities = [p for p in PRIORITIES if any(p in o.figures.ranks for o in outcomes)]
+    names = list(dict.fromkeys(result.run.name for result in results))
+    priorities = [p for p in PRIORITIES if any(p in result.metrics.ranks for result in results)]
     figure, axes = plt.subplots(1, len(priorities), figsize=(4.5 * len(priorities), 4.5))
     for axis, priority in zip(axes if len(priorities) > 1 else [axes], priorities, strict=True):
         for x, name in enumerate(names):
             worst = [
-                o.figures.ranks[priority].worst_s
-                for o in outcomes
-                if o.run.name == name and priority in o.figures.ranks
+                result.metrics.ranks[priority].worst_s
+                for result in results
+                if result.run.name == name and priority in result.metrics.ranks
             ]
             axis.scatter([x] * len(worst), worst, alpha=0.6)
         axis.set_title(priority)
--- a/ryegauge/experiments/rounds.py
+++ b/ryegauge/experiments/rounds.py
@@ -1,4 +1,7 @@
-"""How long a leader takes to order many waiting jobs, and with how much memory."""
+"""Time and memory that a leader needs to order many waiting jobs.
+
+The times are wall-clock times of this machine, not simulated ones.
+"""
 
 import time
 import tracemalloc
@@ -8,15 +11,16 @@
 from ryegauge.bookkeeping.state_replica import StateReplica, job_key, job_record
 from ryegauge.config import Settings
 from ryegauge.coordination.leader import Leader
-from ryegauge.experiments.day import Day, settings_of
+from ryegauge.experiments.day import Day, controller_settings
 from ryegauge.protocol.cloud import MachineType
 from ryegauge.protocol.jobs import PRIORITIES, parse_job
 from ryegauge.protocol.peers import MachineView, ShardView
 
-MACHINES = 40
+MACHINES = 40  # idle machines of the leader's fleet
 
 
-def _leader(settings: Settings, jobs: int, now: float) -> Leader:
+def _build_leader(settings: Settings, jobs: int, now: float) -> Leader:
+    """A leader with `jobs` waiting jobs of all priorities and teams, submitted in the last hour."""
     replica = StateReplica()
     events = [Event("r/p/0", {"o": "node-0", "i": "x"}, 1)]
     teams = settings.settings.teams
@@ -41,8 +45,10 @@
             "stowS": 0.0,
             "dueS": 60.0 + n % 400,
         }
-        at = now - (n * 37 % 3600)
-        events.append(Event(job_key(body["uid"]), job_record(parse_job(body), at, False), n + 2))
+        submitted_at = now - (n * 37 % 3600)
+        events.append(
+            Event(job_key(body["uid"]), job_record(parse_job(body), submitted_at, False), n + 2)
+        )
     replica.replace(events, jobs + 2)
     leader = Leader(9, replica, settings, now)
     leader.fleet.types = {
@@ -57,30 +63,35 @@
     return leader
 
 
-def measure(day: Day, sizes: list[int], orderings: list[str], rounds: int) -> list[dict[str, Any]]:
-    """Per number of jobs and policy: the median time of a round and its memory at most."""
+def measure(
+    day: Day, job_counts: list[int], orderings: list[str], rounds: int
+) -> list[dict[str, Any]]:
+    """One row per policy and number of jobs: median time and peak memory of a planning round.
+
+    The median is of `rounds` rounds; memory is traced in another one, as tracing slows it down.
+    """
     rows: list[dict[str, Any]] = []
     now = 1_700_000_000.0
     for ordering in orderings:
-        settings = settings_of(day, ordering)[0]
-        for jobs in sizes:
-            leader = _leader(settings, jobs, now)
-            times: list[float] = []
+        settings = controller_settings(day, ordering)[0]
+        for jobs in job_counts:
+            leader = _build_leader(settings, jobs, now)
+            round_s: list[float] = []
             for _ in range(rounds):
-                began = time.perf_counter()
+                began_at = time.perf_counter()
                 leader.round(now, now)
-                times.append(time.perf_counter() - began)
+                round_s.append(time.perf_counter() - began_at)
             tracemalloc.start()
             leader.round(now, now)
-            peak = tracemalloc.get_traced_memory()[1]
+            peak_bytes = tracemalloc.get_traced_memory()[1]
             tracemalloc.stop()
             rows.append(
                 {
                     "policy": ordering,
                     "jobs": jobs,
-                    "round_ms": round(1000 * sorted(times)[len(times) // 2], 1),
-                    "us_per_job": round(1e6 * sorted(times)[len(times) // 2] / jobs, 1),
-                    "memory_mb": round(peak / 1e6, 1),
+                    "round_ms": round(1000 * sorted(round_s)[len(round_s) // 2], 1),
+                    "us_per_job": round(1e6 * sorted(round_s)[len(round_s) // 2] / jobs, 1),
+                    "memory_mb": round(peak_bytes / 1e6, 1),
                 }
             )
     return rows
--- a/ryegauge/experiments/runs.py
+++ b/ryegauge/experiments/runs.py
@@ -1,4 +1,4 @@
-"""Many days at once, over seeds and policies, in processes of their own."""
+"""Runs many days in parallel processes, over seeds and policies."""
 
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
@@ -7,12 +7,14 @@
 
 from ryegauge.experiments import BASELINE
 from ryegauge.experiments.day import Day
-from ryegauge.experiments.delays import DayFigures, figures
-from ryegauge.experiments.play import Played, play
+from ryegauge.experiments.delays import DayMetrics, figures
+from ryegauge.experiments.play import DayResult, play
 
 
-class Run(NamedTuple):
-    name: str  # what the row is called: the policy, or the baseline
+class DayRun(NamedTuple):
+    """A day that is to be played under a policy."""
+
+    name: str  # the policy or the baseline, as reports name it
     day: Day
     ordering: str
     seed: int
@@ -20,41 +22,46 @@
     backlog: bool
 
 
-class Outcome(NamedTuple):
-    run: Run
-    figures: DayFigures
-    played: Played | None  # only if asked for: it is large
+class RunResult(NamedTuple):
+    """A day that was played, with its metrics."""
+
+    run: DayRun
+    metrics: DayMetrics
+    played: DayResult | None  # kept only on request, as it is large
 
 
-def _one(run: Run, keep: bool) -> Outcome:
+def _run_day(run: DayRun, keep_events: bool) -> RunResult:
     played = play(run.day, run.ordering, run.seed, run.size, run.backlog)
-    return Outcome(run, figures(run.day, played), played if keep else None)
+    return RunResult(run, figures(run.day, played), played if keep_events else None)
 
 
-def ageing_runs(day: Day, seeds: list[int], size: float, policies: tuple[str, ...]) -> list[Run]:
-    """Strict priority with nothing lying around, and each order of jobs on the whole day."""
-    result: list[Run] = []
+def ageing_runs(day: Day, seeds: list[int], size: float, policies: tuple[str, ...]) -> list[DayRun]:
+    """One run per seed and policy; the baseline is strict priority without the backlog."""
+    runs: list[DayRun] = []
     for seed in seeds:
         for name in policies:
-            result.append(Run(name, day, name.partition(",")[0], seed, size, name != BASELINE))
-    return result
+            runs.append(DayRun(name, day, name.partition(",")[0], seed, size, name != BASELINE))
+    return runs
+
 
+def run_all(
+    runs: list[DayRun], processes: int, keep_events: bool, on_result: Callable[[RunResult], None]
+) -> Iterator[RunResult]:
+    """Yield the results in the order of `runs`; `on_result` is called as each run ends.
 
-def play_all(
-    runs: list[Run], processes: int, keep: bool, told: Callable[[Outcome], None]
-) -> Iterator[Outcome]:
-    """In the order of `runs`, whichever ends first; `told` of each as it ends."""
+    With more than one process, yielding begins after the last run has ended.
+    """
     if processes <= 1:
         for run in runs:
-            outcome = _one(run, keep)
-            told(outcome)
-            yield outcome
+            result = _run_day(run, keep_events)
+            on_result(result)
+            yield result
         return
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        futures = {pool.submit(_one, run, keep): n for n, run in enumerate(runs)}
-        ended: dict[int, Outcome] = {}
+        futures = {pool.submit(_run_day, run, keep_events): n for n, run in enumerate(runs)}
+        results: dict[int, RunResult] = {}
         for future in as_completed(futures):
-            ended[futures[future]] = future.result()
-            told(ended[futures[future]])
+            results[futures[future]] = future.result()
+            on_result(results[futures[future]])
         for n in range(len(runs)):
-            yield ended[n]
+            yield results[n]
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -13,7 +13,7 @@
 from ryegauge.emulator.world import Happened, World
 from ryegauge.experiments.day import load, submissions
 from ryegauge.experiments.delays import figures
-from ryegauge.experiments.play import Played
+from ryegauge.experiments.play import DayResult
 from ryegauge.experiments.play import play as run
 from ryegauge.experiments.served import least_served
 
@@ -266,7 +266,7 @@
         Happened(29.0, "started", "h", "h/0"),
         Happened(45.0, "started", "old", "old/0"),
     ]
-    played = Played(1, "settled", 60.0, events, bodies, [], 1.0, 0)
+    played = DayResult(1, "settled", 60.0, events, bodies, [], 1.0, 0)
     got = figures(day, played)
     assert got.inversions == 1
     assert got.aged_starts == 1
