--- a/ryegauge/cli/__init__.py
+++ b/ryegauge/cli/__init__.py
@@ -1,5 +1,7 @@
-"""The command line. Each command is a module of its own, loaded when it is called: a
-controller that starts must not pay for the others."""
+"""The command line.
+
+Commands are imported only when they are called, so that a controller does not load the others.
+"""
 
 from importlib import import_module
 
@@ -7,7 +9,7 @@
 
 from ryegauge import __version__
 
-# Command: module below this package and the name of the command in it.
+# Command -> (module in this package, name of the command in it).
 COMMANDS = {
     "serve": ("controller", "serve"),
     "check-config": ("controller", "check_config"),
@@ -23,10 +25,14 @@
 
 
 class LazyGroup(click.Group):
+    """A group that imports a command's module when the command is looked up."""
+
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """The names of all commands, without importing any."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import a command; None if there is none of this name."""
         if cmd_name not in COMMANDS:
             return None
         module, name = COMMANDS[cmd_name]
--- a/ryegauge/cli/common.py
+++ b/ryegauge/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share."""
+"""Options and error handling shared by several commands."""
 
 import sys
 from typing import NoReturn
@@ -23,6 +23,9 @@
 
 
 def fail(message: str, code: int) -> NoReturn:
-    """Exit codes: 1 an answer that refuses, 2 wrong usage or files, 3 no answer."""
+    """Print an error and exit.
+
+    Exit codes: 1 the request was refused, 2 wrong usage or files, 3 no answer.
+    """
     click.echo(f"ryegauge: {message}", err=True)
     sys.exit(code)
--- a/ryegauge/cli/controller.py
+++ b/ryegauge/cli/controller.py
@@ -1,4 +1,4 @@
-"""Running a controller, and checking its files without starting anything."""
+"""Commands that run a controller or check its settings."""
 
 import click
 
@@ -20,20 +20,20 @@
 @config_option
 @properties_option
 def check_config(config: str, properties: str | None) -> None:
-    """Check a settings file, and the properties, without starting anything."""
+    """Check a settings file and the properties without starting a controller."""
     try:
         settings = load(config, properties)
-        bound = ""
+        bindings_summary = ""
         if settings.properties.queues_file:
             from ryegauge.queues import bindings
 
             queues = bindings.load(settings.properties.queues_file, settings)
-            bound = f", queues: {', '.join(b.name for b in queues.bindings)}"
+            bindings_summary = f", queues: {', '.join(b.name for b in queues.bindings)}"
     except ConfigError as error:
         fail(str(error), 2)
     click.echo(
         f"{config}: good: controller {settings.node_name} of {settings.settings.nodes}, "
         f"{len(settings.settings.teams)} teams, "
-        f"term of authority {settings.controller_lease_s:.3g} s, "
-        f"order of jobs: {settings.properties.ordering}{bound}"
+        f"controller lease {settings.controller_lease_s:.3g} s, "
+        f"order of jobs: {settings.properties.ordering}{bindings_summary}"
     )
--- a/ryegauge/cli/emulate.py
+++ b/ryegauge/cli/emulate.py
@@ -1,4 +1,4 @@
-"""A whole installation on this machine, for a first look and for trying things out."""
+"""Command that runs an emulated installation on this machine, for trying things out."""
 
 import logging
 import sys
@@ -29,13 +29,13 @@
 @click.option(
     "--controllers",
     type=click.IntRange(0, 9),
-    help="Controllers to start; 0: only what they deal with.",
+    help="Controllers to start; 0: only the services and workers that they talk to.",
 )
 @click.option(
     "--queues",
     "queues_file",
     type=click.Path(dir_okay=False, exists=True),
-    help="TOML file with bindings: serve them, with a stand-in broker on the port of "
+    help="TOML file with bindings: serve them, with an emulated broker on the port of "
     "the first one's URL (deploy/queues.toml is an example).",
 )
 @click.option("--verbose", is_flag=True, help="Log what controllers and workers do.")
@@ -46,10 +46,10 @@
     verbose: bool,
     queues_file: str | None,
 ) -> None:
-    """Start a state service, a cloud, workers and a controller until interrupted.
+    """Run a state service, a cloud, workers and controllers until interrupted.
 
-    Tasks sleep for a tenth of what their job expects, or run the command that the
-    configuration names for their class. Nothing is kept when it ends.
+    Tasks sleep for a tenth of the run time that their job expects, or run the command that the
+    configuration names for their class. Nothing is kept after the end.
     """
     logging.basicConfig(
         stream=sys.stderr,
@@ -65,10 +65,10 @@
         fail(str(error), 2)
     teams = ", ".join(team.name for team in emulation.teams)
     click.echo(f"controllers: {', '.join(installation.controllers.values())}; teams: {teams}")
-    click.echo("Ctrl-C ends it; nothing is kept.")
+    click.echo("Press Ctrl-C to stop; nothing is kept.")
     try:
         trio.run(installation.run)
     except* KeyboardInterrupt:
         pass
     except* OSError as group:
-        fail(f"cannot listen near {listen}: {group.exceptions[0]}", 1)
+        fail(f"cannot listen on {listen} or the ports after it: {group.exceptions[0]}", 1)
--- a/ryegauge/cli/experiment.py
+++ b/ryegauge/cli/experiment.py
@@ -1,4 +1,4 @@
-"""Named experiments on the emulator, in simulated time."""
+"""Command that runs the named experiments on the emulator, in simulated time."""
 
 import json
 import os
@@ -35,30 +35,30 @@
     "policies",
     multiple=True,
     type=click.Choice(POLICIES),
-    help="Order of jobs to be played; may be repeated. Default: all. "
-    "The first is the baseline: only what is not marked as backlog.",
+    help="ageing: order of jobs to be played; may be repeated. Default: all. "
+    "The first is the baseline: strict priority without the jobs marked as backlog.",
 )
 @click.option(
     "--machines",
     default=600,
     show_default=True,
     type=click.IntRange(10),
-    help="recovery, loss: about how many the fleet has.",
+    help="recovery, loss: approximate number of machines of the fleet.",
 )
 @click.option(
     "--records",
     default=2000,
     show_default=True,
     type=click.IntRange(0),
-    help="loss: outcomes of jobs that left the book before the day.",
+    help="loss: number of archived outcomes of jobs from before the day.",
 )
 @click.option(
     "--cell",
     "cells",
     multiple=True,
     metavar="LOSS/LIVES/SNAPSHOTS/MEANWHILE",
-    help="loss: only this cell, as in 'back 20 s/one/none/nothing'; a part left empty "
-    "stands for all; may be repeated. Default: some of each.",
+    help="loss: only this cell, as in 'back 20 s/one/none/nothing'; an empty part "
+    "stands for all values; may be repeated. Default: a selection.",
 )
 @click.option(
     "--trouble",
@@ -69,22 +69,22 @@
 @click.option(
     "--against",
     type=click.Path(exists=True, file_okay=False),
-    help="recovery, loss: a checkout of another version, played beside this one.",
+    help="recovery, loss: a checkout of another version, measured beside this one.",
 )
-@click.option("--seed", default=1, show_default=True, help="Luck of the first run.")
+@click.option("--seed", default=1, show_default=True, help="Random seed of the first run.")
 @click.option(
     "--seeds",
     default=1,
     show_default=True,
     type=click.IntRange(1),
-    help="How many runs, each with the next seed.",
+    help="Number of runs, each with the next seed.",
 )
 @click.option(
     "--size",
     default=1.0,
     show_default=True,
     type=click.FloatRange(0, min_open=True),
-    help="Jobs of a day, times this.",
+    help="Factor for the number of jobs of a day.",
 )
 @click.option(
     "--processes",
@@ -114,29 +114,31 @@
     records: int,
     cells: tuple[str, ...],
 ) -> None:
-    """Play experiment NAME in simulated time; the same seed gives the same result.
+    """Run experiment NAME in simulated time; the same seed gives the same result.
 
     ageing: mixed work under each order of jobs, on the days named with --day: delays to the
-    first task by priority, inversions, jobs that never started, useful money.
+    first task by priority, inversions, jobs that never started, share of the cost that was useful.
 
-    loss: the state service goes back, is emptied or loses records, while controllers live or
-    end, with snapshots or without: seconds until that is noticed, until polls, starts and
-    submissions go on and until all stands again; tasks adopted, killed and run again; jobs and
-    outcomes lost; the least served class or team. Half a minute for each day of 600 machines.
+    loss: the state service is rolled back, is emptied or loses records, while controllers live or
+    crash, with snapshots or without: seconds until the loss is detected, until polls, starts and
+    submissions work again and until recovery is complete; tasks adopted, killed and run again;
+    jobs and outcomes lost; the least served class or team. Takes about half a minute for each day
+    of 600 machines.
 
-    queues: messages of a stand-in broker, with broker, controllers and state service ending
+    queues: messages of an emulated broker, with broker, controllers and state service failing
     at random moments, and connections dropping at every step: jobs, runs and answers of each
     message; then a flood on two bindings beside users who submit directly.
 
     recovery: much of a fleet is lost, hangs or is cut off: seconds until replacements are
-    asked for and until the room is back, machines returned that ran tasks, urgent delays,
-    tasks killed by their lease. Long at 600 machines and more: a minute for each day.
+    rented and until the capacity is back, machines returned while they ran tasks, delays of urgent
+    jobs, tasks killed by their lease. Takes about a minute for each day of 600 machines.
 
-    rounds: time and memory of a leader's round with 1,000, 5,000 and 20,000 waiting jobs.
+    rounds: time and memory of a leader's planning round with 1,000, 5,000 and 20,000 waiting jobs.
 
     Exit code 1 if a rule of the protocol was broken; for loss and recovery also if less than half
-    of a class or team was served. `served` is the least share of the tasks of one, `least` whose,
-    `failed` the days on which it was under one half.
+    of a class or team was served. `served` is the smallest share of tasks served of any class or
+    team, `least` the name of that one, `failed` the number of days on which the share was below
+    one half.
     """
     try:
         from rich.console import Console
@@ -181,29 +183,31 @@
     if name == "queues":
         _queues(list(range(seed, seed + seeds)), processes, as_json, console)
         return
-    named: dict[str, Day] = {}
+    days_by_title: dict[str, Day] = {}
     for day_name in days or _built_in_days():
         path = DAYS / f"{day_name}.toml" if day_name in _built_in_days() else Path(day_name)
         try:
-            named[path.stem] = load(path)
+            days_by_title[path.stem] = load(path)
         except ConfigError as error:
             fail(str(error), 2)
     if name == "rounds":
-        sizes = [round(n * size) for n in (1000, 5000, 20_000)]
-        rows = rounds.measure(next(iter(named.values())), sizes, ["settled", "ageing"], 7)
+        job_counts = [round(n * size) for n in (1000, 5000, 20_000)]
+        rows = rounds.measure(
+            next(iter(days_by_title.values())), job_counts, ["settled", "ageing"], 7
+        )
         if as_json:
             click.echo(json.dumps(rows, indent=2))
         else:
             print_tables("A leader's round", [rows], console)
         return
-    result: dict[str, Any] = {}
-    broken = 0
-    for title, day in named.items():
+    report: dict[str, Any] = {}
+    violations = 0
+    for title, day in days_by_title.items():
         seeds_of_day = list(range(seed, seed + seeds))
         runs = ageing_runs(day, seeds_of_day, size, policies or POLICIES)
         with Progress(console=Console(stderr=True), transient=True) as progress:
             bar = progress.add_task(f"{title}: {len(runs)} days", total=len(runs))
-            step = -(-len(runs) // 10)
+            report_every = -(-len(runs) // 10)
 
             def on_result(
                 _: RunResult,
@@ -211,37 +215,37 @@
                 progress: Progress = progress,
                 title: str = title,
                 total: int = len(runs),
-                step: int = step,
+                report_every: int = report_every,
             ) -> None:
                 progress.advance(bar)
                 ended = int(progress.tasks[0].completed)
-                if not progress.console.is_terminal and ended % step == 0:
+                if not progress.console.is_terminal and ended % report_every == 0:
                     click.echo(f"{title}: {ended} of {total} days", err=True)
 
-            outcomes = list(run_all(runs, processes, out is not None, on_result))
-        tables = [summary(outcomes), totals(outcomes)]
-        result[title] = {"title": day.title, "delays": tables[0], "totals": tables[1]}
-        broken += sum(len(o.metrics.broken) for o in outcomes)
-        for outcome in outcomes:
-            for rule in outcome.metrics.broken[:3]:
-                run = outcome.run
+            results = list(run_all(runs, processes, out is not None, on_result))
+        tables = [summary(results), totals(results)]
+        report[title] = {"title": day.title, "delays": tables[0], "totals": tables[1]}
+        violations += sum(len(result.metrics.broken) for result in results)
+        for result in results:
+            for rule in result.metrics.broken[:3]:
+                run = result.run
                 click.echo(f"{title}, {run.name}, seed {run.seed}: {rule}", err=True)
         if not as_json:
             print_tables(f"{title}: {day.title}", tables, console)
         if out is not None:
             out.mkdir(parents=True, exist_ok=True)
-            write_events(outcomes, out / f"{title}.parquet")
-            plot_delays(outcomes, out / f"{title}.png")
+            write_events(results, out / f"{title}.parquet")
+            plot_delays(results, out / f"{title}.png")
     if as_json:
-        click.echo(json.dumps(result, indent=2))
-    if broken:
-        fail(f"{broken} times a rule was broken", 1)
+        click.echo(json.dumps(report, indent=2))
+    if violations:
+        fail(f"rules of the protocol were broken {violations} times", 1)
 
 
 def _run_parallel(
     calls: Sequence[tuple[Callable[..., Any], tuple[Any, ...]]], processes: int
 ) -> list[Any]:
-    """What each call comes to, in their order, and how far it has come."""
+    """The results of the calls, in their order; progress is printed as they end."""
     from concurrent.futures import ProcessPoolExecutor, as_completed
     from multiprocessing import get_context
 
@@ -292,29 +296,29 @@
 
     from ryegauge.experiments import loss
 
-    chosen = [] if cells else loss.default_cells()
+    selected = [] if cells else loss.default_cells()
     for cell in cells:
         parts = [part.strip() for part in cell.split("/")]
-        known = [
-            list(n)
-            for n in (
+        dimensions = [
+            list(names)
+            for names in (
                 loss.LOSS_TROUBLES,
                 loss.SURVIVOR_TROUBLES,
                 loss.SNAPSHOT_INTERVALS_S,
                 loss.CONCURRENT_TROUBLES,
             )
         ]
-        if len(parts) != len(known):
+        if len(parts) != len(dimensions):
             fail(f"--cell: {cell!r}: expected LOSS/LIVES/SNAPSHOTS/MEANWHILE", 2)
-        for part, names in zip(parts, known, strict=True):
+        for part, names in zip(parts, dimensions, strict=True):
             if part and part not in names:
                 fail(f"--cell: no {part!r}; expected one of {', '.join(names)}", 2)
-        every = [[part] if part else names for part, names in zip(parts, known, strict=True)]
-        chosen += [loss.Cell(*some) for some in product(*every)]
+        choices = [[part] if part else names for part, names in zip(parts, dimensions, strict=True)]
+        selected += [loss.Cell(*values) for values in product(*choices)]
     versions = [("this", None), *([("against", against)] if against else [])]
     calls = [
         (loss.measure, (machines, records, cell, seed, version, checkout))
-        for cell in chosen
+        for cell in selected
         for version, checkout in versions
         for seed in seeds
     ]
@@ -323,7 +327,7 @@
 
 
 def _report_rows(title: str, rows: list[dict[str, Any]], as_json: bool, console: Any) -> None:
-    """Ends with exit code 1 if a rule was broken by this version, or too little was served."""
+    """Print the rows; exit code 1 if this version broke a rule or served too little."""
     from ryegauge.experiments.report import print_tables
     from ryegauge.experiments.served import MIN_SERVED_SHARE
 
@@ -331,14 +335,17 @@
         click.echo(json.dumps(rows, indent=2))
     else:
         print_tables(title, [rows], console)
-    mine = [row for row in rows if row["version"] == "this"]
-    if broken := sum(row["broken"] for row in mine):
-        fail(f"{broken} times a rule was broken", 1)
-    if poor := [row for row in mine if row["served"] < MIN_SERVED_SHARE]:
-        fail(f"in {len(poor)} rows less than half of {poor[0]['least']} was served", 1)
+    this_version = [row for row in rows if row["version"] == "this"]
+    if violations := sum(row["broken"] for row in this_version):
+        fail(f"rules of the protocol were broken {violations} times", 1)
+    if underserved := [row for row in this_version if row["served"] < MIN_SERVED_SHARE]:
+        fail(
+            f"in {len(underserved)} rows less than half of {underserved[0]['least']} was served", 1
+        )
 
 
-# Frames after which connections drop: login and subscription take ten, each message a few.
+# Numbers of frames after which connections drop. Login and subscription take ten frames, each
+# message a few.
 DROP_AFTER_FRAMES = range(40)
 
 
@@ -354,8 +361,11 @@
     counts = [
         (queues.count, (delivery, trouble, seed, 30))
         for delivery in deliveries
-        for trouble, some in (("ends", seeds), *((str(n), seeds[:1]) for n in DROP_AFTER_FRAMES))
-        for seed in some
+        for trouble, trouble_seeds in (
+            ("ends", seeds),
+            *((str(n), seeds[:1]) for n in DROP_AFTER_FRAMES),
+        )
+        for seed in trouble_seeds
     ]
     floods = [
         (queues.overload, (seed, 120.0, with_queues))
@@ -365,17 +375,19 @@
     played = _run_parallel([*counts, *floods], processes)
     tables = [
         queues.summarize(played[: len(counts)]),
-        [one._asdict() for one in played[len(counts) :]],
+        [flood._asdict() for flood in played[len(counts) :]],
     ]
     if as_json:
         click.echo(json.dumps(tables, indent=2))
     else:
         print_tables("Queues", tables, console)
-    wrong = sum(
+    faults = sum(
         row["broken"]
         + row["two_answers"]
         + (row["lost"] + row["unanswered"] if row["delivery"] != "at_most_once" else 0)
         for row in tables[0]
     )
-    if wrong:
-        fail(f"{wrong} differences", 1)
+    if faults:
+        fail(
+            f"{faults} faults: messages lost, answers missing or contradictory, or rules broken", 1
+        )
--- a/ryegauge/cli/jobs.py
+++ b/ryegauge/cli/jobs.py
@@ -1,4 +1,4 @@
-"""For users: submitting a job, asking for its state, cancelling it."""
+"""Commands for users: submit a job, show its state, cancel it."""
 
 import json
 from typing import Any
@@ -27,7 +27,7 @@
         fail(f"{server}: no answer: {error}", 3)
 
 
-def _show(status: int, answer: Any) -> None:
+def _print_answer(status: int, answer: Any) -> None:
     click.echo(json.dumps(answer))
     if status not in (200, 201):
         fail(f"status {status}", 1)
@@ -42,7 +42,7 @@
         body = json.load(job)
     except ValueError as error:
         fail(f"{job.name}: not JSON: {error}", 2)
-    _show(*_call(server, "POST", "/v1/jobs", body))
+    _print_answer(*_call(server, "POST", "/v1/jobs", body))
 
 
 @click.command()
@@ -50,7 +50,7 @@
 @click.argument("uid")
 def status(server: str, uid: str) -> None:
     """Show the state of the job UID."""
-    _show(*_call(server, "GET", f"/v1/jobs/{uid}"))
+    _print_answer(*_call(server, "GET", f"/v1/jobs/{uid}"))
 
 
 @click.command()
@@ -58,4 +58,4 @@
 @click.argument("uid")
 def cancel(server: str, uid: str) -> None:
     """Cancel the job UID."""
-    _show(*_call(server, "POST", f"/v1/jobs/{uid}/cancel"))
+    _print_answer(*_call(server, "POST", f"/v1/jobs/{uid}/cancel"))
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -1,4 +1,4 @@
-"""For those who put work onto queues: what waits there, a message put, answers taken."""
+"""Commands for AMQP work queues: count and put messages, take answers."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -28,70 +28,74 @@
 
 @click.group()
 def queues() -> None:
-    """Look at AMQP work queues, put a message, take answers.
+    """Inspect AMQP work queues, put a message, take answers.
 
-    Exit codes: 1 the broker refuses, 2 wrong usage or file, 3 no connection.
+    Exit codes: 1 the broker refused or did not answer, 2 wrong usage or file, 3 no connection.
     """
 
 
-def _binding(file: str, name: str) -> "Binding":
+def _load_binding(file: str, name: str) -> "Binding":
     try:
         from ryegauge.config import ConfigError
         from ryegauge.queues import bindings
     except ImportError as error:
         fail(f"queues need: pip install 'ryegauge[queues]' ({error})", 2)
     try:
-        found = bindings.load(file).bindings
+        loaded = bindings.load(file).bindings
     except ConfigError as error:
         fail(str(error), 2)
-    for binding in found:
+    for binding in loaded:
         if binding.name == name:
             return binding
-    fail(f"{file}: no binding {name!r}; expected one of {', '.join(b.name for b in found)}", 2)
+    fail(f"{file}: no binding {name!r}; expected one of {', '.join(b.name for b in loaded)}", 2)
 
 
-def _with_channel(
+def _run_on_channel(
     binding: "Binding",
     operation: Callable[["Session", int, trio.MemoryReceiveChannel[Any]], Awaitable[None]],
     timeout_s: float = BROKER_TIMEOUT_S,
 ) -> None:
-    """One connection to the first broker that answers, with a channel that confirms."""
+    """Run an operation on a channel with publisher confirms and exit the process on errors.
+
+    Connects to the first broker that answers, in random order. The operation gets the session, the
+    number of the channel and the events of the channel, and has `timeout_s` seconds to end.
+    """
     import ssl
 
     from ryegauge.amqp.client import BrokerError, open_session
     from ryegauge.amqp.connection import ChannelClosed, ChannelOpened, Closed, Done, Opened
 
     async def run() -> None:
-        session, why = None, ""
+        session, last_error = None, ""
         for broker in random.sample(binding.brokers, len(binding.brokers)):
             try:
                 session = await open_session(broker)
                 break
             except (OSError, ssl.SSLError, trio.TooSlowError, BrokerError) as error:
-                why = f"{broker.url}: {error}"
+                last_error = f"{broker.url}: {error}"
         if session is None:
-            fail(f"no connection: {why}", 3)
-        send, receive = trio.open_memory_channel[Any](1000)
-        number = 0
+            fail(f"no connection: {last_error}", 3)
+        send_events, receive_events = trio.open_memory_channel[Any](1000)
+        channel = 0
 
         def on_event(event: "Event") -> None:
-            nonlocal number
+            nonlocal channel
             match event:
                 case Opened():
-                    number = session.protocol.open_channel()
+                    channel = session.protocol.open_channel()
                 case ChannelOpened():
-                    session.protocol.select_confirms(number)
+                    session.protocol.select_confirms(channel)
                 case Done(method="Confirm.Select"):
-                    nursery.start_soon(work)
+                    nursery.start_soon(run_operation)
                 case ChannelClosed(code=code, text=text) | Closed(code=code, text=text) if code:
                     errors.append(f"{code} {text}")
                     nursery.cancel_scope.cancel()
                 case _:
-                    send.send_nowait(event)
+                    send_events.send_nowait(event)
 
-        async def work() -> None:
+        async def run_operation() -> None:
             with trio.move_on_after(timeout_s) as scope:
-                await operation(session, number, receive)
+                await operation(session, channel, receive_events)
             if scope.cancelled_caught:
                 errors.append(f"nothing came within {timeout_s:g} s")
             session.protocol.close()
@@ -112,16 +116,18 @@
 @file_option
 @click.argument("binding")
 def count(file: str, binding: str) -> None:
-    """Print how many messages wait for BINDING, and how many consumers the queue has."""
-    selected = _binding(file, binding)
+    """Print the number of messages that wait for BINDING and of consumers of the queue."""
+    selected = _load_binding(file, binding)
 
-    async def operation(session: "Session", number: int, events: Any) -> None:
-        session.protocol.declare(number, selected.queue, passive=True)
+    async def operation(session: "Session", channel: int, events: Any) -> None:
+        session.protocol.declare(channel, selected.queue, passive=True)
         session.flush()
-        counted = await events.receive()
-        click.echo(f"{selected.queue}: {counted.messages} messages, {counted.consumers} consumers")
+        declared = await events.receive()
+        click.echo(
+            f"{selected.queue}: {declared.messages} messages, {declared.consumers} consumers"
+        )
 
-    _with_channel(selected, operation)
+    _run_on_channel(selected, operation)
 
 
 @queues.command()
@@ -130,12 +136,12 @@
     "--id",
     "message_id",
     required=True,
-    help="The message's id: the same id is the same message, however often it is put.",
+    help="ID of the message: messages with the same id count as one, however often they are put.",
 )
 @click.option("--priority", type=click.IntRange(0, 255), default=0, show_default=True)
-@click.option("--reply-to", help="Queue for the answer; none is given without.")
+@click.option("--reply-to", help="Queue for the answer; without it there is no answer.")
 @click.option("--type", "content_type", default="application/json", show_default=True)
-@click.option("--declare", is_flag=True, help="Make the queue, and that for the answer, first.")
+@click.option("--declare", is_flag=True, help="First declare the queue and that for the answer.")
 @click.argument("binding")
 @click.argument("body", type=click.File("rb"))
 def put(
@@ -150,10 +156,10 @@
 ) -> None:
     """Put the message in the file BODY (- for standard input) onto the queue of BINDING.
 
-    It is checked first as a controller would check it; exit code 0 means that the broker has
-    confirmed it.
+    The message is checked first as a controller would check it. Exit code 0 means that the broker
+    has confirmed it.
     """
-    selected = _binding(file, binding)
+    selected = _load_binding(file, binding)
     from pamqp.commands import Basic
 
     from ryegauge.amqp.connection import Confirmed, Returned
@@ -168,14 +174,14 @@
         delivery_mode=PERSISTENT,
         content_type=content_type,
     )
-    if isinstance(found := read(selected, properties, data), Never):
-        fail(f"{body.name}: {found.reason}", 2)
+    if isinstance(message := read(selected, properties, data), Never):
+        fail(f"{body.name}: {message.reason}", 2)
 
-    async def operation(session: "Session", number: int, events: Any) -> None:
+    async def operation(session: "Session", channel: int, events: Any) -> None:
         for queue in (selected.queue, reply_to) if declare else ():
             if queue:
-                session.protocol.declare(number, queue)
-        session.protocol.publish(number, "", selected.queue, data, properties)
+                session.protocol.declare(channel, queue)
+        session.protocol.publish(channel, "", selected.queue, data, properties)
         session.flush()
         while True:
             match await events.receive():
@@ -183,17 +189,17 @@
                     fail(f"{selected.queue}: {code} {text}", 1)
                 case Confirmed(good=good):
                     if not good:
-                        fail("the broker did not take it", 1)
+                        fail(f"{selected.queue}: the broker refused the message", 1)
                     break
-        click.echo(found.uid if isinstance(found, Cancellation) else found.spec.uid)
+        click.echo(message.uid if isinstance(message, Cancellation) else message.spec.uid)
 
-    _with_channel(selected, operation)
+    _run_on_channel(selected, operation)
 
 
 @queues.command()
 @file_option
 @click.option(
-    "--most", default=1, show_default=True, type=click.IntRange(1), help="How many to wait for."
+    "--most", default=1, show_default=True, type=click.IntRange(1), help="Answers to wait for."
 )
 @click.option(
     "--wait",
@@ -210,15 +216,17 @@
 @click.argument("binding")
 @click.argument("queue")
 def take(file: str, most: int, wait: float, out: Path | None, binding: str, queue: str) -> None:
-    """Take answers from QUEUE, at the broker of BINDING; each is acknowledged once it is
-    printed or written."""
-    selected = _binding(file, binding)
+    """Take answers from QUEUE at the broker of BINDING.
+
+    Each answer is acknowledged after it was printed or written.
+    """
+    selected = _load_binding(file, binding)
 
-    async def operation(session: "Session", number: int, events: Any) -> None:
+    async def operation(session: "Session", channel: int, events: Any) -> None:
         from ryegauge.amqp.connection import Delivery
 
-        session.protocol.prefetch(number, most)
-        session.protocol.consume(number, queue, "ryegauge-take")
+        session.protocol.prefetch(channel, most)
+        session.protocol.consume(channel, queue, "ryegauge-take")
         session.flush()
         taken = 0
         while taken < most:
@@ -232,7 +240,7 @@
                 out.mkdir(parents=True, exist_ok=True)
                 name = str(event.properties.message_id or taken).replace("/", "_")
                 (out / f"{name}.json").write_bytes(event.body)
-            session.protocol.ack(number, event.tag)
+            session.protocol.ack(channel, event.tag)
             session.flush()
 
-    _with_channel(selected, operation, wait)
+    _run_on_channel(selected, operation, wait)
--- a/ryegauge/cli/schema.py
+++ b/ryegauge/cli/schema.py
@@ -1,4 +1,4 @@
-"""JSON Schemas for those who write jobs and messages."""
+"""Command that prints the JSON Schemas of jobs and messages."""
 
 import json
 
--- a/ryegauge/cli/snapshot.py
+++ b/ryegauge/cli/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: what is there, whether it can be used, and putting one back."""
+"""Commands that list and check snapshots and hand one to a controller to restore."""
 
 import os
 import time
@@ -14,22 +14,24 @@
     from ryegauge.rebuilding.snapshots import Snapshot
 
 optional_config_option = click.option(
-    "--config", type=click.Path(), help="Settings file (TOML): whether they are of this fleet."
+    "--config",
+    type=click.Path(),
+    help="Settings file (TOML): also check that the snapshots are of this fleet.",
 )
 
 
 @click.group()
 def snapshot() -> None:
-    """List, check and put back snapshots of what controllers know.
+    """List, check and restore snapshots of what controllers know.
 
-    They are taken where the properties name a directory (snapshots.directory). A controller
-    looks at those in its directory when it starts and each time that it takes one, and puts
-    back what the state service has lost.
+    Controllers take snapshots if the properties name a directory (snapshots.directory). A
+    controller inspects the snapshots in its directory when it starts and whenever it takes one,
+    and restores what the state service has lost.
     """
 
 
 def _read_snapshot(path: Path, fleet: str | None) -> "Snapshot":
-    """Raises Unusable."""
+    """Read a snapshot; raises Unusable, also if it is of another fleet than a given one."""
     try:
         from ryegauge.rebuilding.snapshots import Unusable, decoded
     except ImportError as error:
@@ -41,6 +43,7 @@
 
 
 def _configured_fleet(config: str | None) -> str | None:
+    """The fleet of a settings file, None without a file."""
     if config is None:
         return None
     try:
@@ -54,6 +57,7 @@
 
 
 def _describe(path: Path, fleet: str | None) -> tuple[str, bool]:
+    """One line about a snapshot, and whether it can be used."""
     from ryegauge.rebuilding.snapshots import Unusable
 
     try:
@@ -73,7 +77,7 @@
 @click.argument("directory", type=click.Path(exists=True, file_okay=False, path_type=Path))
 @optional_config_option
 def list_(directory: Path, config: str | None) -> None:
-    """What is in DIRECTORY, the newest first; those that cannot be used with the reason."""
+    """List the snapshots in DIRECTORY, newest first, with the reason if one cannot be used."""
     fleet = _configured_fleet(config)
     paths = sorted(directory.glob("*.ryegauge"), reverse=True)
     for path in paths:
@@ -86,13 +90,13 @@
 @click.argument("file", nargs=-1, required=True, type=click.Path(path_type=Path))
 @optional_config_option
 def check(file: tuple[Path, ...], config: str | None) -> None:
-    """Whether each FILE can be used; exit code 1 if one cannot."""
+    """Check whether each FILE can be used; exit code 1 if one cannot."""
     fleet = _configured_fleet(config)
-    lines = [_describe(path, fleet) for path in file]
-    for line, _ in lines:
+    descriptions = [_describe(path, fleet) for path in file]
+    for line, _ in descriptions:
         click.echo(line)
-    if not all(good for _, good in lines):
-        fail("not all can be used", 1)
+    if not all(usable for _, usable in descriptions):
+        fail("some snapshots cannot be used", 1)
 
 
 @snapshot.command()
@@ -101,16 +105,20 @@
     "--into",
     required=True,
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="The directory that a controller's snapshots.directory names.",
+    help="The directory of a controller's property snapshots.directory.",
 )
 @config_option
 def put(file: Path, into: Path, config: str) -> None:
-    """Have a controller put FILE back: it looks at it within snapshots.every.s, or when it
-    starts. Nothing is undone: of a record that is there, the newer one counts."""
-    line, good = _describe(file, _configured_fleet(config))
+    """Have a controller restore the snapshot FILE.
+
+    The file is copied into the controller's directory of snapshots, which it inspects within
+    snapshots.every.s and when it starts. Nothing is undone: if a record exists, the newer one
+    counts.
+    """
+    line, usable = _describe(file, _configured_fleet(config))
     click.echo(line)
-    if not good:
-        fail("cannot be used", 1)
+    if not usable:
+        fail(f"{file}: the snapshot cannot be used", 1)
     name = f"{round(1000 * time.time()):015d}-put{file.suffix}"
     temporary = into / f"{name}.part"
     try:
@@ -118,4 +126,4 @@
         os.replace(temporary, into / name)
     except OSError as error:
         fail(f"{into}: {error.strerror}", 2)
-    click.echo(f"{into / name}: the controller's log tells what it makes of it")
+    click.echo(f"{into / name}: the controller's log reports what it restores")
