--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: days as data, the same seed the same result, figures that count right."""
+"""Experiments: day files, reproducible results, and metrics."""
 
 import json
 from pathlib import Path
@@ -13,11 +13,10 @@
 from ryegauge.emulator.world import Happened, World
 from ryegauge.experiments.day import load, submissions
 from ryegauge.experiments.delays import figures
-from ryegauge.experiments.play import DayResult
-from ryegauge.experiments.play import play as run
+from ryegauge.experiments.play import DayResult, play
 from ryegauge.experiments.served import least_served
 
-SMALL = """
+SMALL_DAY = """
 title = "a small day"
 seconds = 60
 [installation]
@@ -50,14 +49,14 @@
 
 
 @pytest.fixture
-def small(tmp_path: Path) -> Path:
+def small_day(tmp_path: Path) -> Path:
     path = tmp_path / "small.toml"
-    path.write_text(SMALL)
+    path.write_text(SMALL_DAY)
     return path
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "error"),
     [
         ("seconds = 60", "secnods = 60", "secnods"),
         ("tasks = 12", "tasks = 0", r"arrivals\[1\]"),
@@ -68,12 +67,14 @@
         ("title", "[title", "TOML"),
     ],
 )
-def test_a_wrong_day_names_the_place(small: Path, old: str, new: str, says: str) -> None:
-    assert old in SMALL
-    small.write_text(SMALL.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=says):
-        load(small)
-    result = CliRunner().invoke(main, ["experiment", "ageing", "--day", str(small)])
+def test_an_error_in_a_day_file_names_its_place(
+    small_day: Path, old: str, new: str, error: str
+) -> None:
+    assert old in SMALL_DAY
+    small_day.write_text(SMALL_DAY.replace(old, new, 1))
+    with pytest.raises(ConfigError, match=error):
+        load(small_day)
+    result = CliRunner().invoke(main, ["experiment", "ageing", "--day", str(small_day)])
     assert result.exit_code == 2
 
 
@@ -87,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "error"),
     [
         ("late_writes", "late_wrytes", r"troubles\[0\]\.kind"),
         ("part = 0.5", "part = 1.5", r"troubles\[0\]\.part"),
@@ -103,17 +104,19 @@
         ('"late_writes"\npart = 0.5', '"cancel_at_end"', r"troubles\[0\]\.part: cancel_at_end"),
     ],
 )
-def test_a_wrong_trouble_names_the_place(small: Path, old: str, new: str, says: str) -> None:
-    small.write_text(SMALL + TROUBLE.replace(old, new, 1))
-    with pytest.raises(ConfigError, match=says):
-        load(small)
-    result = CliRunner().invoke(main, ["experiment", "ageing", "--day", str(small)])
+def test_an_error_in_a_trouble_names_its_place(
+    small_day: Path, old: str, new: str, error: str
+) -> None:
+    small_day.write_text(SMALL_DAY + TROUBLE.replace(old, new, 1))
+    with pytest.raises(ConfigError, match=error):
+        load(small_day)
+    result = CliRunner().invoke(main, ["experiment", "ageing", "--day", str(small_day)])
     assert result.exit_code == 2
     assert "troubles[0]" in result.output
 
 
-def test_days_know_the_troubles_that_meet(small: Path) -> None:
-    """Each is played, is seen in the world, and is over afterwards."""
+def test_each_trouble_of_a_day_takes_effect_and_ends(small_day: Path) -> None:
+    """Each trouble shows in the state of the world while it lasts, alone, and not afterwards."""
     kinds = [
         "late_writes",
         "late_reports",
@@ -127,27 +130,27 @@
         "lost_writes",
         "kept_reports",
     ]
-    wire = {
+    overrides = {
         "lost_writes": 'late_writes"\nat_once = true #"',
         "kept_reports": 'late_reports"\nfor_next = true #"',
     }
-    small.write_text(
-        SMALL
+    small_day.write_text(
+        SMALL_DAY
         + "".join(
-            TROUBLE.replace("late_writes", wire.get(kind, kind)).replace(
+            TROUBLE.replace("late_writes", overrides.get(kind, kind)).replace(
                 "at_s = 1", f"at_s = {10 + 4 * n}"
             )
             for n, kind in enumerate(kinds)
         )
     )
-    seen: list[set[str]] = []
+    active: list[set[str]] = []
 
     def watch(world: World) -> None:
         net = world.network
-        seen.append(
+        active.append(
             {
                 name
-                for name, on in {
+                for name, is_active in {
                     "late_writes": net.late_writes == 0.5,
                     "late_reports": net.late_reports == 0.5,
                     "machines_deaf": net.deaf,
@@ -160,28 +163,31 @@
                     "lost_writes": net.lost_writes == 0.5,
                     "kept_reports": net.kept_reports == 0.5,
                 }.items()
-                if on
+                if is_active
             }
         )
 
-    played = run(load(small), "settled", 3, watch=watch)
+    played = play(load(small_day), "settled", 3, watch=watch)
     assert played.broken == []
-    assert set().union(*seen) == set(kinds)
-    assert all(len(some) <= 1 for some in seen)
-    assert seen[-1] == set()
+    assert set().union(*active) == set(kinds)
+    assert all(len(names) <= 1 for names in active)
+    assert active[-1] == set()
 
 
-def test_the_largest_of_a_class_are_counted() -> None:
-    """Nine small jobs are served and the one large one is not, or begins too late."""
+def test_the_largest_jobs_of_a_class_are_scored_on_their_own() -> None:
+    """Nine small jobs are served; the only large one is not, or starts too late.
+
+    The share of the whole class stays above one half.
+    """
     bodies = {
         f"wk-{n}": {"duty": "pick", "crew": "red", "pieces": 10 if n == 9 else 2} for n in range(10)
     }
     events = [Happened(0.0, "submitted", uid) for uid in bodies]
-    small_ones = [uid for uid in bodies if uid != "wk-9"]
-    events += [Happened(9.0, "started", uid, f"{uid}/0") for uid in small_ones]
+    small_jobs = [uid for uid in bodies if uid != "wk-9"]
+    events += [Happened(9.0, "started", uid, f"{uid}/0") for uid in small_jobs]
     events += [
         Happened(20.0, "ended", uid, f"{uid}/{i}", detail="done")
-        for uid in small_ones
+        for uid in small_jobs
         for i in range(2)
     ]
     assert least_served(events, bodies, 300.0) == (0.0, "largest of pick")
@@ -192,29 +198,29 @@
     assert least_served(in_time, bodies, 300.0)[0] == 1.0
 
 
-def test_built_in_days_can_be_played() -> None:
+def test_built_in_days_load_and_draw_reproducible_jobs() -> None:
     days = {path.stem: load(path) for path in DAYS.glob("*.toml")}
     assert {"dusk", "flood4", "flood10", "dusk-troubles"} <= set(days)
     for day in days.values():
-        drawn = list(submissions(day, 3))
-        assert drawn == list(submissions(day, 3))
-        assert drawn != list(submissions(day, 4))
-        assert len({s.body["uid"] for s in drawn}) == len(drawn)
-        # What lies around does not change the luck of the rest.
-        rest = list(submissions(day, 3, backlog=False))
-        assert rest == [s for s in drawn if s.body["urgency"] == "high"]
-        assert 20 < len(rest) < len(drawn)
+        jobs = list(submissions(day, 3))
+        assert jobs == list(submissions(day, 3))
+        assert jobs != list(submissions(day, 4))
+        assert len({s.body["uid"] for s in jobs}) == len(jobs)
+        # Leaving the backlog out does not change the random numbers of the other jobs.
+        without_backlog = list(submissions(day, 3, backlog=False))
+        assert without_backlog == [s for s in jobs if s.body["urgency"] == "high"]
+        assert 20 < len(without_backlog) < len(jobs)
 
 
-def test_the_same_seed_gives_the_same_figures_and_files(small: Path, tmp_path: Path) -> None:
-    def run(seed: int, out: Path) -> str:
+def test_the_same_seed_gives_the_same_metrics_and_files(small_day: Path, tmp_path: Path) -> None:
+    def run_experiment(seed: int, out: Path) -> str:
         result = CliRunner().invoke(
             main,
             [
                 "experiment",
                 "ageing",
                 "--day",
-                str(small),
+                str(small_day),
                 "--seed",
                 str(seed),
                 "--json",
@@ -227,9 +233,9 @@
         assert result.exit_code == 0, result.output
         return result.stdout
 
-    first = run(1, tmp_path / "a")
-    assert first == run(1, tmp_path / "b")
-    assert first != run(2, tmp_path / "c")
+    first = run_experiment(1, tmp_path / "a")
+    assert first == run_experiment(1, tmp_path / "b")
+    assert first != run_experiment(2, tmp_path / "c")
     events = [(tmp_path / name / "small.parquet").read_bytes() for name in "ab"]
     assert events[0] == events[1]
     assert (tmp_path / "a" / "small.png").read_bytes()[:4] == b"\x89PNG"
@@ -238,14 +244,17 @@
     assert all(row["jobs"] > 0 for row in rows if row["priority"] == "high")
 
 
-def test_inversions_and_the_unserved_are_counted(small: Path) -> None:
-    """A day by hand: an urgent job waits from 10 to 29 while a routine one starts at 20; a
-    start at 11 was on its way already, one of a smaller task took room of no use, and one
-    that is due by age is none."""
-    day = load(small)
+def test_inversions_and_unserved_jobs_are_counted(small_day: Path) -> None:
+    """A hand-written day: an urgent job waits from second 10 to 29.
+
+    The start of a normal job at 20 is an inversion. Not inversions are a start at 11, which was
+    decided before the urgent job was known; the start of a smaller task, whose capacity would not
+    have sufficed; and a start that is due by age.
+    """
+    day = load(small_day)
     day = msgspec.structs.replace(day, properties={"ageing_patience_leases": 1.0})
-    drawn = {s.body["urgency"]: s.body for s in submissions(day, 1)}
-    high, low = drawn["high"], {**drawn["normal"], "pieces": 50}
+    body_by_priority = {s.body["urgency"]: s.body for s in submissions(day, 1)}
+    high, low = body_by_priority["high"], {**body_by_priority["normal"], "pieces": 50}
     bodies = {
         "h": high,
         "low": low,
@@ -267,12 +276,12 @@
         Happened(45.0, "started", "old", "old/0"),
     ]
     played = DayResult(1, "settled", 60.0, events, bodies, [], 1.0, 0)
-    got = figures(day, played)
-    assert got.inversions == 1
-    assert got.aged_starts == 1
-    assert got.ranks["normal"].unserved == 1
-    assert got.ranks["high"].worst_s == 19.0
-    assert got.ranks["normal"].worst_s == 51.0
-    assert got.lost == 0
-    # Of 50 tasks of each of four jobs one was done; of the urgent one none.
-    assert (got.served, got.least) == (0.0, f"class {high['duty']}")
+    metrics = figures(day, played)
+    assert metrics.inversions == 1
+    assert metrics.aged_starts == 1
+    assert metrics.ranks["normal"].unserved == 1
+    assert metrics.ranks["high"].worst_s == 19.0
+    assert metrics.ranks["normal"].worst_s == 51.0
+    assert metrics.lost == 0
+    # Of the four normal jobs with 50 tasks each, one task was done; of the urgent job none.
+    assert (metrics.served, metrics.least) == (0.0, f"class {high['duty']}")
