--- a/ryegauge/experiments/day.py
+++ b/ryegauge/experiments/day.py
@@ -149,7 +149,7 @@
 
 
 class Day(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A scenario of `seconds` of simulated time; `properties` override the operators' defaults."""
+    """A scenario of `seconds` of simulated time; all controllers have the same `properties`."""
 
     title: str
     seconds: PositiveFloat
--- a/ryegauge/experiments/play.py
+++ b/ryegauge/experiments/play.py
@@ -18,7 +18,7 @@
 
     seed: int
     ordering: str
-    seconds: float
+    seconds: float  # length of the day
     happened: list[Happened]
     bodies: dict[str, dict[str, object]]  # submitted jobs, by uid
     broken: list[str]  # violated rules of the protocol
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -109,7 +109,7 @@
     write_rps: float = 100.0,
     known: Iterable[str] = (),
 ) -> Played:
-    """Simulate a day with the bindings; `script` runs until it ends.
+    """Simulate `seconds` of a day with the bindings, with `script` running beside it.
 
     `known` are the jobs whose description workers can fetch, as if users had uploaded them.
     """
