--- a/ryegauge/emulator/__init__.py
+++ b/ryegauge/emulator/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for all that controllers deal with, written after the protocol: a state service,
-a cloud, workers, users, a network and the rules. `world` plays days in simulated time,
-`live` serves on real loopback sockets. Nothing here is loaded by a controller.
+"""Emulators of everything a controller communicates with, implemented from the protocol: the
+state service, the cloud, workers, users, the network and a message broker, and a checker of the
+protocol's rules. `world` runs scenarios in simulated time, `live` serves on real loopback
+sockets. Controllers import nothing from this package.
 """
--- a/ryegauge/emulator/cloud.py
+++ b/ryegauge/emulator/cloud.py
@@ -1,4 +1,5 @@
-"""A stand-in for the cloud, after its protocol: rentals by name, returns, a list that lags."""
+"""An emulator of the cloud's API: idempotent rentals by name, releases, and a list of machines
+that lags behind."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -11,12 +12,15 @@
 from ryegauge.emulator.workers import Worker
 from ryegauge.transport.http import Reply, decode
 
-SNAPSHOT_S = 0.5
-FAILED_S = 30.0  # after which a machine that stopped is listed as failed
-MINIMUM_S = 60.0  # what a returned machine costs at least
+LIST_SNAPSHOT_INTERVAL_S = 0.5  # between the snapshots from which lists are answered
+FAILED_STATUS_DELAY_S = 30.0  # from a machine's failure until it is listed as failed
+MIN_BILLED_S = 60.0  # minimum billed time of a machine
 
 
 class Cloud:
+    """Rents out and takes back the machines of a fleet. `rent` starts a machine of a type, in a
+    zone, as spot or not, and returns its name; `returned` is called when one is released."""
+
     def __init__(
         self,
         fleet: Iterable[FleetType],
@@ -34,17 +38,18 @@
         self._returned = returned
         self._lag_s = list_lag_s
         self.outage = False
-        self.hires: dict[str, list[str]] = {}
-        self._history: list[tuple[float, list[dict[str, Any]]]] = []
+        self.rentals: dict[str, list[str]] = {}
+        self._list_history: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def run(self) -> None:
+        """Takes snapshots of the list of machines until cancelled."""
         while True:
             self._snapshot()
-            await trio.sleep(SNAPSHOT_S)
+            await trio.sleep(LIST_SNAPSHOT_INTERVAL_S)
 
     def _snapshot(self) -> None:
         now = trio.current_time()
-        listed = [
+        machines = [
             {
                 "uid": w.name,
                 "address": w.address,
@@ -57,24 +62,27 @@
             for w in self._workers.values()
             if w.alive or w.lost_at is not None
         ]
-        kept = [h for h in self._history if h[0] > now - 4 * self._lag_s - SNAPSHOT_S]
-        self._history = [*kept, (now, listed)]
+        recent = [
+            h for h in self._list_history if h[0] > now - 4 * self._lag_s - LIST_SNAPSHOT_INTERVAL_S
+        ]
+        self._list_history = [*recent, (now, machines)]
 
     @staticmethod
     def _status(worker: Worker, now: float) -> str:
-        if worker.lost_at is not None and now - worker.lost_at > FAILED_S:
+        if worker.lost_at is not None and now - worker.lost_at > FAILED_STATUS_DELAY_S:
             return "failed"
         return "running" if worker.up else "starting"
 
     def cost(self, now: float) -> float:
-        """What all machines have cost so far, at nominal prices."""
+        """Cost of all machines up to `now`, at list prices."""
         total = 0.0
         for w in self._workers.values():
-            held_s = max(MINIMUM_S, (now if w.ended_at is None else w.ended_at) - w.since)
+            held_s = max(MIN_BILLED_S, (now if w.ended_at is None else w.ended_at) - w.since)
             total += held_s / 3600 * (w.type.spot_price if w.spot else w.type.price)
         return total
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
+        """Answers one request; 503 during an injected outage."""
         await trio.sleep(self._rng.uniform(0.05, 0.3))
         if self.outage:
             return Reply(503, {"error": "trouble"})
@@ -92,31 +100,35 @@
                     if worker.alive or worker.lost_at is not None:
                         self._returned(worker)
                     worker.lost_at = None
-                    worker.released_busy |= worker.alive and bool(worker.on_machine())
+                    worker.returned_while_busy |= worker.alive and bool(worker.on_machine())
                     worker.die()
             return Reply(200, {})
         if url.path == "/hosts":
-            return self._hire(raw)
+            return self._handle_rental(raw)
         return Reply(400, {"error": f"{method} {url.path}"})
 
     def _list(self, query: dict[str, str]) -> Reply:
         lag_s = self._rng.uniform(0.5, 2.0) * self._lag_s
-        seen = [h for h in self._history if h[0] <= trio.current_time() - lag_s]
-        hosts = [h for h in (seen[-1][1] if seen else []) if h["uid"] > query.get("since", "")]
+        visible = [h for h in self._list_history if h[0] <= trio.current_time() - lag_s]
+        hosts = [
+            h for h in (visible[-1][1] if visible else []) if h["uid"] > query.get("since", "")
+        ]
         page = min(500, int(query.get("page", 500)))
         return Reply(200, {"hosts": hosts[:page], "hasNext": len(hosts) > page})
 
-    def _hire(self, raw: dict[str, Any]) -> Reply:
-        if raw["hire"] in self.hires:
-            return Reply(200, {"hosts": self.hires[raw["hire"]]})
+    def _handle_rental(self, raw: dict[str, Any]) -> Reply:
+        if raw["hire"] in self.rentals:
+            return Reply(200, {"hosts": self.rentals[raw["hire"]]})
         type_ = self._fleet.get(raw["build"])
         if type_ is None or raw["district"] not in type_.zones:
             return Reply(400, {"error": "no such type there"})
         spot = raw["loaners"]
-        have = sum(w.alive and (w.type, w.spot) == (type_, spot) for w in self._workers.values())
-        count = min(raw["count"], 50, type_.capacity(spot) - have)
+        rented_count = sum(
+            w.alive and (w.type, w.spot) == (type_, spot) for w in self._workers.values()
+        )
+        count = min(raw["count"], 50, type_.capacity(spot) - rented_count)
         if count <= 0:
             return Reply(503, {"error": "no capacity"})
         names = [self._rent(type_, raw["district"], spot) for _ in range(count)]
-        self.hires[raw["hire"]] = names
+        self.rentals[raw["hire"]] = names
         return Reply(200, {"hosts": names})
--- a/ryegauge/emulator/live.py
+++ b/ryegauge/emulator/live.py
@@ -1,5 +1,5 @@
-"""A whole installation on real loopback sockets: state service, cloud, workers whose tasks
-sleep or run a command, and controllers, all in one process."""
+"""A complete installation on loopback sockets in one process: state service, cloud, workers
+whose tasks sleep or run a command, and controllers."""
 
 import ipaddress
 import logging
@@ -30,13 +30,15 @@
 
 
 class EmulatedTeam(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A team of the installation: its guaranteed cores and its limit."""
+
     name: str
     cpus: Positive = 8.0
     cpus_max: Positive = 32.0
 
 
 class Emulation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What `emulate` starts; every key may be left out."""
+    """Configuration of the `emulate` command; every key has a default."""
 
     controllers: Annotated[int, msgspec.Meta(ge=0, le=9)] = 1
     teams: tuple[EmulatedTeam, ...] = (
@@ -47,9 +49,9 @@
         FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 2.0, 20.0, 1.0, steady=2, spot=4),
         FleetType("large", 16.0, 64.0, ["a"], 1.4, 0.45, 3.0, 50.0, 1.0, steady=1, spot=1),
     )
-    # Class of jobs -> command with its arguments; other classes sleep for `expectS`.
+    # Job class -> command with its arguments; tasks of other classes sleep.
     commands: dict[str, list[str]] = {}
-    # A sleeping task takes `expectS` times this.
+    # A task that sleeps takes this fraction of its job's `expectS`.
     speed: Positive = 0.1
     report_s: Positive = 1.0
     lease_s: Positive = 10.0
@@ -57,8 +59,9 @@
     seed: int = 1
 
 
-def bindings_of(queues_file: str, settings: Settings) -> "Queues":
-    """Raises ConfigError, also if what queues need is not installed."""
+def load_queues(queues_file: str, settings: Settings) -> "Queues":
+    """Loads the queue bindings. Raises ConfigError if the file is invalid or the optional
+    dependencies of queues are not installed."""
     try:
         from ryegauge.queues import bindings
     except ImportError as error:
@@ -66,8 +69,9 @@
     return bindings.load(queues_file, settings)
 
 
-def loopback(listen: str) -> tuple[str, int]:
-    """Host and port; a stand-in is for this machine alone, and refuses any other address."""
+def parse_loopback_address(listen: str) -> tuple[str, int]:
+    """Host and port of a loopback address. Raises ConfigError for any other address: the
+    emulator must not be reachable from other machines."""
     try:
         host, port = split_address(listen)
         address = ipaddress.ip_address(host)
@@ -79,19 +83,23 @@
 
 
 class Installation:
-    """Addresses follow the first port: users' ports of the controllers, then (from +10)
-    those of their peers, state service (+20) and cloud (+21), workers (from +30)."""
+    """The running installation, which is the environment of its workers.
+
+    Ports are offsets from the port in `listen`: the controllers' ports for users and workers
+    (from +0) and for peers (from +10), state service (+20), cloud (+21), workers (from +30).
+    """
 
     def __init__(self, emulation: Emulation, listen: str, queues_file: str | None = None) -> None:
-        """`queues_file` names bindings to be served; raises ConfigError."""
+        """`queues_file`: bindings to be served, with an emulated broker. Raises ConfigError if
+        `listen`, that file or its first broker's address cannot be used."""
         self._emulation = emulation
-        self._host, self._port = loopback(listen)
+        self._host, self._port = parse_loopback_address(listen)
         self.rng = random.Random(emulation.seed)
         self.report_s, self.lease_s = emulation.report_s, emulation.lease_s
         count = max(1, emulation.controllers)
-        self.controllers = {f"node-{n}": self._at(n) for n in range(count)}
+        self.controllers = {f"node-{n}": self._address(n) for n in range(count)}
         self.state = StateService()
-        self.state.on_write.append(self._written)
+        self.state.on_write.append(self._on_state_write)
         self.workers: dict[str, Worker] = {}
         self.cloud = Cloud(
             emulation.types, self.workers, self.rng, self._rent, list_lag_s=self.report_s
@@ -104,29 +112,29 @@
         self._machines = 0
         self._queues_file = queues_file
         if queues_file is not None:
-            self._queues = bindings_of(queues_file, self.settings(0))
+            self._queues = load_queues(queues_file, self.settings(0))
             host, self._broker_port, *_ = self._queues.bindings[0].brokers[0].address()
-            loopback(f"{host}:{self._broker_port}")
+            parse_loopback_address(f"{host}:{self._broker_port}")
 
-    def _at(self, offset: int) -> str:
+    def _address(self, offset: int) -> str:
         return f"{self._host}:{self._port + offset}"
 
     def settings(self, n: int) -> Settings:
-        """What the platform would hand to controller number `n`."""
+        """Settings of controller number `n`, as the platform would provide them."""
         e = self._emulation
         names = list(self.controllers)
         return msgspec.convert(
             {
                 "node_name": names[n],
                 "area": "a",
-                "listen": self._at(n),
-                "mesh_addr": self._at(10 + n),
+                "listen": self._address(n),
+                "mesh_addr": self._address(10 + n),
                 "known": [
-                    {"node_name": name, "area": "a", "peer_addr": self._at(10 + i)}
+                    {"node_name": name, "area": "a", "peer_addr": self._address(10 + i)}
                     for i, name in enumerate(names)
                     if i != n
                 ],
-                "outside": {"state": self._at(20), "cloud": self._at(21)},
+                "outside": {"state": self._address(20), "cloud": self._address(21)},
                 "settings": {
                     "nodes": len(names),
                     "zones": ["a"],
@@ -143,40 +151,46 @@
             Settings,
         )
 
-    # -- surroundings of the workers -----------------------------------------------------
+    # -- environment of the workers ------------------------------------------------------
 
     def network_of(self, worker: str) -> Network:
+        """The loopback network, the same for every worker."""
         return self._network
 
-    def _written(self, key: str, value: Any) -> None:
-        """Users upload their jobs' descriptions to where workers fetch them; here they are
-        taken from the records of the jobs."""
+    def _on_state_write(self, key: str, value: Any) -> None:
+        """Remembers the specification in a job's record: there is no store to which users
+        upload the descriptions that workers fetch."""
         match key.split("/"):
             case ["r", "j", uid]:
                 self._specs.setdefault(uid, value["s"])
 
-    def describe(self, uid: str) -> dict[str, Any] | None:
+    def job_spec(self, uid: str) -> dict[str, Any] | None:
+        """The job's specification from its record; None if none was written."""
         return self._specs.get(uid)
 
-    def began(self, worker: Worker, task: str) -> None:
+    def on_task_started(self, worker: Worker, task: str) -> None:
+        """Logs the start."""
         log.info("%s started on %s", task, worker.name)
 
-    def ended(self, worker: Worker, task: str, cause: str) -> None:
+    def on_task_ended(self, worker: Worker, task: str, cause: str) -> None:
+        """Logs the end and its cause."""
         log.info("%s ended on %s: %s", task, worker.name, cause)
 
     def run_s(self, task: str, spec: dict[str, Any]) -> float:
+        """Seconds that the task sleeps; 0 if it runs a command or has no end."""
         if spec["duty"] in self._emulation.commands or spec["shape"] == "standing":
             return 0.0
         return float(spec["expectS"]) * self._emulation.speed
 
-    async def perform(self, task: str, spec: dict[str, Any], seconds: float) -> bool:
+    async def execute(self, task: str, spec: dict[str, Any], seconds: float) -> bool:
+        """Runs the command of the job's class, or sleeps; whether it succeeded."""
         command = self._emulation.commands.get(spec["duty"])
         if spec["shape"] == "standing" and command is None:
             await trio.sleep_forever()
         if command is None:
             await trio.sleep(seconds)
             return True
-        # Killed with its scope, when the task is stopped or the emulator ends.
+        # trio kills the process when the task is stopped or the emulator ends.
         try:
             done = await trio.run_process(
                 command,
@@ -185,7 +199,7 @@
                 env={**os.environ, "RYEGAUGE_TASK": task},
             )
         except OSError as error:
-            log.warning("%s: %s: %s", task, command[0], error)
+            log.warning("%s: cannot run %s: %s", task, command[0], error)
             return False
         return done.returncode == 0
 
@@ -194,7 +208,7 @@
     def _rent(self, type_: FleetType, zone: str, spot: bool) -> str:
         self._machines += 1
         name = f"m-{self._machines:06d}"
-        worker = Worker(self, name, type_, zone, spot, self._at(29 + self._machines))
+        worker = Worker(self, name, type_, zone, spot, self._address(29 + self._machines))
         self.workers[name] = worker
         self.nursery.start_soon(worker.run)
         return name
@@ -205,11 +219,11 @@
         )
 
     async def run(self) -> None:
-        """Until cancelled. Raises OSError if a port is taken."""
+        """Runs the installation until cancelled. Raises OSError if a port is taken."""
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
-            nursery.start_soon(self._serve, self._at(20), self.state.handle)
-            nursery.start_soon(self._serve, self._at(21), self.cloud.handle)
+            nursery.start_soon(self._serve, self._address(20), self.state.handle)
+            nursery.start_soon(self._serve, self._address(21), self.cloud.handle)
             nursery.start_soon(self.cloud.run)
             front = None
             if self._queues_file is not None:
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -1,5 +1,5 @@
-"""A network in simulated time that cuts, holds and delays. Hosts are named by what stands
-before the colon of their address."""
+"""A network in simulated time that injects partitions, delays, lost answers and duplicates. A host
+is named by the part of its address before the colon."""
 
 import random
 import time
@@ -22,81 +22,91 @@
 )
 from ryegauge.transport.http import answer as respond
 
-# Of each source, so many reports are kept for the next leader: the oldest ones, which are
-# the likeliest of an earlier session or attempt.
-KEPT_REPORTS = 4
+# Copies kept of each worker's reports for the next leader: the oldest ones, which are the most
+# likely to be from an earlier session or attempt.
+KEPT_REPORTS_PER_SOURCE = 4
 
-# On whose processor a task of the simulation runs.
-HOST: ContextVar[str] = ContextVar("host", default="")
+# Host whose code the current trio task runs.
+CURRENT_HOST: ContextVar[str] = ContextVar("host", default="")
 
 
 class Processors(trio.abc.Instrument):
-    """Real processor seconds that the code of each host has taken."""
+    """Measures the processor time of each host's code; `seconds`: host -> seconds."""
 
     def __init__(self) -> None:
         self.seconds: dict[str, float] = {}
-        self._began = 0.0
+        self._step_began = 0.0
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
-        self._began = time.process_time()
+        """Called by trio before each step of a task."""
+        self._step_began = time.process_time()
 
     def after_task_step(self, task: trio.lowlevel.Task) -> None:
-        host = task.context.get(HOST, "")
-        took = time.process_time() - self._began
-        self.seconds[host] = self.seconds.get(host, 0.0) + took
+        """Called by trio after each step; adds its time to the task's host."""
+        host = task.context.get(CURRENT_HOST, "")
+        elapsed_s = time.process_time() - self._step_began
+        self.seconds[host] = self.seconds.get(host, 0.0) + elapsed_s
 
 
 @dataclass
-class Cut:
-    """No packets between two ends; held ones arrive when it is over."""
+class NetworkCut:
+    """A partition between two sets of hosts. With `hold`, messages sent meanwhile are delivered
+    once `healed` is set; otherwise they are lost."""
 
-    ends: tuple[set[str], set[str]]
+    sides: tuple[set[str], set[str]]
     hold: bool
-    over: trio.Event = field(default_factory=trio.Event)
+    healed: trio.Event = field(default_factory=trio.Event)
 
-    def parts(self, a: str, b: str) -> bool:
-        one, two = self.ends
+    def separates(self, a: str, b: str) -> bool:
+        """Whether hosts `a` and `b` cannot reach each other."""
+        one, two = self.sides
         return (a in one and b in two) or (a in two and b in one)
 
 
 class SimulatedNetwork:
-    """Hosts are named by what stands before the colon of their address."""
+    """Connects all hosts of the simulation, and holds the faults that are injected at present."""
 
     def __init__(self, nursery: trio.Nursery | None, rng: random.Random) -> None:
         self.nursery = nursery
         self._rng = rng
         self.handlers: dict[str, Handler] = {}
-        self.cuts: list[Cut] = []
-        self.gone: set[str] = set()  # hosts without power: connections to them hang
-        self.deaf: set[str] = set()  # what they send arrives, nothing reaches them
-        self.mute: set[str] = set()  # hosts that reach nobody: connections hang
+        self.cuts: list[NetworkCut] = []
+        self.powered_off: set[str] = set()  # connections to these hosts hang
+        # Hosts whose incoming messages are lost; what they send arrives, its answers don't.
+        self.deaf: set[str] = set()
+        self.mute: set[str] = set()  # hosts whose outgoing connections hang
         self.refused: set[tuple[str, str]] = set()  # (source, destination): answered 503
-        self.slow: dict[str, float] = {}  # hosts that take up to so long for each answer
-        # Of the transactions, so many get no answer and are carried out so much later.
+        self.slow: dict[str, float] = {}  # host -> maximum delay of each of its answers, seconds
+        # Share of transactions that get no answer and are executed later; the range of delays.
         self.late_writes, self.late_writes_s = 0.0, (2.0, 12.0)
-        self.late_kind: Callable[[Any], bool] = lambda body: True  # only of these
-        self.lost_writes = 0.0  # so many are carried out at once, and only the answer is lost
-        # Of the workers' reports, of so many a copy arrives again, up to so much later.
-        self.late_reports, self.copies_within_s = 0.0, 0.0
-        # Of so many a copy is kept until `deliver_kept`.
+        self.late_kind: Callable[[Any], bool] = lambda body: True  # only these transactions
+        # Share of transactions that are executed at once and whose answer is lost.
+        self.lost_writes = 0.0
+        # Share of workers' reports that are delivered twice; the maximum delay of the duplicate.
+        self.late_reports, self.max_copy_delay_s = 0.0, 0.0
+        # Share of workers' reports of which a copy is kept until `deliver_kept_reports`.
         self.kept_reports = 0.0
-        self._kept: dict[str, list[tuple[str, str, bytes]]] = defaultdict(list)
+        self._report_copies: dict[str, list[tuple[str, str, bytes]]] = defaultdict(list)
 
     def at(self, host: str) -> "HostNetwork":
+        """The network as seen from one host."""
         return HostNetwork(self, host)
 
-    async def _pass(self, a: str, b: str) -> None:
+    async def _traverse(self, a: str, b: str) -> None:
         await trio.sleep(self._rng.uniform(0.0005, 0.004))
         if b in self.deaf:
             await trio.sleep_forever()
-        while (cut := next((c for c in self.cuts if c.parts(a, b)), None)) is not None:
+        while (cut := next((c for c in self.cuts if c.separates(a, b)), None)) is not None:
             if not cut.hold:
                 await trio.sleep_forever()
-            await cut.over.wait()
+            await cut.healed.wait()
 
     async def call(
         self, source: str, address: str, method: str, target: str, body: Any, timeout_s: float
     ) -> tuple[int, Any, float | None]:
+        """Sends a request from host `source`; returns status, body and seconds of `retry-after`.
+        Raises ConnectionRefused if nobody serves the address, ResponseTimeout if no answer came
+        in time, Unreachable if not even a connection was made."""
         host = address.partition(":")[0]
         payload = b"" if body is None else encode(body)
         answer: list[Reply] = []
@@ -110,31 +120,31 @@
             and target == "/multi"
             and body["apply"]
             and self.late_kind(body)
-            and self._drawn(self.late_writes)
+            and self._draw(self.late_writes)
         ):
             self.nursery.start_soon(
-                self._again, address, method, target, payload, *self.late_writes_s
+                self._deliver_later, address, method, target, payload, *self.late_writes_s
             )
             await trio.sleep(timeout_s)
             raise ResponseTimeout("no answer")
-        if self.late_reports and target == "/checkin" and self._drawn(self.late_reports):
+        if self.late_reports and target == "/checkin" and self._draw(self.late_reports):
             self.nursery.start_soon(
-                self._again, address, method, target, payload, 2.0, self.copies_within_s
+                self._deliver_later, address, method, target, payload, 2.0, self.max_copy_delay_s
             )
-        if self.kept_reports and target == "/checkin" and self._drawn(self.kept_reports):
-            self._kept[source].append((method, target, payload))
-            del self._kept[source][KEPT_REPORTS:]
+        if self.kept_reports and target == "/checkin" and self._draw(self.kept_reports):
+            self._report_copies[source].append((method, target, payload))
+            del self._report_copies[source][KEPT_REPORTS_PER_SOURCE:]
         is_write = target == "/multi" and bool(body["apply"])
-        answer_lost = bool(self.lost_writes) and is_write and self._drawn(self.lost_writes)
-        stood = trio.Event()  # once there is a connection
+        answer_lost = bool(self.lost_writes) and is_write and self._draw(self.lost_writes)
+        connected = trio.Event()  # set once the connection is established
 
         async def deliver() -> None:
-            # Goes on when the caller has given up: what was sent may arrive late.
-            await self._pass(source, host)
-            if host in self.gone or source in self.mute:
+            # Continues after the caller's timeout: a request may still be executed then.
+            await self._traverse(source, host)
+            if host in self.powered_off or source in self.mute:
                 await trio.sleep_forever()
-            stood.set()
-            HOST.set(host)
+            connected.set()
+            CURRENT_HOST.set(host)
             handler = self.handlers.get(address)
             if handler is None:
                 answer.append(Reply(-1))
@@ -145,8 +155,8 @@
                 return
             if host in self.slow:
                 await trio.sleep(self._rng.uniform(0.0, self.slow[host]))
-            HOST.set(source)
-            await self._pass(host, source)
+            CURRENT_HOST.set(source)
+            await self._traverse(host, source)
             answer.append(reply)
             done.set()
 
@@ -154,40 +164,45 @@
         with trio.move_on_after(timeout_s):
             await done.wait()
         if not answer:
-            raise ResponseTimeout("no answer") if stood.is_set() else Unreachable("no connection")
+            raise (
+                ResponseTimeout("no answer") if connected.is_set() else Unreachable("no connection")
+            )
         if answer[0].status == -1:
             raise ConnectionRefused("refused")
         reply = answer[0]
         data = None if reply.body is None else decode(encode(reply.body))
         return reply.status, data, reply.retry_after_s
 
-    def _drawn(self, share: float) -> bool:
+    def _draw(self, share: float) -> bool:
         return self._rng.random() < share
 
-    def deliver_kept(self, addresses: Collection[str], within_s: float) -> None:
-        """The copies that were kept arrive at all these addresses, within so long."""
-        kept, self._kept = self._kept, defaultdict(list)
+    def deliver_kept_reports(self, addresses: Collection[str], within_s: float) -> None:
+        """Delivers the kept copies of reports to each of the addresses, within `within_s`."""
+        kept, self._report_copies = self._report_copies, defaultdict(list)
         for messages in kept.values():
             for message in messages:
                 for address in addresses:
                     assert self.nursery is not None
-                    self.nursery.start_soon(self._again, address, *message, 0.0, within_s)
+                    self.nursery.start_soon(self._deliver_later, address, *message, 0.0, within_s)
 
-    async def _again(
+    async def _deliver_later(
         self, address: str, method: str, target: str, payload: bytes, least_s: float, most_s: float
     ) -> None:
-        """A message arrives later than anybody waits for its answer."""
+        """Delivers a request after a delay; its answer goes nowhere."""
         await trio.sleep(self._rng.uniform(least_s, most_s))
         if (handler := self.handlers.get(address)) is not None:
-            HOST.set(address.partition(":")[0])
+            CURRENT_HOST.set(address.partition(":")[0])
             await respond(handler, method, target, payload)
 
 
 class HostNetwork:
+    """The simulated network as seen from one host; a `transport.http.Network`."""
+
     def __init__(self, network: SimulatedNetwork, host: str) -> None:
         self._network, self._host = network, host
 
     def client(self, address: str, *, max_connections: int, idle_s: float) -> "HostClient":
+        """A client of one address; the limits of connections are not simulated."""
         return HostClient(self._network, self._host, address)
 
     async def serve(
@@ -201,6 +216,8 @@
         listening: Callable[[], None] = lambda: None,
         first: Callable[[str], bool] = lambda target: False,
     ) -> None:
+        """Serves requests to the address until cancelled; limits and timeouts are not
+        simulated."""
         self._network.handlers[address] = handler
         listening()
         try:
@@ -211,13 +228,16 @@
 
 
 class HostClient:
+    """A client of one address on one host; a `transport.http.HttpClient`."""
+
     def __init__(self, network: SimulatedNetwork, host: str, address: str) -> None:
         self._network, self._host, self._address = network, host, address
 
     async def request(
         self, method: str, target: str, body: Any = None, *, timeout_s: float
     ) -> tuple[int, Any, float | None]:
+        """One request; returns and raises as `SimulatedNetwork.call`."""
         return await self._network.call(self._host, self._address, method, target, body, timeout_s)
 
-    def close(self) -> None:
+    def close(self) -> None:  # there are no connections to close
         pass
--- a/ryegauge/emulator/state.py
+++ b/ryegauge/emulator/state.py
@@ -1,5 +1,5 @@
-"""A stand-in for the state service, after its protocol: conditions, atomic transactions,
-versions, leases, watches, pages and limits. In memory only."""
+"""An in-memory emulator of the state service: conditional atomic transactions, versions, leases,
+watches, pages and limits."""
 
 import json
 from bisect import bisect_right
@@ -13,15 +13,22 @@
 from ryegauge.bookkeeping.budget import Budget
 from ryegauge.transport.http import Reply, decode
 
-Data = dict[str, tuple[Any, int, int | None]]
-Leases = dict[int, tuple[float, float]]
+# Key -> (value, version, lease or None).
+StoredData = dict[str, tuple[Any, int, int | None]]
+# Lease -> (time to live in seconds, end).
+StoredLeases = dict[int, tuple[float, float]]
 
 
 class StateService:
-    """`rps` and `write_rps`: limits above which it answers 429; none by default."""
+    """The service and the faults injected into it.
 
-    KEPT_CHANGES = 10_000
-    PAGE_BYTES = 512 * 1024
+    `value_kb` and `txn_ops`: limits of a value's size and of a transaction's operations, above
+    which it answers 400; `rps` and `write_rps`: limits of requests and changes per second, above
+    which it answers 429, none by default; `page`: maximum of items in a page.
+    """
+
+    MAX_LOG_EVENTS = 10_000
+    MAX_PAGE_BYTES = 512 * 1024
 
     def __init__(
         self,
@@ -32,63 +39,68 @@
         write_rps: float | None = None,
         page: int = 1000,
     ) -> None:
-        self._requests = None if rps is None else Budget(rps, rps)
-        self._changes = None if write_rps is None else Budget(write_rps, write_rps)
-        self._page = page
-        self.on_write: list[Callable[[str, Any], None]] = []
+        self._request_budget = None if rps is None else Budget(rps, rps)
+        self._change_budget = None if write_rps is None else Budget(write_rps, write_rps)
+        self._max_page_items = page
+        self.on_write: list[Callable[[str, Any], None]] = []  # called with each key and value
         self.revision = 0
-        self.data: Data = {}
+        self.data: StoredData = {}
         self.log: list[tuple[int, dict[str, Any]]] = []
-        self._forgotten = 0  # the last revision that is no longer in the log
-        self._changed = trio.Event()
-        self.leases: Leases = {}  # ttl, end
+        self._compacted_revision = 0  # latest revision that is no longer in the log
+        self._event_added = trio.Event()
+        self.leases: StoredLeases = {}
         self.outage = False
         self.value_kb, self.txn_ops = value_kb, txn_ops
-        self.refused_writes = 0  # for their size or number
-        self.too_fast = 0  # requests and changes answered 429
-        self.writes = 0  # changes executed
-        self.requests = 0  # that were not answered 503
-        self._leases = 0
-        # What it was at times before, to go back to; kept for so long, if at all.
+        self.rejected_transactions = 0  # answered 400 for their size or number of operations
+        self.rate_limited_requests = 0  # answered 429, for their own rate or that of changes
+        self.writes = 0  # operations of executed transactions
+        self.requests = 0  # received outside of outages
+        self._last_lease_id = 0
+        # Earlier states for `go_back`, kept for this long; 0: none are kept.
         self.history_s = 0.0
-        self._history: deque[tuple[float, int, Data, Leases]] = deque()
+        self._history: deque[tuple[float, int, StoredData, StoredLeases]] = deque()
 
-    # -- losses -----------------------------------------------------------------------------
+    # -- data loss --------------------------------------------------------------------------
 
-    def remember(self) -> None:
-        """What it is now, for `go_back`."""
+    def record_history(self) -> None:
+        """Keeps the present state for `go_back`."""
         now = trio.current_time()
         self._history.append((now, self.revision, dict(self.data), dict(self.leases)))
         while self._history[0][0] < now - self.history_s:
             self._history.popleft()
 
     def go_back(self, seconds: float, *, leases: bool = True) -> None:
-        """To what it was then: from a backup, or since a part of it came back that had missed
-        the latest. Its leases have their full time again, or are gone."""
+        """Returns to the state of `seconds` ago, as a restored backup or a stale replica would.
+        Leases of that state have their full time again, or are lost as well."""
         now = trio.current_time()
         while len(self._history) > 1 and self._history[-1][0] > now - seconds:
             self._history.pop()
-        _, self.revision, data, held = self._history[-1]
+        _, self.revision, data, saved_leases = self._history[-1]
         self.data = dict(data)
-        self.leases = {i: (ttl, now + ttl) for i, (ttl, _) in held.items()} if leases else {}
-        self._leases = max(held, default=0)
+        self.leases = (
+            {i: (ttl, now + ttl) for i, (ttl, _) in saved_leases.items()} if leases else {}
+        )
+        self._last_lease_id = max(saved_leases, default=0)
         self.log = [change for change in self.log if change[0] <= self.revision]
 
     def lose_all(self) -> None:
-        self.revision, self._forgotten, self._leases = 0, 0, 0
+        """Starts again empty, at revision 0."""
+        self.revision, self._compacted_revision, self._last_lease_id = 0, 0, 0
         self.data, self.leases, self.log = {}, {}, []
 
     def lose_records(self, prefix: str, every: int = 2) -> None:
-        """Every second record under the prefix, without events."""
+        """Drops one in `every` records under the prefix, in the order of keys, without events."""
         for key in sorted(key for key in self.data if key.startswith(prefix))[::every]:
             del self.data[key]
 
     def end_outage(self) -> None:
+        """Answers again; all leases have their full time."""
         self.outage = False
         now = trio.current_time()
         self.leases = {i: (ttl, now + ttl) for i, (ttl, _) in self.leases.items()}
 
     def expire(self) -> None:
+        """Deletes leases that have ended, with their keys; none ends during an outage."""
         if self.outage:
             return
         now = trio.current_time()
@@ -103,15 +115,16 @@
 
     def _delete(self, key: str) -> None:
         del self.data[key]
-        self._note({"delete": key, "stamp": self.revision})
+        self._append_event({"delete": key, "stamp": self.revision})
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
+        """Answers one request; 503 during an injected outage."""
         self.expire()
         if self.outage:
             return Reply(503, {"error": "trouble"})
         self.requests += 1
-        if self._requests is not None and not self._requests.try_take(reserve=0.0):
-            self.too_fast += 1
+        if self._request_budget is not None and not self._request_budget.try_take(reserve=0.0):
+            self.rate_limited_requests += 1
             return Reply(429, {"error": "too many requests"})
         url = urlsplit(target)
         query = {k: v[0] for k, v in parse_qs(url.query).items()}
@@ -129,10 +142,10 @@
         if path == "/multi":
             return self._multi(raw)
         if path == "/grants":
-            self._leases += 1
+            self._last_lease_id += 1
             ttl = raw["ttlMs"] / 1000
-            self.leases[self._leases] = (ttl, trio.current_time() + ttl)
-            return Reply(200, {"tenure": self._leases})
+            self.leases[self._last_lease_id] = (ttl, trio.current_time() + ttl)
+            return Reply(200, {"tenure": self._last_lease_id})
         if path.endswith("/extend"):
             lease = int(path.split("/")[2])
             if lease not in self.leases:
@@ -151,13 +164,13 @@
     def _list(self, query: dict[str, str]) -> Reply:
         under, since = query.get("under", ""), query.get("since", "")
         keys = sorted(k for k in self.data if k.startswith(under) and k > since)
-        limit = min(int(query.get("page", 1000)), self._page)
+        limit = min(int(query.get("page", 1000)), self._max_page_items)
         items: list[dict[str, Any]] = []
         size = 0
         for key in keys[:limit]:
             item = {"path": key, "data": self.data[key][0], "stamp": self.data[key][1]}
             size += len(json.dumps(item))
-            if items and size > self.PAGE_BYTES:
+            if items and size > self.MAX_PAGE_BYTES:
                 break
             items.append(item)
         more = len(keys) > len(items)
@@ -165,7 +178,7 @@
 
     async def _watch(self, query: dict[str, str]) -> Reply:
         since, under = int(query["since"]), query.get("under", "")
-        if since < self._forgotten:
+        if since < self._compacted_revision:
             return Reply(410, {"error": "too old", "ledger": self.revision})
         until = trio.current_time() + min(60_000, int(query.get("waitMs", 0))) / 1000
         while True:
@@ -176,31 +189,31 @@
             if events or trio.current_time() >= until:
                 return Reply(200, {"ledger": self.revision, "events": events})
             with trio.move_on_at(until):
-                await self._changed.wait()
+                await self._event_added.wait()
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self.log.append((self.revision, event))
-        if len(self.log) > self.KEPT_CHANGES:
-            self._forgotten = self.log[0][0]
+        if len(self.log) > self.MAX_LOG_EVENTS:
+            self._compacted_revision = self.log[0][0]
             del self.log[0]
-        self._changed.set()
-        self._changed = trio.Event()
+        self._event_added.set()
+        self._event_added = trio.Event()
 
     def _multi(self, raw: Any) -> Reply:
         if len(raw["apply"]) > self.txn_ops or len(raw["if"]) > 4 * self.txn_ops:
-            self.refused_writes += 1
+            self.rejected_transactions += 1
             return Reply(400, {"error": "too many"})
         for change in raw["apply"]:
             size = len(json.dumps(change.get("data")))
             if size > 1024 * self.value_kb:
-                self.refused_writes += 1
+                self.rejected_transactions += 1
                 return Reply(400, {"error": "too large"})
         for change in raw["apply"]:
             if change.get("tenure") is not None and change["tenure"] not in self.leases:
                 return Reply(400, {"error": "no such lease"})
         cost = float(len(raw["apply"]))
-        if cost and self._changes is not None and not self._changes.try_take(cost, 0.0):
-            self.too_fast += 1
+        if cost and self._change_budget is not None and not self._change_budget.try_take(cost, 0.0):
+            self.rate_limited_requests += 1
             return Reply(429, {"error": "too many changes"})
         versions = {c["path"]: c["stamp"] for c in raw["if"]}
         failed = [k for k, v in versions.items() if (self.data[k][1] if k in self.data else 0) != v]
@@ -215,7 +228,7 @@
                 for listener in self.on_write:
                     listener(key, change["data"])
                 self.data[key] = (change["data"], self.revision, change.get("tenure"))
-                self._note({"write": key, "data": change["data"], "stamp": self.revision})
+                self._append_event({"write": key, "data": change["data"], "stamp": self.revision})
             elif change["delete"] in self.data:
                 self._delete(change["delete"])
         return Reply(200, {"ledger": self.revision})
--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -1,5 +1,6 @@
-"""What users do beyond submitting, polling and cancelling a job: close looks, odd requests,
-cancellations of many jobs at once or at the moment of their end."""
+"""Users' behaviour beyond submitting, polling and cancelling a job: requests for one job in quick
+succession, invalid and redundant requests, and cancellations of many jobs at once or at the
+moment of their end."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,69 +11,81 @@
 if TYPE_CHECKING:
     from ryegauge.emulator.world import World
 
-AT_ONCE_S = 0.2  # many cancellations come within so long
-HANGING = 8  # so many machines of cancelled jobs hang, at most
-REPEAT_S = 1.0  # after which a cancellation that was not answered is repeated
-# After an end a user cancels within so long: workers report within half a second.
-END_S = 0.6
-# A close look: so often at all nodes, each time within so long.
-LOOKS, LOOK_S = 3, 0.01
-CANCELLED_AT_ONCE = 0.15  # of the jobs that were just accepted, under close looks
-ODD_S = (0.05, 0.4)  # from one odd request to the next
-# What makes a job that no machine fits, or that no team may have.
-UNFIT: tuple[dict[str, Any], ...] = (
+CANCEL_BURST_S = 0.2  # within which the cancellations of one burst are sent
+MAX_HUNG_MACHINES = 8  # of the cancelled jobs' machines
+CANCEL_RETRY_S = 1.0  # before an unanswered cancellation is repeated
+# A user cancels within this time after the job's end: workers report the end within 0.5 s.
+CANCEL_AT_END_WINDOW_S = 0.6
+# A close look: rounds of polls at all controllers, and the length of a round.
+CLOSE_LOOKS, CLOSE_LOOK_INTERVAL_S = 3, 0.01
+IMMEDIATE_CANCEL_SHARE = 0.15  # of newly accepted jobs, while `close_looks` is active
+ODD_REQUEST_INTERVAL_S = (0.05, 0.4)  # range of pauses between odd requests
+# Changes that make a job exceed every machine, or name a type or team that does not exist.
+UNRUNNABLE_CHANGES: tuple[dict[str, Any], ...] = (
     {"cpus": 1e6},
     {"memoryGb": 1e7},
     {"cards": 1e4},
     {"builds": ["none-such"]},
     {"crew": "none-such"},
 )
-REQUIRED = ("duty", "crew", "shape", "urgency", "pieces", "cpus", "memoryGb", "kit", "loaners")
-OF_EMULATOR = ("really", "broken")  # in a job's description, not in its submission
+REQUIRED_FIELDS = (
+    "duty",
+    "crew",
+    "shape",
+    "urgency",
+    "pieces",
+    "cpus",
+    "memoryGb",
+    "kit",
+    "loaners",
+)
+EMULATOR_FIELDS = ("really", "broken")  # in `Checker.specs`, not in submissions
 
 
 class Users:
-    """Their questions, each compared by the checker with what had been heard before."""
+    """Sends users' requests and passes every answer to the checker."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
-        self.at_end = 0.0  # this share of jobs that end is cancelled then
-        self.close = False
-        self.odd_since: float | None = None
-        self._odd = 0
+        self.at_end = 0.0  # share of jobs that are cancelled at their end
+        self.close = False  # whether close looks are taken
+        self.odd_since: float | None = None  # since when odd requests are sent
+        self._odd_request_count = 0
 
-    async def question(
+    async def ask_and_check(
         self, uid: str, asked: str, body: Any = None, controller: int | None = None
     ) -> int:
-        """`asked`: submit, poll or cancel. The status; 0: not answered."""
+        """Sends one request about a job, to `controller` or to any, and checks the answer.
+        `asked`: submit, poll or cancel. Returns the status; 0: not answered."""
         world, checker = self._world, self._world.checker
         path = "/v1/jobs" + {"submit": "", "poll": f"/{uid}", "cancel": f"/{uid}/cancel"}[asked]
         sent = trio.current_time()
         status, answer = await world.ask(
             "GET" if asked == "poll" else "POST", path, body, controller
         )
-        accepted, over = uid in checker.accepted, uid in checker.final
+        accepted, was_final = uid in checker.accepted, uid in checker.final
         checker.answered(uid, status, answer, asked, sent)
-        if not over and uid in checker.final:
+        if not was_final and uid in checker.final:
             world.note("final", uid, detail=checker.final[uid])
-        if not (accepted and over) and (accepted, over) != (
+        if not (accepted and was_final) and (accepted, was_final) != (
             uid in checker.accepted,
             uid in checker.final,
         ):
-            self._look(uid, new=not accepted)
+            self._look_closely(uid, new=not accepted)
         return status
 
     # -- cancellations -----------------------------------------------------------------------
 
-    async def _call_off(self, uid: str, delay_s: float) -> None:
+    async def _cancel_after(self, uid: str, delay_s: float) -> None:
         checker = self._world.checker
         await trio.sleep(delay_s)
         checker.asked_to_cancel.add(uid)
-        while await self.question(uid, "cancel") != 200 and uid not in checker.final:
-            await trio.sleep(REPEAT_S)
+        while await self.ask_and_check(uid, "cancel") != 200 and uid not in checker.final:
+            await trio.sleep(CANCEL_RETRY_S)
 
-    def _with_long_to_go(self) -> dict[str, set[str]]:
-        """Jobs that run for longer than a lease from now on, and on which machines."""
+    def _long_running_jobs(self) -> dict[str, set[str]]:
+        """Open jobs with a task that runs for longer than a lease from now on -> the machines
+        of these tasks."""
         world, checker = self._world, self._world.checker
         found: dict[str, set[str]] = {}
         for worker in world.workers.values():
@@ -86,20 +99,25 @@
         return found
 
     async def cancel_now(self, count: int, hang_s: float) -> None:
+        """Cancels up to `count` long-running jobs at once; some of their machines hang for
+        `hang_s`, if it is not 0."""
         world = self._world
-        running = self._with_long_to_go()
-        chosen = world.rng.sample(sorted(running), min(count, len(running)))
+        running = self._long_running_jobs()
+        selected = world.rng.sample(sorted(running), min(count, len(running)))
         if hang_s:
-            machines = sorted({name for uid in chosen for name in running[uid]})
-            for name in world.rng.sample(machines, min(HANGING, len(machines))):
+            machines = sorted({name for uid in selected for name in running[uid]})
+            for name in world.rng.sample(machines, min(MAX_HUNG_MACHINES, len(machines))):
                 world.workers[name].hung_until = trio.current_time() + hang_s
                 world.note("hung", machine=name)
-        for uid in chosen:
-            world.nursery.start_soon(self._call_off, uid, world.rng.uniform(0.0, AT_ONCE_S))
-        await trio.sleep(AT_ONCE_S)
+        for uid in selected:
+            world.nursery.start_soon(
+                self._cancel_after, uid, world.rng.uniform(0.0, CANCEL_BURST_S)
+            )
+        await trio.sleep(CANCEL_BURST_S)
 
     @contextmanager
     def cancel_at_end(self, share: float) -> Iterator[None]:
+        """While it is open, `share` of the jobs are cancelled at the moment they end."""
         self.at_end = share
         try:
             yield
@@ -107,64 +125,75 @@
             self.at_end = 0.0
 
     def task_done(self, task: str) -> None:
+        """To be called when a task completes; reacts to the end of its job."""
         if not (self.at_end or self.close):
             return
         world, uid = self._world, task.rpartition("/")[0]
         pieces = world.checker.specs[uid]["pieces"]
         if all(f"{uid}/{i}" in world.results for i in range(pieces)):
             if self.at_end and world.rng.random() < self.at_end:
-                world.nursery.start_soon(self._call_off, uid, world.rng.uniform(0.0, END_S))
-            self._look(uid)
+                world.nursery.start_soon(
+                    self._cancel_after, uid, world.rng.uniform(0.0, CANCEL_AT_END_WINDOW_S)
+                )
+            self._look_closely(uid)
 
     # -- close looks -------------------------------------------------------------------------
 
     @contextmanager
     def close_looks(self) -> Iterator[None]:
+        """While it is open, every change of a job's status triggers polls at all controllers
+        in quick succession."""
         self.close = True
         try:
             yield
         finally:
             self.close = False
 
-    def _look(self, uid: str, new: bool = False) -> None:
-        """At all nodes, again and again, and a repeated submission; of new jobs some are
-        cancelled."""
+    def _look_closely(self, uid: str, new: bool = False) -> None:
+        """Polls the job at all controllers several times and repeats its submission; some of
+        the new jobs are cancelled."""
         if not self.close:
             return
         world = self._world
-        for n in range(LOOKS):
+        for n in range(CLOSE_LOOKS):
             for controller in range(len(world.settings)):
-                delay_s = n * LOOK_S + world.rng.uniform(0.0, LOOK_S)
-                world.nursery.start_soon(self._later, delay_s, uid, "poll", None, controller)
-            delay_s = n * LOOK_S + world.rng.uniform(0.0, LOOK_S)
-            world.nursery.start_soon(self._later, delay_s, uid, "submit", self._body(uid), None)
-        if new and world.rng.random() < CANCELLED_AT_ONCE:
-            world.nursery.start_soon(self._call_off, uid, world.rng.uniform(0.0, LOOKS * LOOK_S))
-
-    async def _later(
+                delay_s = n * CLOSE_LOOK_INTERVAL_S + world.rng.uniform(0.0, CLOSE_LOOK_INTERVAL_S)
+                world.nursery.start_soon(self._ask_later, delay_s, uid, "poll", None, controller)
+            delay_s = n * CLOSE_LOOK_INTERVAL_S + world.rng.uniform(0.0, CLOSE_LOOK_INTERVAL_S)
+            world.nursery.start_soon(
+                self._ask_later, delay_s, uid, "submit", self._submission(uid), None
+            )
+        if new and world.rng.random() < IMMEDIATE_CANCEL_SHARE:
+            world.nursery.start_soon(
+                self._cancel_after, uid, world.rng.uniform(0.0, CLOSE_LOOKS * CLOSE_LOOK_INTERVAL_S)
+            )
+
+    async def _ask_later(
         self, delay_s: float, uid: str, asked: str, body: Any, controller: int | None
     ) -> None:
         await trio.sleep(delay_s)
-        await self.question(uid, asked, body, controller)
+        await self.ask_and_check(uid, asked, body, controller)
 
-    def _body(self, uid: str) -> dict[str, Any]:
+    def _submission(self, uid: str) -> dict[str, Any]:
         spec = self._world.checker.specs[uid]
-        return {key: value for key, value in spec.items() if key not in OF_EMULATOR}
+        return {key: value for key, value in spec.items() if key not in EMULATOR_FIELDS}
 
     # -- odd requests ------------------------------------------------------------------------
 
     @contextmanager
     def odd_requests(self) -> Iterator[None]:
+        """While it is open, users send repeated submissions, cancellations of jobs that are
+        done, and submissions that must be rejected."""
         scope = trio.CancelScope()
 
-        async def keep_on() -> None:
+        async def send_odd_requests() -> None:
             with scope:
                 while True:
-                    await trio.sleep(self._world.rng.uniform(*ODD_S))
+                    await trio.sleep(self._world.rng.uniform(*ODD_REQUEST_INTERVAL_S))
                     await self._odd_request()
 
         self.odd_since = trio.current_time()
-        self._world.nursery.start_soon(keep_on)
+        self._world.nursery.start_soon(send_odd_requests)
         try:
             yield
         finally:
@@ -173,22 +202,22 @@
 
     async def _odd_request(self) -> None:
         checker, rng = self._world.checker, self._world.rng
-        kind = rng.choice(("repeat", "cancel done", "unfit", "lacking"))
+        kind = rng.choice(("repeat", "cancel done", "unrunnable", "incomplete"))
         if kind == "repeat":
             if some := sorted(checker.accepted - set(checker.final)):
                 uid = rng.choice(some)
-                await self.question(uid, "submit", self._body(uid))
+                await self.ask_and_check(uid, "submit", self._submission(uid))
         elif kind == "cancel done":
             if some := sorted(uid for uid, end in checker.final.items() if end == "done"):
-                await self.question(rng.choice(some), "cancel")
+                await self.ask_and_check(rng.choice(some), "cancel")
         elif checker.specs:
-            self._odd += 1
-            uid = f"wk-99{self._odd:08d}"
-            body = {**self._body(rng.choice(sorted(checker.specs))), "uid": uid}
-            if kind == "unfit":
-                body |= rng.choice(UNFIT)
+            self._odd_request_count += 1
+            uid = f"wk-99{self._odd_request_count:08d}"
+            body = {**self._submission(rng.choice(sorted(checker.specs))), "uid": uid}
+            if kind == "unrunnable":
+                body |= rng.choice(UNRUNNABLE_CHANGES)
             else:
-                del body[rng.choice(REQUIRED)]
-            checker.impossible.add(uid)
-            await self.question(uid, "submit", body)
-            await self.question(uid, "poll")
+                del body[rng.choice(REQUIRED_FIELDS)]
+            checker.unrunnable.add(uid)
+            await self.ask_and_check(uid, "submit", body)
+            await self.ask_and_check(uid, "poll")
--- a/ryegauge/emulator/versions.py
+++ b/ryegauge/emulator/versions.py
@@ -1,4 +1,4 @@
-"""Controllers of another version, from a checkout of it, in the emulator of this one."""
+"""Loads controllers of another version from a checkout, to run them in this version's emulator."""
 
 import importlib
 import sys
@@ -9,10 +9,11 @@
 
 
 def node_of(checkout: str | Path | None) -> Any:
-    """What runs as a controller there; without a checkout, this version's."""
+    """The `Node` class of the version in `checkout`; without a checkout, this version's.
+    `sys.modules` and `sys.path` are as before when it returns."""
     if checkout is None:
         return Node
-    mine = {
+    own_modules = {
         name: sys.modules.pop(name)
         for name in list(sys.modules)
         if name.split(".")[0] == "ryegauge"
@@ -20,14 +21,15 @@
     sys.path.insert(0, str(checkout))
     try:
         module = importlib.import_module("ryegauge.coordination.node")
-        # What the emulator's network raises and answers with is this version's.
+        # The emulator's network raises and returns this version's classes, so the other
+        # version's modules have to use them too.
         for other in [m for n, m in sys.modules.items() if n.split(".")[0] == "ryegauge"]:
             for name in ("Unreachable", "Malformed", "Reply"):
                 if hasattr(other, name):
-                    setattr(other, name, getattr(mine["ryegauge.transport.http"], name))
+                    setattr(other, name, getattr(own_modules["ryegauge.transport.http"], name))
         return module.Node
     finally:
         sys.path.remove(str(checkout))
         for name in [n for n in sys.modules if n.split(".")[0] == "ryegauge"]:
             del sys.modules[name]
-        sys.modules.update(mine)
+        sys.modules.update(own_modules)
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -1,4 +1,4 @@
-"""Whether a job is left waiting beside free room, once the troubles are over."""
+"""Checks that no job is left waiting beside free capacity once all troubles have ended."""
 
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any
@@ -10,9 +10,10 @@
 if TYPE_CHECKING:
     from ryegauge.emulator.world import World
 
-LEFT_S = 90.0  # of the operators' letter: so long beside the same machine is too long
-LOOK_S = LEFT_S / 18
-SLACK = 1e-6  # of sums of floats
+# Limit given by the operators for waiting while one and the same machine could take a task.
+MAX_WAIT_BESIDE_CAPACITY_S = 90.0
+CHECK_INTERVAL_S = MAX_WAIT_BESIDE_CAPACITY_S / 18
+ROUNDING_TOLERANCE = 1e-6  # of floating-point sums
 
 
 def _usable(worker: Worker) -> bool:
@@ -20,45 +21,47 @@
     return worker.up and worker.notice_at is None and not (worker.faulty or hung)
 
 
-class Waiting:
-    """Since when each waiting job has had each machine's room beside it."""
+class WaitingChecker:
+    """Tracks since when each waiting job could have run on each machine."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
         self._since: dict[str, dict[str, float]] = {}
 
-    def look(self) -> None:
-        """To be called every LOOK_S; breaks `left_waiting` once for each such job."""
+    def check(self) -> None:
+        """To be called every CHECK_INTERVAL_S; reports `left_waiting` once per job."""
         world, now = self._world, trio.current_time()
-        if now < world.calm_since:
+        if now < world.troubles_ended_at:
             return
         machines = [w for w in world.workers.values() if w.alive]
-        self._count(machines)
+        self._count_placed_tasks(machines)
         seen: dict[str, dict[str, float]] = {}
         for uid in sorted(world.checker.accepted - set(world.checker.final)):
-            if not self._waits(uid):
+            if not self._has_runnable_task(uid):
                 continue
             before = self._since.get(uid, {})
             seen[uid] = {w.name: before.get(w.name, now) for w in machines if self._fits(w, uid)}
             for name, since in seen[uid].items():
-                # A look may just miss the moment, so one more than the limit is due.
-                if now - since > LEFT_S:
-                    world.checker.broke(
+                # A check may just miss the moment at which room became free, so this takes
+                # one check more than fit into the limit.
+                if now - since > MAX_WAIT_BESIDE_CAPACITY_S:
+                    world.checker.report_violation(
                         "left_waiting", f"{uid} for {now - since:.0f} s beside {name}"
                     )
                     seen[uid] = {name: float("inf")}
                     break
         self._since = seen
 
-    def _count(self, machines: list[Worker]) -> None:
-        """What is on the machines now; what is being fetched takes its room as well."""
+    def _count_placed_tasks(self, machines: list[Worker]) -> None:
+        """Counts tasks and free resources of the machines; tasks that fetch their image occupy
+        resources as well."""
         specs = self._world.checker.specs
         self._placed: set[str] = set()
         self._used: dict[str, float] = defaultdict(float)
-        self._left: dict[str, list[float]] = {}
+        self._free: dict[str, list[float]] = {}
         self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         for w in machines:
-            left = self._left[w.name] = [w.type.cpus, w.type.memory_gb, w.type.gpus]
+            free = self._free[w.name] = [w.type.cpus, w.type.memory_gb, w.type.gpus]
             for task, attempt in w.tasks.items():
                 uid = task.rpartition("/")[0]
                 if attempt.state == "ended" or (spec := specs.get(uid)) is None:
@@ -66,15 +69,15 @@
                 self._placed.add(task)
                 self._used[spec["crew"]] += spec["cpus"]
                 self._zones[uid][w.zone] += 1
-                for n, amount in enumerate(_amounts(spec)):
-                    left[n] -= amount
+                for n, amount in enumerate(_resources(spec)):
+                    free[n] -= amount
 
-    def _waits(self, uid: str) -> bool:
-        """A task of it could run. Not of jobs that were cancelled or fail everywhere; nor of
-        gangs, which need room for all their tasks at once."""
+    def _has_runnable_task(self, uid: str) -> bool:
+        """Whether some task of the job waits only for a machine. False for jobs that were
+        cancelled or fail everywhere, and for gangs, which need room for all tasks at once."""
         world, checker = self._world, self._world.checker
         spec = checker.specs[uid]
-        needs = checker.needs_of(uid)
+        needs = checker.transitive_needs(uid)
         if (
             spec.get("broken")
             or spec.get("shape") == "gang"
@@ -82,7 +85,7 @@
         ):
             return False
         team = next(t for t in world.settings[0].settings.teams if t.name == spec["crew"])
-        if self._used[team.name] + spec["cpus"] > team.cpu_limit + SLACK:
+        if self._used[team.name] + spec["cpus"] > team.cpu_limit + ROUNDING_TOLERANCE:
             return False
         done = all(
             f"{name}/{i}" in world.results
@@ -96,10 +99,13 @@
 
     def _fits(self, worker: Worker, uid: str) -> bool:
         spec, zones = self._world.checker.specs[uid], self._zones[uid]
-        left = self._left[worker.name]
+        free = self._free[worker.name]
         return (
             _usable(worker)
-            and all(amount <= n + SLACK for amount, n in zip(_amounts(spec), left, strict=True))
+            and all(
+                amount <= n + ROUNDING_TOLERANCE
+                for amount, n in zip(_resources(spec), free, strict=True)
+            )
             and worker.type.name in (spec.get("builds") or [worker.type.name])
             and worker.zone == (spec.get("district") or worker.zone)
             and (bool(spec["loaners"]) or not worker.spot)
@@ -108,5 +114,5 @@
         )
 
 
-def _amounts(spec: dict[str, Any]) -> tuple[float, float, float]:
+def _resources(spec: dict[str, Any]) -> tuple[float, float, float]:
     return spec["cpus"], spec.get("memoryGb", 0.0), spec.get("cards", 0.0)
--- a/ryegauge/emulator/workers.py
+++ b/ryegauge/emulator/workers.py
@@ -1,7 +1,7 @@
-"""A stand-in for a worker, after its protocol: reports, leases, commands, images, tasks.
+"""An emulator of a worker: reports, lease, commands, image cache and tasks.
 
-It runs in simulated time and on real sockets alike: network, clock and luck come from its
-`Surroundings`, which also say what a task is and what running it means.
+It runs in simulated time and on real sockets alike: network and random numbers come from its
+`WorkerEnvironment`, which also provides the jobs' specifications and executes tasks.
 """
 
 import random
@@ -14,40 +14,51 @@
 from ryegauge.emulator.fleet import FleetType
 from ryegauge.transport.http import Malformed, Network, Reply, Unreachable, decode
 
-ANSWER_S = 4.0
-LEAST_GAP_S = 0.5
+REPORT_TIMEOUT_S = 4.0
+MIN_REPORT_GAP_S = 0.5  # between reports; also the time after which a broken task fails
 
 
-class Surroundings(Protocol):
-    """What a worker stands in."""
+class WorkerEnvironment(Protocol):
+    """What a worker needs from the installation in which it runs."""
 
     rng: random.Random
     nursery: trio.Nursery
-    controllers: dict[str, str]  # name -> address for workers and users
+    controllers: dict[str, str]  # name -> address for users and workers
     report_s: float
     lease_s: float
     results: set[str]  # tasks that have completed
-    progress: dict[str, float]  # task -> seconds of its run that are saved
+    progress: dict[str, float]  # task -> seconds of its run up to its last checkpoint
 
-    def network_of(self, worker: str) -> Network: ...
+    def network_of(self, worker: str) -> Network:
+        """The network as seen from the worker."""
+        ...
 
-    def describe(self, uid: str) -> dict[str, Any] | None:
-        """The job as its user submitted it; None: no such job."""
+    def job_spec(self, uid: str) -> dict[str, Any] | None:
+        """The job's specification as submitted; None: no such job."""
         ...
 
-    def began(self, worker: "Worker", task: str) -> None: ...
+    def on_task_started(self, worker: "Worker", task: str) -> None:
+        """Called when a task begins to run, after its image is fetched."""
+        ...
 
-    def ended(self, worker: "Worker", task: str, cause: str) -> None: ...
+    def on_task_ended(self, worker: "Worker", task: str, cause: str) -> None:
+        """Called when a task that ran has ended; `cause` as in reports."""
+        ...
 
-    def perform(self, task: str, spec: dict[str, Any], seconds: float) -> Awaitable[bool]:
-        """Runs a task for some of its time; whether it succeeded."""
+    def execute(self, task: str, spec: dict[str, Any], seconds: float) -> Awaitable[bool]:
+        """Runs a task for some seconds of its time; whether it succeeded."""
         ...
 
-    def run_s(self, task: str, spec: dict[str, Any]) -> float: ...
+    def run_s(self, task: str, spec: dict[str, Any]) -> float:
+        """Seconds that the whole task runs; 0: `execute` decides."""
+        ...
 
 
 @dataclass
 class Attempt:
+    """One attempt of a task on this worker; `state` and `cause` as in reports, `saved`: a
+    checkpoint was written when it was stopped, `scope`: cancels it."""
+
     number: int
     state: str = "fetching"
     cause: str | None = None
@@ -56,46 +67,51 @@
 
 
 class Worker:
+    """A machine with its worker, from its rental to its end."""
+
     def __init__(
         self,
-        around: Surroundings,
+        environment: WorkerEnvironment,
         name: str,
         type_: FleetType,
         zone: str,
         spot: bool,
         address: str,
     ) -> None:
-        self._around, self.name, self.type = around, name, type_
+        self._environment, self.name, self.type = environment, name, type_
         self.zone, self.spot, self.address = zone, spot, address
         self.since = trio.current_time()
         self.ended_at: float | None = None
-        self.lost_at: float | None = None  # stopped by itself, and not yet returned
+        self.lost_at: float | None = None  # when it failed; None: it did not, or was released since
         self.alive, self.up, self.faulty = True, False, False
-        self.boot_factor = 1.0  # infinite: never comes up
-        self.released_busy = False  # returned to the cloud with tasks running on it
+        self.boot_factor = 1.0  # of the usual boot time; infinite: never boots
+        self.returned_while_busy = False  # released to the cloud while tasks ran on it
         self.session, self.seq, self.token = 1, 0, 0
         self.notice_at: float | None = None
         self.tasks: dict[str, Attempt] = {}
-        self.images: dict[str, float] = {}  # name -> GB, the latest used is last
+        self.images: dict[str, float] = {}  # cached, name -> GB, least recently used first
         self._fetches: dict[str, trio.Event] = {}
         self.hung_until = 0.0
         self.changed = trio.Event()
         self.lease_from = 0.0
         self.scope = trio.CancelScope()
-        self._network = around.network_of(name)
+        self._network = environment.network_of(name)
 
     def on_machine(self) -> list[str]:
+        """Tasks that run or write a checkpoint now."""
         return [t for t, a in self.tasks.items() if a.state in ("running", "flushing")]
 
     def die(self) -> None:
+        """Stops the machine with everything on it."""
         if self.alive:
             self.ended_at = trio.current_time()
         self.alive = False
         self.scope.cancel()
 
     async def run(self) -> None:
+        """Boots, then serves commands and reports until the machine stops."""
         with self.scope:
-            boot_s = self.type.boot_s * self._around.rng.uniform(0.3, 1.5)
+            boot_s = self.type.boot_s * self._environment.rng.uniform(0.3, 1.5)
             await trio.sleep(boot_s * self.boot_factor)
             self.up = True
             self.lease_from = trio.current_time()
@@ -110,18 +126,18 @@
             self.address,
             self.handle,
             max_connections=32,
-            idle_s=4 * self._around.lease_s,
-            request_s=self._around.lease_s,
+            idle_s=4 * self._environment.lease_s,
+            request_s=self._environment.lease_s,
         )
 
-    async def _awake(self) -> None:
+    async def _wait_while_hung(self) -> None:
         while self.hung_until > trio.current_time():
             await trio.sleep_until(self.hung_until)
 
     async def _lease_loop(self) -> None:
-        lease_s = self._around.lease_s
+        lease_s = self._environment.lease_s
         while True:
-            # A hanging machine may continue only within its lease.
+            # Not delayed while the machine hangs: its tasks end with the lease.
             await trio.sleep_until(self.lease_from + lease_s + 0.001)
             if trio.current_time() > self.lease_from + lease_s:
                 for task, attempt in self.tasks.items():
@@ -132,6 +148,7 @@
                 self.changed.set()
 
     def report(self) -> dict[str, Any]:
+        """The next report, as it is sent to controllers."""
         self.seq += 1
         left = None if self.notice_at is None else max(0.0, self.notice_at - trio.current_time())
         return {
@@ -157,50 +174,52 @@
         }
 
     async def _report_loop(self) -> None:
-        around, rng = self._around, self._around.rng
-        names = list(around.controllers)
+        environment, rng = self._environment, self._environment.rng
+        names = list(environment.controllers)
         node = rng.choice(names)
-        callers = {
-            name: self._network.client(address, max_connections=1, idle_s=4 * around.lease_s)
-            for name, address in around.controllers.items()
+        clients = {
+            name: self._network.client(address, max_connections=1, idle_s=4 * environment.lease_s)
+            for name, address in environment.controllers.items()
         }
         while True:
-            await self._awake()
+            await self._wait_while_hung()
             self.changed = trio.Event()
             sent_at, session = trio.current_time(), self.session
             body: Any = None
             try:
-                status, body, _ = await callers[node].request(
-                    "POST", "/checkin", self.report(), timeout_s=ANSWER_S
+                status, body, _ = await clients[node].request(
+                    "POST", "/checkin", self.report(), timeout_s=REPORT_TIMEOUT_S
                 )
             except Unreachable:
                 status = 0
-            await self._awake()
+            await self._wait_while_hung()
             foreman = body.get("foreman") if status == 421 and isinstance(body, dict) else None
             if status == 200:
                 if body["baton"] >= self.token and session == self.session:
-                    self._see(body["baton"])
+                    self._accept_token(body["baton"])
                     self.lease_from = max(self.lease_from, sent_at)
-                    self._obey(body["orders"])
-                await trio.sleep(LEAST_GAP_S)
-                pause_s = around.report_s * rng.uniform(0.75, 1.25) - LEAST_GAP_S
+                    self._execute_orders(body["orders"])
+                await trio.sleep(MIN_REPORT_GAP_S)
+                pause_s = environment.report_s * rng.uniform(0.75, 1.25) - MIN_REPORT_GAP_S
                 with trio.move_on_after(max(0.0, pause_s)):
                     await self.changed.wait()
-            elif foreman in callers and foreman != node:
+            elif foreman in clients and foreman != node:
                 node = foreman
                 await trio.sleep(rng.uniform(0, 0.5))
             else:
                 node = names[(names.index(node) + 1) % len(names)]
                 await trio.sleep(1.0)
 
-    def _see(self, token: int) -> None:
+    def _accept_token(self, token: int) -> None:
         if token > self.token:
             self.token = token
             self.changed.set()
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
-        await self._awake()
-        if not self.alive:  # it ended with the request on its way
+        """Answers a controller's request: `/show` or commands, which are refused with 409 if
+        their token is outdated or their session is another. Raises Malformed."""
+        await self._wait_while_hung()
+        if not self.alive:  # it stopped while the request was in flight
             await trio.sleep_forever()
         if target == "/show":
             return Reply(200, self.report())
@@ -209,11 +228,11 @@
             raise Malformed("baton or shift is missing")
         if raw["baton"] < self.token or raw["shift"] != self.session:
             return Reply(409, self.report())
-        self._see(raw["baton"])
-        self._obey(raw["orders"])
+        self._accept_token(raw["baton"])
+        self._execute_orders(raw["orders"])
         return Reply(200, self.report())
 
-    def _obey(self, orders: list[dict[str, Any]]) -> None:
+    def _execute_orders(self, orders: list[dict[str, Any]]) -> None:
         for order in orders:
             task, number = order["piece"], order["try"]
             attempt = self.tasks.get(task)
@@ -230,7 +249,7 @@
 
     def _start(self, task: str, attempt: Attempt) -> None:
         self.tasks[task] = attempt
-        spec = self._around.describe(task.rpartition("/")[0])
+        spec = self._environment.job_spec(task.rpartition("/")[0])
         if spec is None:
             attempt.state, attempt.cause = "ended", "unknown"
         elif not self._has_room(task, spec):
@@ -242,10 +261,10 @@
         cpus, memory_gb, cards = spec["cpus"], spec["memoryGb"], spec["cards"]
         for other, attempt in self.tasks.items():
             if other != task and attempt.state != "ended":
-                it = self._around.describe(other.rpartition("/")[0]) or {}
-                cpus += it.get("cpus", 0.0)
-                memory_gb += it.get("memoryGb", 0.0)
-                cards += it.get("cards", 0.0)
+                other_spec = self._environment.job_spec(other.rpartition("/")[0]) or {}
+                cpus += other_spec.get("cpus", 0.0)
+                memory_gb += other_spec.get("memoryGb", 0.0)
+                cards += other_spec.get("cards", 0.0)
         t = self.type
         slack = 1e-6
         return bool(
@@ -255,7 +274,7 @@
     def _kill(self, task: str, attempt: Attempt, leeway_s: float) -> None:
         if attempt.state == "ended" or (attempt.state == "flushing" and leeway_s > 0):
             return
-        spec = self._around.describe(task.rpartition("/")[0]) or {}
+        spec = self._environment.job_spec(task.rpartition("/")[0]) or {}
         saves = spec.get("waypointS", 0.0) > 0 and leeway_s >= spec.get("stowS", 0.0)
         if attempt.state == "running" and saves:
             attempt.state = "flushing"
@@ -276,11 +295,12 @@
         attempt.state, attempt.cause = "ended", cause
         attempt.scope.cancel()
         if ran:
-            self._around.ended(self, task, cause)
+            self._environment.on_task_ended(self, task, cause)
         self.changed.set()
 
     async def _fetch(self, image: str, gb: float) -> None:
-        """Once for all tasks that need it; the most recently used stay."""
+        """Fetches an image once for all tasks that wait for it, and evicts the least recently
+        used ones when the cache is full."""
         if (fetch := self._fetches.get(image)) is not None:
             await fetch.wait()
         elif image not in self.images:
@@ -297,46 +317,48 @@
     async def _run(self, task: str, attempt: Attempt, spec: dict[str, Any]) -> None:
         session = self.session
         await self._fetch(spec["kit"], spec["imageGb"])
-        await self._awake()
+        await self._wait_while_hung()
 
-        def current() -> bool:
-            mine = self.tasks.get(task) is attempt and self.session == session
-            return self.alive and mine and attempt.state != "ended"
+        def is_current() -> bool:
+            is_current_attempt = self.tasks.get(task) is attempt and self.session == session
+            return self.alive and is_current_attempt and attempt.state != "ended"
 
-        if not current():
+        if not is_current():
             return
         attempt.state = "running"
-        self._around.began(self, task)
+        self._environment.on_task_started(self, task)
         self.changed.set()
-        good = False
+        succeeded = False
         with attempt.scope:
             if self.faulty or spec.get("broken"):
-                await trio.sleep(LEAST_GAP_S)
-            elif task in self._around.results:
-                good = True
+                await trio.sleep(MIN_REPORT_GAP_S)
+            elif task in self._environment.results:
+                succeeded = True
             else:
-                good = await self._work(task, attempt, spec, current)
-            await self._awake()
-        if current() and attempt.state == "running":
-            if good:
-                self._around.results.add(task)
-            self._end(task, attempt, "done" if good else "error")
-
-    async def _work(self, task: str, attempt: Attempt, spec: dict[str, Any], current: Any) -> bool:
-        """From the last checkpoint on; each one is kept outside of the machine."""
-        around = self._around
-        whole = around.run_s(task, spec)
-        done = around.progress.get(task, 0.0)
-        step = spec.get("waypointS") or whole
-        good = True
-        while good and (done < whole or not whole):
-            part = min(step, whole - done)
-            good = await around.perform(task, spec, part)
-            done += part
-            if not current():
+                succeeded = await self._work(task, attempt, spec, is_current)
+            await self._wait_while_hung()
+        if is_current() and attempt.state == "running":
+            if succeeded:
+                self._environment.results.add(task)
+            self._end(task, attempt, "done" if succeeded else "error")
+
+    async def _work(
+        self, task: str, attempt: Attempt, spec: dict[str, Any], is_current: Any
+    ) -> bool:
+        """Runs the task from its last checkpoint; checkpoints survive the machine."""
+        environment = self._environment
+        total_s = environment.run_s(task, spec)
+        done = environment.progress.get(task, 0.0)
+        step_s = spec.get("waypointS") or total_s
+        succeeded = True
+        while succeeded and (done < total_s or not total_s):
+            part_s = min(step_s, total_s - done)
+            succeeded = await environment.execute(task, spec, part_s)
+            done += part_s
+            if not is_current():
                 return False
             if spec.get("waypointS"):
-                around.progress[task] = done
-            if not whole:
+                environment.progress[task] = done
+            if not total_s:
                 break
-        return good
+        return succeeded
--- a/ryegauge/emulator/world.py
+++ b/ryegauge/emulator/world.py
@@ -1,6 +1,6 @@
-"""A whole installation in simulated time: state service, cloud, workers, users, a network
-and a checker for every rule of the protocol, around real controllers. Time is trio's
-MockClock, luck is seeded: the same seed gives the same day.
+"""A complete installation in simulated time: real controllers with an emulated state service,
+cloud, workers, users and network, and a checker of the protocol's rules. Time is trio's
+MockClock and all random numbers are seeded, so one seed always gives the same run.
 """
 
 import math
@@ -17,22 +17,22 @@
 from ryegauge.emulator.cloud import Cloud
 from ryegauge.emulator.disk import MemoryDisk
 from ryegauge.emulator.fleet import SMALL_FLEET, FleetType
-from ryegauge.emulator.network import HOST, Cut, SimulatedNetwork
+from ryegauge.emulator.network import CURRENT_HOST, NetworkCut, SimulatedNetwork
 from ryegauge.emulator.rules import Checker
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.users import Users
 from ryegauge.emulator.workers import Worker
 from ryegauge.transport.http import Network, Unreachable
 
-WALL = 1_700_000_000.0
-RESTART_S = 4.0  # after which a controller that ended is started again, as a rule
+WALL_CLOCK_START_S = 1_700_000_000.0  # time of day at the simulation's start, Unix seconds
+RESTART_S = 4.0  # from a controller's end until it is started again, by default
 
-# Makes a controller of settings, network, clock and randomness.
+# Creates a controller from settings, network, clock and random number generator.
 Program = Callable[..., Any]
 
 
 class Happened(NamedTuple):
-    """Something worth keeping of a day: seconds since its begin, what, and of whom."""
+    """An event of a run: seconds since its start, kind, and the job, task or machine concerned."""
 
     at: float
     what: str
@@ -43,6 +43,13 @@
 
 
 class World:
+    """The simulated installation, which is the environment of its workers, and the faults that
+    scripts inject into it.
+
+    `poll_s`: range of a user's pauses between polls; `resubmits`: probability that a user
+    repeats a submission after a poll; `restart_s`: from a controller's end until its restart.
+    """
+
     def __init__(
         self,
         settings: list[Settings],
@@ -61,7 +68,7 @@
         self.report_s, self.lease_s = shared.workers.report_s, shared.workers.lease_s
         self.rng = random.Random(seed)
         self.network = SimulatedNetwork(None, self.rng)
-        # Small pages, so that there are several.
+        # Pages of three items, so that lists take several requests.
         self.state = state or StateService(page=3)
         self.workers: dict[str, Worker] = {}
         self.cloud = Cloud(
@@ -73,25 +80,24 @@
             returned=self._returned,
         )
         self._fleet = {type_.name: type_ for type_ in fleet}
-        self.state.on_write.append(self._written)
+        self.state.on_write.append(self._on_state_write)
         self.checker = Checker(self)
         self.users = Users(self)
         self.results: set[str] = set()
         self.progress: dict[str, float] = {}
-        self.began_at: dict[str, float] = {}  # tasks, on their present machines
+        self.began_at: dict[str, float] = {}  # task -> start of its latest run
         self.happened: list[Happened] = []
         self.scopes: list[trio.CancelScope] = [trio.CancelScope() for _ in settings]
         self.nodes: dict[int, Any] = {}
-        # What runs as a controller; a roll replaces it, one after the other.
+        # Factory of each controller; rolling updates replace them one by one.
         self.programs: list[Program] = [Node for _ in settings]
-        # Trouble with boots: where, times so much, and the share that never come up.
+        # Zones where machines boot slowly, by which factor, and the share that never boots.
         self.slow_zones: set[str] = set()
         self.boot_factor, self.boot_fails = 1.0, 0.0
-        self.asks_times = 1.0  # users ask so many times as often
-        # How far each controller's time of day is from the true one, in seconds.
-        # Since when there is no trouble any more.
-        self.calm_since = math.inf
-        self.disks: dict[int, MemoryDisk] = {}  # of controllers that have one
+        self.asks_times = 1.0  # factor by which users poll more often
+        self.troubles_ended_at = math.inf  # when the script ended
+        self.disks: dict[int, MemoryDisk] = {}  # snapshot directories, by controller
+        # Error of each controller's time of day, in seconds.
         self.wall_errors: list[float] = [0.0 for _ in settings]
         self.nursery: trio.Nursery
         self._poll_s, self._resubmits = poll_s, resubmits
@@ -99,29 +105,35 @@
         self._machines = 0
         self._restarts = 0
 
-    # -- surroundings of the workers -----------------------------------------------------
+    # -- environment of the workers ------------------------------------------------------
 
     def network_of(self, worker: str) -> Network:
+        """The simulated network as seen from the worker's host."""
         return self.network.at(worker)
 
-    def describe(self, uid: str) -> dict[str, Any] | None:
+    def job_spec(self, uid: str) -> dict[str, Any] | None:
+        """The job as its user submitted it, with the emulator's own fields; None: no such job."""
         return self.checker.specs.get(uid)
 
-    def began(self, worker: Worker, task: str) -> None:
+    def on_task_started(self, worker: Worker, task: str) -> None:
+        """Records the event and checks the rules of starts."""
         self.note("started", task=task, machine=worker.name)
         self.began_at[task] = trio.current_time()
-        self.checker.started(worker, task)
+        self.checker.on_task_started(worker, task)
 
-    def ended(self, worker: Worker, task: str, cause: str) -> None:
+    def on_task_ended(self, worker: Worker, task: str, cause: str) -> None:
+        """Records the event; users may react to it."""
         self.note("ended", task=task, machine=worker.name, detail=cause)
         if cause == "done":
             self.users.task_done(task)
 
     def run_s(self, task: str, spec: dict[str, Any]) -> float:
+        """Seconds that the task really runs, whatever its job expects."""
         seconds: float = spec["really"]
         return seconds
 
-    async def perform(self, task: str, spec: dict[str, Any], seconds: float) -> bool:
+    async def execute(self, task: str, spec: dict[str, Any], seconds: float) -> bool:
+        """Lets the time pass; always succeeds."""
         await trio.sleep(seconds)
         return True
 
@@ -130,10 +142,12 @@
     def note(
         self, what: str, uid: str = "", task: str = "", machine: str = "", detail: str = ""
     ) -> None:
+        """Records an event of this moment; a task's event also names its job."""
         uid = uid or task.rpartition("/")[0]
         self.happened.append(Happened(trio.current_time(), what, uid, task, machine, detail))
 
     def rent(self, label: str, zone: str, spot: bool) -> str:
+        """Starts a machine of the type named `label` without the cloud's API; its name."""
         return self._rent(self._fleet[label], zone, spot)
 
     def _rent(self, type_: FleetType, zone: str, spot: bool) -> str:
@@ -154,16 +168,16 @@
         self.note("returned", machine=worker.name, detail=f"{state} {tasks}")
 
     def lose(self, worker: Worker) -> None:
-        """A machine stops with all that is on it; it says nothing more, not even that."""
-        self.network.gone.add(worker.name)
+        """A machine fails with everything on it, without a report; connections to it hang."""
+        self.network.powered_off.add(worker.name)
         self.note("lost", machine=worker.name, detail=str(len(worker.on_machine())))
         worker.lost_at = trio.current_time()
         worker.die()
 
     async def _node(self, n: int) -> None:
-        """A controller that is started again whenever it ends."""
+        """Runs controller number `n`, and restarts it whenever it ends."""
         host = self.settings[n].listen.partition(":")[0]
-        HOST.set(host)
+        CURRENT_HOST.set(host)
         while True:
             self._restarts += 1
             rng = random.Random(f"{n}-{self._restarts}")
@@ -172,7 +186,7 @@
                 node = self.programs[n](
                     self.settings[n],
                     self.network.at(host),
-                    lambda: WALL + trio.current_time() + self.wall_errors[n],
+                    lambda: WALL_CLOCK_START_S + trio.current_time() + self.wall_errors[n],
                     rng,
                     **with_disk,
                 )
@@ -181,35 +195,38 @@
             await trio.sleep(self.restart_s)
 
     def crash(self, *numbers: int) -> None:
+        """Stops these controllers at once; they restart after `restart_s`."""
         for n in numbers:
             self.note("crash", detail=str(n))
             self.scopes[n].cancel()
 
     @contextmanager
-    def _during(self, cut: Cut) -> Iterator[None]:
+    def _with_cut(self, cut: NetworkCut) -> Iterator[None]:
         self.network.cuts.append(cut)
         try:
             yield
         finally:
             self.network.cuts.remove(cut)
-            cut.over.set()
+            cut.healed.set()
 
     def cut(self, one: set[str], two: set[str], hold: bool) -> AbstractContextManager[None]:
-        return self._during(Cut((one, two), hold))
+        """Hosts of one set cannot reach those of the other. With `hold`, messages sent meanwhile
+        arrive at the end; otherwise they are lost."""
+        return self._with_cut(NetworkCut((one, two), hold))
 
     def silence(self, hosts: set[str]) -> AbstractContextManager[None]:
-        """Nothing comes from them, nothing reaches them and nothing refuses; what was sent
-        meanwhile arrives when it is over."""
+        """Isolates these hosts from all others: connections hang instead of being refused, and
+        messages sent meanwhile arrive at the end."""
 
-        class Alone(Cut):
-            def parts(cut, a: str, b: str) -> bool:
+        class HostCut(NetworkCut):
+            def separates(cut, a: str, b: str) -> bool:
                 return (a in hosts) != (b in hosts)
 
-        return self._during(Alone((hosts, set()), hold=True))
+        return self._with_cut(HostCut((hosts, set()), hold=True))
 
     @contextmanager
     def refused_by_state(self, *numbers: int) -> Iterator[None]:
-        """The state service answers these controllers 503, and the others as usual."""
+        """The state service answers these controllers 503, and others as usual."""
         service = self.settings[0].outside.state.partition(":")[0]
         pairs = {(self.host_of(n), service) for n in numbers}
         self.network.refused |= pairs
@@ -220,7 +237,8 @@
 
     @contextmanager
     def slow_state(self, most_s: float) -> Iterator[None]:
-        """It carries out at once what it is asked, and answers late."""
+        """The state service executes requests at once and delays each answer by up to
+        `most_s`."""
         service = self.settings[0].outside.state.partition(":")[0]
         self.network.slow[service] = most_s
         try:
@@ -230,7 +248,7 @@
 
     @contextmanager
     def deaf(self, machines: Collection[str]) -> Iterator[None]:
-        """Their reports arrive; answers and direct commands to them are lost."""
+        """Reports of these machines arrive; answers and commands to them are lost."""
         self.network.deaf |= set(machines)
         try:
             yield
@@ -239,7 +257,7 @@
 
     @contextmanager
     def mute(self, machines: Collection[str]) -> Iterator[None]:
-        """Their reports reach no controller; direct commands reach them and are answered."""
+        """Reports of these machines reach no controller; commands reach them and are answered."""
         self.network.mute |= set(machines)
         try:
             yield
@@ -248,8 +266,8 @@
 
     @contextmanager
     def late_writes(self, share: float, at_once: bool = False) -> Iterator[None]:
-        """Transactions get no answer, and are carried out later; or `at_once`, and others read
-        what they wrote."""
+        """A share of the transactions gets no answer. They are executed later, or, with
+        `at_once`, immediately, so that other requests see their effect."""
         name = "lost_writes" if at_once else "late_writes"
         setattr(self.network, name, share)
         try:
@@ -259,69 +277,77 @@
 
     @contextmanager
     def late_reports(self, share: float, for_next: bool = False) -> Iterator[None]:
-        """Copies of reports arrive again, within two and a half leases; or, if they are kept
-        `for_next`, at every controller once a new leader is on record."""
+        """A share of the reports is delivered twice, the copy within 2.5 leases; or, with
+        `for_next`, the copy reaches every controller once a new leader is on record."""
         name = "kept_reports" if for_next else "late_reports"
         setattr(self.network, name, share)
-        self.network.copies_within_s = 2.5 * self.lease_s
+        self.network.max_copy_delay_s = 2.5 * self.lease_s
         try:
             yield
         finally:
             setattr(self.network, name, 0.0)
 
-    def _written(self, key: str, value: Any) -> None:
-        if key == "r/l":  # its version is the leader's token: a new one with each write
-            self.network.deliver_kept(self.controllers.values(), self.report_s)
+    def _on_state_write(self, key: str, value: Any) -> None:
+        if key == "r/l":  # the leader's record: its version is the leader's token
+            self.network.deliver_kept_reports(self.controllers.values(), self.report_s)
 
     async def cancel_now(self, count: int, hang_s: float = 0.0) -> None:
+        """See `Users.cancel_now`."""
         await self.users.cancel_now(count, hang_s)
 
     def cancel_at_end(self, share: float) -> AbstractContextManager[None]:
+        """See `Users.cancel_at_end`."""
         return self.users.cancel_at_end(share)
 
     def odd_requests(self) -> AbstractContextManager[None]:
+        """See `Users.odd_requests`."""
         return self.users.odd_requests()
 
     def close_looks(self) -> AbstractContextManager[None]:
+        """See `Users.close_looks`."""
         return self.users.close_looks()
 
     def cut_from_state_and_peers(self, n: int, hold: bool) -> AbstractContextManager[None]:
-        """Workers and users still reach the controller."""
+        """Cuts a controller from the state service and its peers; workers and users still
+        reach it."""
         service = self.settings[0].outside.state.partition(":")[0]
         others = {self.host_of(other) for other in range(len(self.settings)) if other != n}
         return self.cut({self.host_of(n)}, {service, *others}, hold)
 
     def host_of(self, n: int) -> str:
+        """Host of controller number `n`."""
         return self.settings[n].listen.partition(":")[0]
 
     @property
     def leading(self) -> int | None:
-        """Which controller leads, by the state service."""
+        """Number of the controller that leads according to the state service; None: no record."""
         record = self.state.data.get("r/l")
         return None if record is None else self.names.index(record[0]["o"])
 
     def zone_of(self, host: str) -> str:
+        """Zone of a machine or area of a controller; empty for regional services and users."""
         if (worker := self.workers.get(host)) is not None:
             return worker.zone
         areas = (s.area for s in self.settings if s.listen.partition(":")[0] == host)
         return next(areas, "")
 
     def cut_zones(self, hold: bool) -> AbstractContextManager[None]:
-        """Zones that cannot reach each other; what is regional reaches all."""
+        """Hosts of different zones cannot reach each other; regional services reach all."""
 
-        class Zones(Cut):
-            def parts(cut, a: str, b: str) -> bool:
+        class ZoneCut(NetworkCut):
+            def separates(cut, a: str, b: str) -> bool:
                 one, two = self.zone_of(a), self.zone_of(b)
                 return bool(one and two) and one != two
 
-        return self._during(Zones((set(), set()), hold))
+        return self._with_cut(ZoneCut((set(), set()), hold))
 
     # -- users ---------------------------------------------------------------------------
 
     async def ask(
         self, method: str, path: str, body: Any = None, controller: int | None = None
     ) -> tuple[int, Any]:
-        """One question, of that controller or of any; status 0: not answered."""
+        """Sends a user's request to a controller, or to a random one; returns status and body,
+        status 0: not answered."""
         if controller is None:
             address = self.controllers[self.rng.choice(list(self.controllers))]
         else:
@@ -342,8 +368,13 @@
         late: bool = False,
         cancel_after: float | None = None,
     ) -> None:
-        """Submits until accepted, polls until over, cancels if told to. Waits before until
-        those that the job needs are accepted, or, if it is to come late, are over."""
+        """A user with one job: submits until it is accepted, then polls until it is final, and
+        goes on for as long as it resubmits. Before, it waits until the needed jobs are accepted,
+        or, if `late`, final.
+
+        `really`: seconds that each task runs; `broken`: every attempt fails; `cancel_after`:
+        seconds from acceptance to cancellation.
+        """
         checker, uid = self.checker, body["uid"]
         await trio.sleep(delay)
         for name in body.get("awaits") or ():
@@ -352,7 +383,7 @@
         checker.specs[uid] = {**body, "really": really, "broken": broken}
         self.note("submitted", uid, detail=body["urgency"])
         while uid not in checker.accepted:
-            await self.users.question(uid, "submit", body)
+            await self.users.ask_and_check(uid, "submit", body)
             if uid not in checker.accepted:
                 await trio.sleep(1.0)
         self.note("accepted", uid)
@@ -362,20 +393,20 @@
             if cancel_after is not None and trio.current_time() > accepted_at + cancel_after:
                 checker.asked_to_cancel.add(uid)
                 if checker.final.get(uid) is None:
-                    await self.users.question(uid, "cancel")
-            await self.users.question(uid, "poll")
+                    await self.users.ask_and_check(uid, "cancel")
+            await self.users.ask_and_check(uid, "poll")
             if not self._resubmits and uid in checker.final:
                 return
             if self.rng.random() < self._resubmits:
-                await self.users.question(uid, "submit", body)
+                await self.users.ask_and_check(uid, "submit", body)
 
-    # -- a day ---------------------------------------------------------------------------
+    # -- running -------------------------------------------------------------------------
 
     async def _expire(self) -> None:
         while True:
             self.state.expire()
             if self.state.history_s:
-                self.state.remember()
+                self.state.record_history()
             await trio.sleep(0.5)
 
     async def play(
@@ -384,6 +415,7 @@
         script: Callable[["World"], Awaitable[None]],
         seconds: float,
     ) -> None:
+        """Runs the installation with these users' jobs and the script of faults for `seconds`."""
         outside = self.settings[0].outside
         async with trio.open_nursery() as nursery:
             self.nursery = self.network.nursery = nursery
@@ -396,22 +428,23 @@
                 nursery.start_soon(self._node, n)
             for job in jobs:
                 nursery.start_soon(job)
-            nursery.start_soon(self._trouble, script)
+            nursery.start_soon(self._run_script, script)
             await trio.sleep(seconds)
             nursery.cancel_scope.cancel()
 
-    async def _trouble(self, script: Callable[["World"], Awaitable[None]]) -> None:
+    async def _run_script(self, script: Callable[["World"], Awaitable[None]]) -> None:
         await script(self)
-        self.calm_since = trio.current_time()
+        self.troubles_ended_at = trio.current_time()
 
     @property
     def unfinished(self) -> set[str]:
+        """Submitted jobs of which no user was told that they are done or cancelled."""
         return {uid for uid in self.checker.specs if uid not in self.checker.final}
 
 
 def run_simulated(main: Callable[[], Awaitable[None]], seed: int) -> None:
-    """In simulated time, in the same order every time."""
-    # What trio offers its own tests for this; there is no public way.
+    """Runs `main` in simulated time; tasks are scheduled in the same order for the same seed."""
+    # trio has no public interface for this; its own tests use these two.
     internals: Any = trio._core._run
     internals._ALLOW_DETERMINISTIC_SCHEDULING = True
     internals._r.seed(seed)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,10 +15,10 @@
 
 from ryegauge.cli import main
 from ryegauge.config import ConfigError, read_toml
-from ryegauge.emulator.live import Emulation, Installation, loopback
-from ryegauge.emulator.network import KEPT_REPORTS
+from ryegauge.emulator.live import Emulation, Installation, parse_loopback_address
+from ryegauge.emulator.network import KEPT_REPORTS_PER_SOURCE
 from ryegauge.emulator.state import StateService
-from ryegauge.emulator.waiting import LOOK_S, Waiting
+from ryegauge.emulator.waiting import CHECK_INTERVAL_S, WaitingChecker
 from ryegauge.emulator.workers import Attempt
 from ryegauge.emulator.world import World
 from ryegauge.transport.http import Reply, ResponseTimeout, TcpNetwork, decode, encode
@@ -73,7 +73,7 @@
             await trio.sleep(2)
             await write(1)
         await watch(2, 3000)
-        for n in range(state.KEPT_CHANGES):
+        for n in range(state.MAX_LOG_EVENTS):
             await write(n)
         await watch(1, 0)
         await watch(2, 0)
@@ -118,10 +118,10 @@
 
 
 def test_only_loopback_is_listened_on(tmp_path: Path) -> None:
-    assert loopback("127.0.0.1:8080") == ("127.0.0.1", 8080)
+    assert parse_loopback_address("127.0.0.1:8080") == ("127.0.0.1", 8080)
     for bad in ("0.0.0.0:80", "10.0.0.1:80", "localhost:80", "127.0.0.1"):
         with pytest.raises(ConfigError):
-            loopback(bad)
+            parse_loopback_address(bad)
     result = CliRunner().invoke(main, ["emulate", "--listen", "192.168.0.1:80"])
     assert result.exit_code == 2
     assert "loopback" in result.output
@@ -282,7 +282,7 @@
             await trio.sleep(40.0)
         count = len(heard)
         assert len({tally for _, _, tally in heard}) == count  # nothing twice so far
-        for expected in (3 * KEPT_REPORTS, 0):
+        for expected in (3 * KEPT_REPORTS_PER_SOURCE, 0):
             before = len(heard)
             await call(world.state, "POST", "/multi", {"if": [], "apply": [put("r/l", {})]})
             await trio.sleep(world.report_s)
@@ -338,7 +338,7 @@
 
 def test_a_job_that_cannot_run_is_not_to_be_accepted(tmp_path: Path) -> None:
     async def scenario(world: World) -> list[str]:
-        world.checker.impossible.add("wk-99")
+        world.checker.unrunnable.add("wk-99")
         for status in (400, 422, 404, 503, 201):
             world.checker.answered("wk-99", status, {"status": "queued"}, "submit", 0.0)
         return world.checker.broken
@@ -374,10 +374,10 @@
         checker.accepted.add("wk-1")
         worker, other = (world.workers[world.rent(t, "a", True)] for t in ("small", "large"))
         worker.boot_factor = other.boot_factor = math.inf  # they do nothing by themselves
-        worker.up, world.calm_since = True, 0.0
+        worker.up, world.troubles_ended_at = True, 0.0
         match why_not:
             case "troubled":
-                world.calm_since = 60.0
+                world.troubles_ended_at = 60.0
             case "over":
                 checker.final["wk-1"] = "done"
             case "cancelled":
@@ -401,10 +401,10 @@
                 worker.hung_until = 50.0
             case "down":
                 world.lose(worker)
-        waiting = Waiting(world)
+        waiting = WaitingChecker(world)
         for _ in range(19 if why_not == "soon" else 25):
-            waiting.look()
-            await trio.sleep(LOOK_S)
+            waiting.check()
+            await trio.sleep(CHECK_INTERVAL_S)
         return checker.broken
 
     broken = surrounded(tmp_path, scenario)
@@ -439,7 +439,7 @@
     odd = [
         status
         for uid, what, _, status in asked
-        if uid in world.checker.impossible and what == "submit"
+        if uid in world.checker.unrunnable and what == "submit"
     ]
     assert len(odd) > 20
     assert set(odd) <= {400, 422}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -207,7 +207,7 @@
     )
     world = play(settings, 300 + seed, JOBS, script, 500.0)
     assert world.checker.broken == []
-    assert world.calm_since < 330.0  # as much calm as ever after a meeting more
+    assert world.troubles_ended_at < 330.0  # as much calm as ever after a meeting more
     assert world.unfinished == set()
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -133,7 +133,7 @@
     assert world.unfinished == set()
     ends = {uid: status for uid, status in world.checker.final.items() if status == "cancelled"}
     assert set(ends) == {f"wk-0000{n:02d}" for n in (6, 7, 8, 9, 11, 14)}
-    assert world.state.refused_writes == 0
+    assert world.state.rejected_transactions == 0
 
 
 def test_a_pipeline_through_the_archive(tmp_path: Path) -> None:
@@ -374,7 +374,7 @@
             released.append({w.name for w in world.workers.values() if w.on_machine()})
             world.crash(0)  # a new leader hears nobody either
             await trio.sleep(25.0)
-            released.append({w.name for w in world.workers.values() if w.released_busy})
+            released.append({w.name for w in world.workers.values() if w.returned_while_busy})
 
     jobs = [{"pieces": 6, "delay": 1.0, "really": 100.0}, {"pieces": 4, "delay": 50.0}]
     world = play(some_controllers(tmp_path, 5), 1, jobs, refuse, 200.0)
@@ -640,18 +640,18 @@
             checker.specs["wk-1"] = spec
             checker.specs["wk-2"] = {**spec, "awaits": ["wk-1"]}
             one.tasks["wk-1/0"] = Attempt(1, "running")
-            checker.started(one, "wk-1/0")
+            checker.on_task_started(one, "wk-1/0")
             assert checker.broken == []
             match rule:
                 case "ran_twice":
                     two.tasks["wk-1/0"] = Attempt(2, "running")
-                    checker.started(two, "wk-1/0")
+                    checker.on_task_started(two, "wk-1/0")
                 case "quota":
                     spec["cpus"] = 40.0
-                    checker.started(one, "wk-1/0")
+                    checker.on_task_started(one, "wk-1/0")
                 case "wrong_place":
                     spec["district"] = "b"
-                    checker.started(one, "wk-1/0")
+                    checker.on_task_started(one, "wk-1/0")
                 case "ran_cancelled":
                     checker.cancelled_at["wk-1"] = trio.current_time()
                     await trio.sleep(36.0)
@@ -660,7 +660,7 @@
                     checker.answered("wk-1", 201, {"status": "queued"}, "submit")
                     checker.answered("wk-1", 404, None, "poll")
                 case "forgotten unanswered":
-                    world.calm_since = 0.0
+                    world.troubles_ended_at = 0.0
                     checker.answered("wk-1", 201, {"status": "queued"}, "submit")
                     for status in (503, 200, 0, 429, 503):  # the second begins it anew
                         checker.answered("wk-1", status, {"status": "queued"}, "poll")
@@ -673,7 +673,7 @@
                     checker.answered("wk-1", 200, {"status": "done"}, "poll")
                 case "too_early":
                     one.tasks["wk-2/0"] = Attempt(1, "running")
-                    checker.started(one, "wk-2/0")
+                    checker.on_task_started(one, "wk-2/0")
                 case "orphaned":
                     checker.cancelled_at["wk-1"] = trio.current_time()
                     checker.answered("wk-2", 200, {"status": "queued"}, "poll")
