--- a/ryegauge/emulator/broker.py
+++ b/ryegauge/emulator/broker.py
@@ -146,7 +146,7 @@
         )
 
     def deliver(self, consumer: Consumer, message: Message) -> None:
-        """Sends the message to the consumer; it stays unacknowledged until it is acked or rejected."""
+        """Sends the message to the consumer; it stays unacknowledged until acked or rejected."""
         channel = self.channels[consumer.channel]
         channel.last_delivery_tag += 1
         channel.unsettled[channel.last_delivery_tag] = (consumer.queue, message)
