--- a/ryegauge/emulator/broker.py
+++ b/ryegauge/emulator/broker.py
@@ -121,7 +121,7 @@
     publish_count: int = 0
     confirms: bool = False
     unsettled: dict[int, tuple[str, Message]] = field(default_factory=dict)
-    publishing: Any = None
+    pending_publish: Any = None
     header: ContentHeader | None = None
     received_body: bytes = b""
 
@@ -133,8 +133,8 @@
         self._broker = broker
         self.host = host  # of the client; empty for a real socket
         self._stream = stream
-        self._out = bytearray()
-        self._wake = trio.Event()
+        self._send_buffer = bytearray()
+        self._data_to_send = trio.Event()
         self._scope = trio.CancelScope()
         self.channels: dict[int, Channel] = {}
 
@@ -215,14 +215,14 @@
 
     async def _write(self) -> None:
         while True:
-            if not self._out:
-                self._wake = trio.Event()
+            if not self._send_buffer:
+                self._data_to_send = trio.Event()
                 with trio.move_on_after(HEARTBEAT_S / 2):
-                    await self._wake.wait()
-                if not self._out:
+                    await self._data_to_send.wait()
+                if not self._send_buffer:
                     self._send(0, Heartbeat())
-            data = bytes(self._out)
-            self._out.clear()
+            data = bytes(self._send_buffer)
+            self._send_buffer.clear()
             await trio.sleep(self._broker.rng.uniform(0.0005, 0.003))
             try:
                 await self._stream.send_all(data)
@@ -231,8 +231,8 @@
                 return
 
     def _send(self, channel: int, value: Any) -> None:
-        self._out += codec.marshal(value, channel)
-        self._wake.set()
+        self._send_buffer += codec.marshal(value, channel)
+        self._data_to_send.set()
 
     def _handle_method(self, channel_number: int, value: Any) -> None:
         channel = self.channels.get(channel_number)
@@ -290,7 +290,7 @@
                     self._broker.queues.setdefault(entry[0], deque()).append(entry[1])
                 self._broker.dispatch()
             case Basic.Publish():
-                channel.publishing, channel.header, channel.received_body = value, None, b""
+                channel.pending_publish, channel.header, channel.received_body = value, None, b""
             case ContentHeader():
                 channel.header = value
                 self._finish_publish(channel_number, channel)
@@ -302,7 +302,7 @@
         header = channel.header
         if header is None or len(channel.received_body) < header.body_size:
             return
-        key = str(channel.publishing.routing_key)
+        key = str(channel.pending_publish.routing_key)
         if key in self._broker.refuse_keys:
             self._send(channel_number, Basic.Return(312, "no route", "", key))
             self._send(
@@ -311,7 +311,7 @@
             if channel.received_body:
                 self._send(channel_number, ContentBody(channel.received_body))
         else:
-            name = channel.publishing.exchange + key
+            name = channel.pending_publish.exchange + key
             self._broker.put(name, header.properties, channel.received_body)
         channel.publish_count += 1
         if channel.confirms:
--- a/ryegauge/emulator/cloud.py
+++ b/ryegauge/emulator/cloud.py
@@ -38,7 +38,7 @@
         self._returned = returned
         self._lag_s = list_lag_s
         self.outage = False
-        self.rentals: dict[str, list[str]] = {}
+        self.rentals: dict[str, list[str]] = {}  # name of a rental -> its machines
         self._list_history: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def run(self) -> None:
@@ -63,7 +63,9 @@
             if w.alive or w.lost_at is not None
         ]
         recent = [
-            h for h in self._list_history if h[0] > now - 4 * self._lag_s - LIST_SNAPSHOT_INTERVAL_S
+            entry
+            for entry in self._list_history
+            if entry[0] > now - 4 * self._lag_s - LIST_SNAPSHOT_INTERVAL_S
         ]
         self._list_history = [*recent, (now, machines)]
 
@@ -109,9 +111,11 @@
 
     def _list(self, query: dict[str, str]) -> Reply:
         lag_s = self._rng.uniform(0.5, 2.0) * self._lag_s
-        visible = [h for h in self._list_history if h[0] <= trio.current_time() - lag_s]
+        visible = [entry for entry in self._list_history if entry[0] <= trio.current_time() - lag_s]
         hosts = [
-            h for h in (visible[-1][1] if visible else []) if h["uid"] > query.get("since", "")
+            entry
+            for entry in (visible[-1][1] if visible else [])
+            if entry["uid"] > query.get("since", "")
         ]
         page = min(500, int(query.get("page", 500)))
         return Reply(200, {"hosts": hosts[:page], "hasNext": len(hosts) > page})
--- a/ryegauge/emulator/live.py
+++ b/ryegauge/emulator/live.py
@@ -121,7 +121,7 @@
 
     def settings(self, n: int) -> Settings:
         """Settings of controller number `n`, as the platform would provide them."""
-        e = self._emulation
+        emulation = self._emulation
         names = list(self.controllers)
         return msgspec.convert(
             {
@@ -138,14 +138,14 @@
                 "settings": {
                     "nodes": len(names),
                     "zones": ["a"],
-                    "teams": [msgspec.to_builtins(team) for team in e.teams],
+                    "teams": [msgspec.to_builtins(team) for team in emulation.teams],
                     "workers": {
-                        "report_s": e.report_s,
-                        "lease_s": e.lease_s,
-                        "cancel_s": e.cancel_s,
+                        "report_s": emulation.report_s,
+                        "lease_s": emulation.lease_s,
+                        "cancel_s": emulation.cancel_s,
                     },
                     "state": {"rps": 200.0, "write_rps": 100.0, "value_kb": 16.0, "txn_ops": 12},
-                    "cloud": {"rps": 10.0, "list_lag_s": e.report_s},
+                    "cloud": {"rps": 10.0, "list_lag_s": emulation.report_s},
                 },
             },
             Settings,
@@ -192,7 +192,7 @@
             return True
         # trio kills the process when the task is stopped or the emulator ends.
         try:
-            done = await trio.run_process(
+            process = await trio.run_process(
                 command,
                 check=False,
                 stdin=subprocess.DEVNULL,
@@ -201,7 +201,7 @@
         except OSError as error:
             log.warning("%s: cannot run %s: %s", task, command[0], error)
             return False
-        return done.returncode == 0
+        return process.returncode == 0
 
     # -- running -------------------------------------------------------------------------
 
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -59,8 +59,8 @@
 
     def separates(self, a: str, b: str) -> bool:
         """Whether hosts `a` and `b` cannot reach each other."""
-        one, two = self.sides
-        return (a in one and b in two) or (a in two and b in one)
+        side, other_side = self.sides
+        return (a in side and b in other_side) or (a in other_side and b in side)
 
 
 class SimulatedNetwork:
@@ -186,10 +186,16 @@
                     self.nursery.start_soon(self._deliver_later, address, *message, 0.0, within_s)
 
     async def _deliver_later(
-        self, address: str, method: str, target: str, payload: bytes, least_s: float, most_s: float
+        self,
+        address: str,
+        method: str,
+        target: str,
+        payload: bytes,
+        min_delay_s: float,
+        max_delay_s: float,
     ) -> None:
         """Delivers a request after a delay; its answer goes nowhere."""
-        await trio.sleep(self._rng.uniform(least_s, most_s))
+        await trio.sleep(self._rng.uniform(min_delay_s, max_delay_s))
         if (handler := self.handlers.get(address)) is not None:
             CURRENT_HOST.set(address.partition(":")[0])
             await respond(handler, method, target, payload)
--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -87,7 +87,7 @@
         """Open jobs with a task that runs for longer than a lease from now on -> the machines
         of these tasks."""
         world, checker = self._world, self._world.checker
-        found: dict[str, set[str]] = {}
+        machines_by_job: dict[str, set[str]] = {}
         for worker in world.workers.values():
             for task in worker.on_machine() if worker.alive else ():
                 uid = task.rpartition("/")[0]
@@ -95,8 +95,8 @@
                 left_s = world.run_s(task, checker.specs[uid]) - ran_s
                 open_ = uid in checker.accepted and uid not in checker.final
                 if open_ and uid not in checker.asked_to_cancel and left_s > world.lease_s:
-                    found.setdefault(uid, set()).add(worker.name)
-        return found
+                    machines_by_job.setdefault(uid, set()).add(worker.name)
+        return machines_by_job
 
     async def cancel_now(self, count: int, hang_s: float) -> None:
         """Cancels up to `count` long-running jobs at once; some of their machines hang for
@@ -204,12 +204,12 @@
         checker, rng = self._world.checker, self._world.rng
         kind = rng.choice(("repeat", "cancel done", "unrunnable", "incomplete"))
         if kind == "repeat":
-            if some := sorted(checker.accepted - set(checker.final)):
-                uid = rng.choice(some)
+            if candidates := sorted(checker.accepted - set(checker.final)):
+                uid = rng.choice(candidates)
                 await self.ask_and_check(uid, "submit", self._submission(uid))
         elif kind == "cancel done":
-            if some := sorted(uid for uid, end in checker.final.items() if end == "done"):
-                await self.ask_and_check(rng.choice(some), "cancel")
+            if candidates := sorted(uid for uid, end in checker.final.items() if end == "done"):
+                await self.ask_and_check(rng.choice(candidates), "cancel")
         elif checker.specs:
             self._odd_request_count += 1
             uid = f"wk-99{self._odd_request_count:08d}"
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from ryegauge.emulator.world import World
 
-# Limit given by the operators for waiting while one and the same machine could take a task.
+# A job may not wait for longer than this while one and the same machine could take its task.
 MAX_WAIT_BESIDE_CAPACITY_S = 90.0
 CHECK_INTERVAL_S = MAX_WAIT_BESIDE_CAPACITY_S / 18
 ROUNDING_TOLERANCE = 1e-6  # of floating-point sums
@@ -35,40 +35,42 @@
             return
         machines = [w for w in world.workers.values() if w.alive]
         self._count_placed_tasks(machines)
-        seen: dict[str, dict[str, float]] = {}
+        waiting_since: dict[str, dict[str, float]] = {}
         for uid in sorted(world.checker.accepted - set(world.checker.final)):
             if not self._has_runnable_task(uid):
                 continue
-            before = self._since.get(uid, {})
-            seen[uid] = {w.name: before.get(w.name, now) for w in machines if self._fits(w, uid)}
-            for name, since in seen[uid].items():
+            earlier_since = self._since.get(uid, {})
+            waiting_since[uid] = {
+                w.name: earlier_since.get(w.name, now) for w in machines if self._fits(w, uid)
+            }
+            for name, since in waiting_since[uid].items():
                 # A check may just miss the moment at which room became free, so this takes
                 # one check more than fit into the limit.
                 if now - since > MAX_WAIT_BESIDE_CAPACITY_S:
                     world.checker.report_violation(
                         "left_waiting", f"{uid} for {now - since:.0f} s beside {name}"
                     )
-                    seen[uid] = {name: float("inf")}
+                    waiting_since[uid] = {name: float("inf")}
                     break
-        self._since = seen
+        self._since = waiting_since
 
     def _count_placed_tasks(self, machines: list[Worker]) -> None:
         """Counts tasks and free resources of the machines; tasks that fetch their image occupy
         resources as well."""
         specs = self._world.checker.specs
-        self._placed: set[str] = set()
-        self._used: dict[str, float] = defaultdict(float)
-        self._free: dict[str, list[float]] = {}
-        self._zones: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
+        self._placed_tasks: set[str] = set()
+        self._used_cpus: dict[str, float] = defaultdict(float)
+        self._free_resources: dict[str, list[float]] = {}
+        self._tasks_by_zone: dict[str, dict[str, int]] = defaultdict(lambda: defaultdict(int))
         for w in machines:
-            free = self._free[w.name] = [w.type.cpus, w.type.memory_gb, w.type.gpus]
+            free = self._free_resources[w.name] = [w.type.cpus, w.type.memory_gb, w.type.gpus]
             for task, attempt in w.tasks.items():
                 uid = task.rpartition("/")[0]
                 if attempt.state == "ended" or (spec := specs.get(uid)) is None:
                     continue
-                self._placed.add(task)
-                self._used[spec["crew"]] += spec["cpus"]
-                self._zones[uid][w.zone] += 1
+                self._placed_tasks.add(task)
+                self._used_cpus[spec["crew"]] += spec["cpus"]
+                self._tasks_by_zone[uid][w.zone] += 1
                 for n, amount in enumerate(_resources(spec)):
                     free[n] -= amount
 
@@ -85,7 +87,7 @@
         ):
             return False
         team = next(t for t in world.settings[0].settings.teams if t.name == spec["crew"])
-        if self._used[team.name] + spec["cpus"] > team.cpu_limit + ROUNDING_TOLERANCE:
+        if self._used_cpus[team.name] + spec["cpus"] > team.cpu_limit + ROUNDING_TOLERANCE:
             return False
         done = all(
             f"{name}/{i}" in world.results
@@ -93,13 +95,13 @@
             for i in range(checker.specs[name]["pieces"])
         )
         return done and any(
-            task not in self._placed and task not in world.results
+            task not in self._placed_tasks and task not in world.results
             for task in (f"{uid}/{i}" for i in range(spec["pieces"]))
         )
 
     def _fits(self, worker: Worker, uid: str) -> bool:
-        spec, zones = self._world.checker.specs[uid], self._zones[uid]
-        free = self._free[worker.name]
+        spec, zones = self._world.checker.specs[uid], self._tasks_by_zone[uid]
+        free = self._free_resources[worker.name]
         return (
             _usable(worker)
             and all(
--- a/ryegauge/emulator/workers.py
+++ b/ryegauge/emulator/workers.py
@@ -80,9 +80,9 @@
     ) -> None:
         self._environment, self.name, self.type = environment, name, type_
         self.zone, self.spot, self.address = zone, spot, address
-        self.since = trio.current_time()
+        self.since = trio.current_time()  # when it was rented
         self.ended_at: float | None = None
-        self.lost_at: float | None = None  # when it failed; None: it did not, or was released since
+        self.lost_at: float | None = None  # when it failed; None: it did not, or it was released
         self.alive, self.up, self.faulty = True, False, False
         self.boot_factor = 1.0  # of the usual boot time; infinite: never boots
         self.returned_while_busy = False  # released to the cloud while tasks ran on it
@@ -91,9 +91,9 @@
         self.tasks: dict[str, Attempt] = {}
         self.images: dict[str, float] = {}  # cached, name -> GB, least recently used first
         self._fetches: dict[str, trio.Event] = {}
-        self.hung_until = 0.0
-        self.changed = trio.Event()
-        self.lease_from = 0.0
+        self.hung_until = 0.0  # until then it neither sends nor answers
+        self.changed = trio.Event()  # set when there is something new to report
+        self.lease_from = 0.0  # start of the present lease
         self.scope = trio.CancelScope()
         self._network = environment.network_of(name)
 
@@ -150,7 +150,9 @@
     def report(self) -> dict[str, Any]:
         """The next report, as it is sent to controllers."""
         self.seq += 1
-        left = None if self.notice_at is None else max(0.0, self.notice_at - trio.current_time())
+        warning_s = (
+            None if self.notice_at is None else max(0.0, self.notice_at - trio.current_time())
+        )
         return {
             "host": self.name,
             "address": self.address,
@@ -160,7 +162,7 @@
             "shift": self.session,
             "tally": self.seq,
             "baton": self.token,
-            "warningS": left,
+            "warningS": warning_s,
             "pieces": [
                 {
                     "piece": t,
@@ -176,7 +178,7 @@
     async def _report_loop(self) -> None:
         environment, rng = self._environment, self._environment.rng
         names = list(environment.controllers)
-        node = rng.choice(names)
+        controller = rng.choice(names)
         clients = {
             name: self._network.client(address, max_connections=1, idle_s=4 * environment.lease_s)
             for name, address in environment.controllers.items()
@@ -187,13 +189,13 @@
             sent_at, session = trio.current_time(), self.session
             body: Any = None
             try:
-                status, body, _ = await clients[node].request(
+                status, body, _ = await clients[controller].request(
                     "POST", "/checkin", self.report(), timeout_s=REPORT_TIMEOUT_S
                 )
             except Unreachable:
                 status = 0
             await self._wait_while_hung()
-            foreman = body.get("foreman") if status == 421 and isinstance(body, dict) else None
+            owner = body.get("foreman") if status == 421 and isinstance(body, dict) else None
             if status == 200:
                 if body["baton"] >= self.token and session == self.session:
                     self._accept_token(body["baton"])
@@ -203,11 +205,11 @@
                 pause_s = environment.report_s * rng.uniform(0.75, 1.25) - MIN_REPORT_GAP_S
                 with trio.move_on_after(max(0.0, pause_s)):
                     await self.changed.wait()
-            elif foreman in clients and foreman != node:
-                node = foreman
+            elif owner in clients and owner != controller:
+                controller = owner
                 await trio.sleep(rng.uniform(0, 0.5))
             else:
-                node = names[(names.index(node) + 1) % len(names)]
+                controller = names[(names.index(controller) + 1) % len(names)]
                 await trio.sleep(1.0)
 
     def _accept_token(self, token: int) -> None:
@@ -266,24 +268,26 @@
                 memory_gb += other_spec.get("memoryGb", 0.0)
                 cards += other_spec.get("cards", 0.0)
         t = self.type
-        slack = 1e-6
+        tolerance = 1e-6
         return bool(
-            cpus <= t.cpus + slack and memory_gb <= t.memory_gb + slack and cards <= t.gpus + slack
+            cpus <= t.cpus + tolerance
+            and memory_gb <= t.memory_gb + tolerance
+            and cards <= t.gpus + tolerance
         )
 
-    def _kill(self, task: str, attempt: Attempt, leeway_s: float) -> None:
-        if attempt.state == "ended" or (attempt.state == "flushing" and leeway_s > 0):
+    def _kill(self, task: str, attempt: Attempt, grace_s: float) -> None:
+        if attempt.state == "ended" or (attempt.state == "flushing" and grace_s > 0):
             return
         spec = self._environment.job_spec(task.rpartition("/")[0]) or {}
-        saves = spec.get("waypointS", 0.0) > 0 and leeway_s >= spec.get("stowS", 0.0)
-        if attempt.state == "running" and saves:
+        saves_checkpoint = spec.get("waypointS", 0.0) > 0 and grace_s >= spec.get("stowS", 0.0)
+        if attempt.state == "running" and saves_checkpoint:
             attempt.state = "flushing"
             self.nursery.start_soon(self._flush, task, attempt, spec["stowS"])
         else:
             self._end(task, attempt, "stopped")
 
-    async def _flush(self, task: str, attempt: Attempt, stow_s: float) -> None:
-        await trio.sleep(stow_s)
+    async def _flush(self, task: str, attempt: Attempt, flush_s: float) -> None:
+        await trio.sleep(flush_s)
         if attempt.state == "flushing":
             attempt.saved = True
             self._end(task, attempt, "stopped")
@@ -298,7 +302,7 @@
             self._environment.on_task_ended(self, task, cause)
         self.changed.set()
 
-    async def _fetch(self, image: str, gb: float) -> None:
+    async def _fetch_image(self, image: str, gb: float) -> None:
         """Fetches an image once for all tasks that wait for it, and evicts the least recently
         used ones when the cache is full."""
         if (fetch := self._fetches.get(image)) is not None:
@@ -316,7 +320,7 @@
 
     async def _run(self, task: str, attempt: Attempt, spec: dict[str, Any]) -> None:
         session = self.session
-        await self._fetch(spec["kit"], spec["imageGb"])
+        await self._fetch_image(spec["kit"], spec["imageGb"])
         await self._wait_while_hung()
 
         def is_current() -> bool:
@@ -335,30 +339,30 @@
             elif task in self._environment.results:
                 succeeded = True
             else:
-                succeeded = await self._work(task, attempt, spec, is_current)
+                succeeded = await self._run_from_checkpoint(task, attempt, spec, is_current)
             await self._wait_while_hung()
         if is_current() and attempt.state == "running":
             if succeeded:
                 self._environment.results.add(task)
             self._end(task, attempt, "done" if succeeded else "error")
 
-    async def _work(
+    async def _run_from_checkpoint(
         self, task: str, attempt: Attempt, spec: dict[str, Any], is_current: Any
     ) -> bool:
         """Runs the task from its last checkpoint; checkpoints survive the machine."""
         environment = self._environment
         total_s = environment.run_s(task, spec)
-        done = environment.progress.get(task, 0.0)
+        done_s = environment.progress.get(task, 0.0)
         step_s = spec.get("waypointS") or total_s
         succeeded = True
-        while succeeded and (done < total_s or not total_s):
-            part_s = min(step_s, total_s - done)
+        while succeeded and (done_s < total_s or not total_s):
+            part_s = min(step_s, total_s - done_s)
             succeeded = await environment.execute(task, spec, part_s)
-            done += part_s
+            done_s += part_s
             if not is_current():
                 return False
             if spec.get("waypointS"):
-                environment.progress[task] = done
+                environment.progress[task] = done_s
             if not total_s:
                 break
         return succeeded
--- a/ryegauge/emulator/world.py
+++ b/ryegauge/emulator/world.py
@@ -85,8 +85,9 @@
         self.users = Users(self)
         self.results: set[str] = set()
         self.progress: dict[str, float] = {}
-        self.began_at: dict[str, float] = {}  # task -> start of its latest run
+        self.began_at: dict[str, float] = {}  # task -> start of its latest attempt
         self.happened: list[Happened] = []
+        # Cancel scopes of the controllers that run now.
         self.scopes: list[trio.CancelScope] = [trio.CancelScope() for _ in settings]
         self.nodes: dict[int, Any] = {}
         # Factory of each controller; rolling updates replace them one by one.
@@ -236,11 +237,11 @@
             self.network.refused -= pairs
 
     @contextmanager
-    def slow_state(self, most_s: float) -> Iterator[None]:
+    def slow_state(self, max_delay_s: float) -> Iterator[None]:
         """The state service executes requests at once and delays each answer by up to
-        `most_s`."""
+        `max_delay_s`."""
         service = self.settings[0].outside.state.partition(":")[0]
-        self.network.slow[service] = most_s
+        self.network.slow[service] = max_delay_s
         try:
             yield
         finally:
