--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulators implement the protocol, and their faults do what they say."""
+"""The emulators follow the protocol, inject faults as described and detect violations."""
 
 import math
 from collections.abc import Awaitable, Callable
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -462,8 +462,8 @@
 
 
 def test_answers_to_invalid_and_repeated_requests(controllers: list[Settings]) -> None:
-    """400, 404, 422 and 503 are answered without delay; a repeated submission of a known job is
-    answered with its state, even if the repetition is invalid or the state service is down."""
+    """400, 404, 422 and 503 are answered without delay; a known job is answered with its state even
+    if the repeated submission is invalid, and never with an older state by another controller."""
     answers: dict[str, tuple[int, Any]] = {}
     durations_s: dict[str, float] = {}
 
