--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -99,8 +99,8 @@
         # Removed machines: reports up to this (session, sequence number) are late.
         self._ignored_up_to: dict[str, tuple[float, float]] = {}
         self.tasks: dict[TaskKey, Task] = {}
-        self._by_job: dict[str, set[TaskKey]] = {}
-        self._attempts = token << 20
+        self._tasks_by_job: dict[str, set[TaskKey]] = {}
+        self._last_attempt = token << 20
         self._unplaced: set[TaskKey] = set()
         self._unseen: set[TaskKey] = set()
         self.pending_removal: set[TaskKey] = set()
@@ -134,7 +134,7 @@
         no longer holds."""
         job = self._replica.jobs.get(uid)
         assignment = job.assignments.get(self.shard) if job is not None else None
-        known = self._by_job.get(uid)
+        known = self._tasks_by_job.get(uid)
         if assignment is None and not known:
             self._oversized.discard(uid)
             return
@@ -158,9 +158,9 @@
         else:
             self._oversized.discard(uid)
         if wanted:
-            self._by_job[uid] = wanted
+            self._tasks_by_job[uid] = wanted
         else:
-            self._by_job.pop(uid, None)
+            self._tasks_by_job.pop(uid, None)
         if self._replica.is_cancelled(uid):
             for key in wanted:
                 self._withdraw(self.tasks[key])
@@ -259,7 +259,7 @@
         """Hands back the tasks that have not started, of a job that fails on every machine. The
         leader then has a single task retried with growing pauses. Otherwise each of its tasks
         was retried on each machine: 2,300 times in a simulated day with 15 such jobs."""
-        for key in list(self._by_job.get(uid, ())):
+        for key in list(self._tasks_by_job.get(uid, ())):
             task = self.tasks[key]
             if task.phase == "placed" and not task.run_sent:
                 self._end_attempt(task)
@@ -842,9 +842,9 @@
 
     def _start(self, task: Task, machine: str) -> None:
         """Places a task on a machine under a new attempt number; `run` is sent later."""
-        self._attempts += 1
+        self._last_attempt += 1
         self._unplaced.discard(task.key)
-        task.phase, task.machine, task.attempt = "placed", machine, self._attempts
+        task.phase, task.machine, task.attempt = "placed", machine, self._last_attempt
         task.run_sent = False
         self.machines[machine].tasks.add(task.key)
 
