--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -106,10 +106,10 @@
 
 async def leader_crash_during_machine_fault(world: Day) -> None:
     """The leader crashes while some machines are cut from all controllers or get no answers."""
-    some = set(sample_booted(world, 0.4))
+    affected = set(sample_booted(world, 0.4))
     hosts = {world.host_of(n) for n in range(5)}
-    cut = world.cut(some, hosts, hold=world.rng.random() < 0.5)
-    with cut if world.rng.random() < 0.5 else world.deaf(some):
+    cut = world.cut(affected, hosts, hold=world.rng.random() < 0.5)
+    with cut if world.rng.random() < 0.5 else world.deaf(affected):
         world.crash(leader_of(world))
         await trio.sleep(world.rng.uniform(8.0, 35.0))
 
@@ -191,9 +191,9 @@
 def select_faults(seed: int) -> list[Callable[[Day], Awaitable[None]]]:
     """Two or three faults; over all seeds each is combined with each other."""
     count = len(FAULTS)
-    first, apart = seed % count, 1 + seed // count % (count - 1)
-    some = [FAULTS[first], FAULTS[(first + apart) % count]]
-    return some + ([FAULTS[(first + 2 * apart + 1) % count]] if seed % 2 else [])
+    first, distance = seed % count, 1 + seed // count % (count - 1)
+    pair = [FAULTS[first], FAULTS[(first + distance) % count]]
+    return pair + ([FAULTS[(first + 2 * distance + 1) % count]] if seed % 2 else [])
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
