--- a/ryegauge/bookkeeping/outcome_archive.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -101,6 +101,6 @@
                     self._cached[uid] = record[0]
                 elif uid not in unbatched:
                     # It existed a moment ago, and outcomes are never deleted.
-                    raise Unavailable(f"the outcome of {uid} no longer exists")
+                    raise Unavailable(f"the outcome of {uid} is not there any more")
             if uid in self._cached:
                 batch.found[uid] = self._cached[uid]
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -174,7 +174,7 @@
             if target == "/multi":
                 self.rate_limited_writes += 1
             (self.requests if target != "/multi" else self.writes).drain()
-            raise RateLimited("429: over the rate limit")
+            raise RateLimited("429")
         if status == 503:
             raise Unavailable(str(status))
         return status, answer
@@ -281,7 +281,7 @@
             if self.observer is not None and not across_epochs:
                 if self.observer.epoch_version != epoch_version:
                     # It may have been executed before a loss and be lost with the other data.
-                    raise OutcomeUnknown("a new epoch began while the transaction was under way")
+                    raise OutcomeUnknown("an era has begun meanwhile")
                 puts = [change for change in changes if isinstance(change, Put)]
                 self.observer.on_committed(int(answer["ledger"]), puts)
             return int(answer["ledger"])
@@ -293,7 +293,7 @@
         if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
             raise Gone
         if status == 400:
-            raise Unavailable(f"status 400: {answer!r}")
+            raise Unavailable(f"refused as malformed: {answer!r}")
         raise OutcomeUnknown(f"status {status}")
 
     async def grant_lease(self, ttl_s: float, *, timeout_s: float) -> int:
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -87,7 +87,7 @@
             with trio.fail_after(1.5 * self._timeout_s):
                 await read_request.done.wait()
         except trio.TooSlowError:
-            raise Unavailable("reading the state service took too long") from None
+            raise Unavailable("no read in time") from None
         finally:
             if read_request in self._waiters:
                 self._waiters.remove(read_request)
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -132,7 +132,7 @@
         if self._open_requests >= self._settings.settings.quota.max_connections // 4:
             return Reply(429, {"error": "too many requests"}, self._retry_after_s())
         if self._replica.recovery_stage == RESTORING:
-            return _unavailable("the state service's lost data is being restored")
+            return _unavailable("what the state service lost is being put back")
         self._open_requests += 1
         try:
             match method, segments:
@@ -355,7 +355,7 @@
                     s for s in batch if job_key(s.uid) in failed or archive_key(s.uid) in failed
                 ]
                 if not known:
-                    raise Unavailable("the transaction conflicts on none of its jobs") from None
+                    raise Unavailable("a conflict without a cause") from None
                 for submission in known:
                     submission.outcome = "known"
                     submission.done.set()
@@ -423,16 +423,16 @@
         if self._replica.depends_on_unresolved(job):
             # A needed job left the replica before its outcome was recorded for this one. It may
             # be cancelled, and other users may have been told that this one is cancelled too.
-            raise Unavailable("the outcome of a job that this one needs is being looked up")
+            raise Unavailable("the outcome of a job that it needs is being looked up")
         return job.view()
 
     def _check_never_accepted(self, uid: str) -> None:
         """Raises Unavailable if a job that was not found may have been accepted all the same."""
         if uid in self._replica.final_outcomes:
             self.on_record_missing(archive_key(uid))
-            raise Unavailable("the state service has lost a record")
+            raise Unavailable("a record that was there is lost")
         if not self._replica.recovery_complete or trio.current_time() < self.not_found_after:
-            raise Unavailable("the job may be among the data that the state service lost")
+            raise Unavailable("not all that may have been lost is known yet")
 
     async def _wait_for_read(self) -> None:
         """Waits for a read that begins now. Raises Unavailable if it shows a loss of data."""
@@ -442,7 +442,7 @@
     def _check_not_restoring(self) -> None:
         """Raises Unavailable while the replica may lack ends of jobs that are being restored."""
         if self._replica.recovery_stage == RESTORING:
-            raise Unavailable("its lost data is being restored")
+            raise Unavailable("what it lost is being put back")
 
     async def _poll(self, uid: str) -> Reply:
         """Answers a poll."""
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -255,7 +255,7 @@
                 if answer.status:
                     return answer.status, answer.body
                 # The peer got no answer, so the request may have been executed.
-                raise OutcomeUnknown(f"{name} relayed it and got no answer")
+                raise OutcomeUnknown("no answer by way of a peer")
         return None
 
     async def _relay_for_peer(self, message: RelayRequest) -> Reply:
