--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -20,8 +20,8 @@
 from ryegauge.amqp.frames import (
     FRAME_OVERHEAD_BYTES,
     MIN_FRAME_LIMIT_BYTES,
-    Cutter,
     Frame,
+    FrameDecoder,
     FrameError,
 )
 
@@ -86,7 +86,7 @@
 
     channel: int
     tags: tuple[int, ...]
-    good: bool
+    acknowledged: bool
 
 
 class Returned(NamedTuple):
@@ -209,7 +209,7 @@
             **(properties or {}),
         }
         self.state: State = "start"
-        self._decoder = Cutter()
+        self._decoder = FrameDecoder()
         self._send_buffer = bytearray(codec.marshal(ProtocolHeader(), 0))
         self._channels: dict[int, _Channel] = {}
         self._channel_max = 0
--- a/ryegauge/amqp/frames.py
+++ b/ryegauge/amqp/frames.py
@@ -37,7 +37,7 @@
     value: base.Frame | ContentHeader | ContentBody | Heartbeat
 
 
-class Cutter:
+class FrameDecoder:
     """Incremental frame decoder; buffers less than one frame of at most `frame_max` bytes."""
 
     def __init__(self) -> None:
--- a/ryegauge/cli/experiment.py
+++ b/ryegauge/cli/experiment.py
@@ -13,11 +13,11 @@
 from ryegauge.experiments import POLICIES
 
 INSTALL_HINT = "the experiments need: pip install 'ryegauge[experiments]'"
-DAYS = Path(__file__).resolve().parent.parent / "experiments" / "days"
+DAYS_DIR = Path(__file__).resolve().parent.parent / "experiments" / "days"
 
 
 def _built_in_days() -> list[str]:
-    return sorted(path.stem for path in DAYS.glob("*.toml"))
+    return sorted(path.stem for path in DAYS_DIR.glob("*.toml"))
 
 
 @click.command()
@@ -153,7 +153,7 @@
             totals,
             write_events,
         )
-        from ryegauge.experiments.runs import RunResult, ageing_runs, run_all
+        from ryegauge.experiments.runs import Outcome, ageing_runs, play_all
     except ImportError as error:
         fail(f"{INSTALL_HINT} ({error})", 2)
     console = Console(width=None if os.isatty(1) else 160)
@@ -185,7 +185,7 @@
         return
     days_by_title: dict[str, Day] = {}
     for day_name in days or _built_in_days():
-        path = DAYS / f"{day_name}.toml" if day_name in _built_in_days() else Path(day_name)
+        path = DAYS_DIR / f"{day_name}.toml" if day_name in _built_in_days() else Path(day_name)
         try:
             days_by_title[path.stem] = load(path)
         except ConfigError as error:
@@ -210,7 +210,7 @@
             report_every = -(-len(runs) // 10)
 
             def on_result(
-                _: RunResult,
+                _: Outcome,
                 bar: Any = bar,
                 progress: Progress = progress,
                 title: str = title,
@@ -222,7 +222,7 @@
                 if not progress.console.is_terminal and ended % report_every == 0:
                     click.echo(f"{title}: {ended} of {total} days", err=True)
 
-            results = list(run_all(runs, processes, out is not None, on_result))
+            results = list(play_all(runs, processes, out is not None, on_result))
         tables = [summary(results), totals(results)]
         report[title] = {"title": day.title, "delays": tables[0], "totals": tables[1]}
         violations += sum(len(result.metrics.broken) for result in results)
@@ -329,7 +329,7 @@
 def _report_rows(title: str, rows: list[dict[str, Any]], as_json: bool, console: Any) -> None:
     """Print the rows; exit code 1 if this version broke a rule or served too little."""
     from ryegauge.experiments.report import print_tables
-    from ryegauge.experiments.served import MIN_SERVED_SHARE
+    from ryegauge.experiments.served import LEAST
 
     if as_json:
         click.echo(json.dumps(rows, indent=2))
@@ -338,7 +338,7 @@
     this_version = [row for row in rows if row["version"] == "this"]
     if violations := sum(row["broken"] for row in this_version):
         fail(f"rules of the protocol were broken {violations} times", 1)
-    if underserved := [row for row in this_version if row["served"] < MIN_SERVED_SHARE]:
+    if underserved := [row for row in this_version if row["served"] < LEAST]:
         fail(
             f"in {len(underserved)} rows less than half of {underserved[0]['least']} was served", 1
         )
@@ -359,7 +359,7 @@
 
     deliveries: tuple[Delivery, ...] = ("once", "at_least_once", "at_most_once")
     counts = [
-        (queues.count, (delivery, trouble, seed, 30))
+        (queues.count_deliveries, (delivery, trouble, seed, 30))
         for delivery in deliveries
         for trouble, trouble_seeds in (
             ("ends", seeds),
@@ -368,7 +368,7 @@
         for seed in trouble_seeds
     ]
     floods = [
-        (queues.overload, (seed, 120.0, with_queues))
+        (queues.measure_overload, (seed, 120.0, with_queues))
         for seed in seeds[:4]
         for with_queues in (False, True)
     ]
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -187,8 +187,8 @@
             match await events.receive():
                 case Returned(code=code, text=text):
                     fail(f"{selected.queue}: {code} {text}", 1)
-                case Confirmed(good=good):
-                    if not good:
+                case Confirmed(acknowledged=acknowledged):
+                    if not acknowledged:
                         fail(f"{selected.queue}: the broker refused the message", 1)
                     break
         click.echo(message.uid if isinstance(message, Cancellation) else message.spec.uid)
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -111,7 +111,7 @@
         shard = self._shard_map.shard_of(name, zone)
         machine = self.machines[name] = FleetMachine(name, shard, type_, zone, spot, since)
         if spot:
-            self.takeback.began(name, since)
+            self.takeback.record_start(name, since)
         return machine
 
     def on_machine_list(
@@ -204,7 +204,7 @@
         # The cloud may have capacity of this kind again.
         self._refusals.pop((machine.type, machine.zone, machine.spot), None)
         if machine.spot:
-            self.takeback.ended(machine.name, now, reclaimed)
+            self.takeback.record_end(machine.name, now, reclaimed)
 
     def on_rental_sent(self, rental: Rental, now: float) -> None:
         """A rental request is being sent; its machines are expected until it is answered, or
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -51,7 +51,7 @@
 CANCELLATION_MARK_BYTES = 16
 
 # Cached outcomes of archived jobs for each MB of the memory quota.
-FINALS_PER_MB = 20
+FINAL_OUTCOMES_PER_MB = 20
 
 
 class _Submission:
@@ -116,7 +116,7 @@
         self._limits = settings.state_limits
         memory_mb = settings.settings.quota.memory_mb
         self._final_outcomes = FinalOutcomes(
-            state, self._limits.max_conditions, int(FINALS_PER_MB * memory_mb)
+            state, self._limits.max_conditions, int(FINAL_OUTCOMES_PER_MB * memory_mb)
         )
         # Called with each job that a commit of ours has cancelled, before its user is answered.
         self.on_cancelled: Callable[[str], None] = lambda uid: None
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -179,11 +179,11 @@
             ):
                 by_machine.setdefault(victim.machine.name, []).append(victim)
         selections: list[tuple[float, str, list[tuple[Victim, int]]]] = []
-        for name, on_machine in by_machine.items():
-            type_ = types.get(on_machine[0].machine.type)
+        for name, active_tasks in by_machine.items():
+            type_ = types.get(active_tasks[0].machine.type)
             if (
                 type_ is not None
-                and (selection := _sufficient_victims(job, on_machine, type_)) is not None
+                and (selection := _sufficient_victims(job, active_tasks, type_)) is not None
             ):
                 lost_cpu_s = sum(
                     evict_count * victim.job.spec.cpus * max(0.0, victim.running.elapsed_s)
--- a/ryegauge/emulator/broker.py
+++ b/ryegauge/emulator/broker.py
@@ -16,7 +16,7 @@
 from pamqp.header import ContentHeader, ProtocolHeader
 from pamqp.heartbeat import Heartbeat
 
-from ryegauge.amqp.frames import Cutter
+from ryegauge.amqp.frames import FrameDecoder
 from ryegauge.emulator.network import CURRENT_HOST
 
 FRAME_MAX = 32 * 1024  # bytes, offered to clients
@@ -56,13 +56,13 @@
         self.rng = rng
         self.queues: dict[str, deque[Message]] = {}
         self.consumers: list[Consumer] = []
-        self.links: list[BrokerConnection] = []
+        self.client_connections: list[BrokerConnection] = []
         self.up = True
         # Closes the connection that sends a frame once this many more were received; None: never.
-        self.frames_left: int | None = None
+        self.frames_until_close: int | None = None
         self.deliveries = 0
         self.unreachable: set[str] = set()  # hosts whose connections are refused
-        self.refuse_keys: set[str] = set()  # routing keys that are returned as unroutable
+        self.unroutable_keys: set[str] = set()  # routing keys that are returned as unroutable
 
     def put(self, key: str, properties: Basic.Properties, body: bytes) -> None:
         """Appends a message to the queue named `key`, which is created if missing."""
@@ -78,7 +78,7 @@
             raise ConnectionRefusedError("the broker is down")
         client_end, broker_end = trio.testing.memory_stream_pair()
         connection = BrokerConnection(self, broker_end, host)
-        self.links.append(connection)
+        self.client_connections.append(connection)
         self.nursery.start_soon(connection.run)
         return client_end
 
@@ -86,13 +86,13 @@
         """Serves a connection that was accepted elsewhere, such as a real socket, until it
         closes."""
         connection = BrokerConnection(self, stream, "")
-        self.links.append(connection)
+        self.client_connections.append(connection)
         await connection.run()
 
     def kill(self) -> None:
         """Stops the broker: all connections close at once, durable queues stay."""
         self.up = False
-        for connection in list(self.links):
+        for connection in list(self.client_connections):
             connection.end()
 
     def dispatch(self) -> None:
@@ -120,7 +120,7 @@
     last_delivery_tag: int = 0
     publish_count: int = 0
     confirms: bool = False
-    unsettled: dict[int, tuple[str, Message]] = field(default_factory=dict)
+    unacknowledged: dict[int, tuple[str, Message]] = field(default_factory=dict)
     pending_publish: Any = None
     header: ContentHeader | None = None
     received_body: bytes = b""
@@ -142,14 +142,14 @@
         """Whether the channel is open and below its prefetch limit."""
         channel = self.channels.get(channel_number)
         return channel is not None and (
-            not channel.prefetch or len(channel.unsettled) < channel.prefetch
+            not channel.prefetch or len(channel.unacknowledged) < channel.prefetch
         )
 
     def deliver(self, consumer: Consumer, message: Message) -> None:
         """Sends the message to the consumer; it stays unacknowledged until acked or rejected."""
         channel = self.channels[consumer.channel]
         channel.last_delivery_tag += 1
-        channel.unsettled[channel.last_delivery_tag] = (consumer.queue, message)
+        channel.unacknowledged[channel.last_delivery_tag] = (consumer.queue, message)
         self._send(
             consumer.channel,
             Basic.Deliver(
@@ -163,12 +163,12 @@
     def end(self) -> None:
         """Closes the connection; its unacknowledged messages return to the head of their queues."""
         self._scope.cancel()
-        if self not in self._broker.links:
+        if self not in self._broker.client_connections:
             return
-        self._broker.links.remove(self)
+        self._broker.client_connections.remove(self)
         self._broker.consumers = [c for c in self._broker.consumers if c.connection is not self]
         for channel in self.channels.values():
-            for queue, message in reversed(channel.unsettled.values()):
+            for queue, message in reversed(channel.unacknowledged.values()):
                 message.redelivered = True
                 self._broker.queues.setdefault(queue, deque()).appendleft(message)
         self.channels.clear()
@@ -176,7 +176,7 @@
 
     async def run(self) -> None:
         """Serves the connection until it is closed or its heartbeats are missed."""
-        frame_reader = Cutter()
+        frame_reader = FrameDecoder()
         frame_reader.frame_max = 128 * 1024
         protocol_header_received = False
         try:
@@ -206,11 +206,11 @@
             await trio.aclose_forcefully(self._stream)
 
     def _count_frame(self) -> None:
-        remaining = self._broker.frames_left
+        remaining = self._broker.frames_until_close
         if remaining is not None:
-            self._broker.frames_left = remaining - 1
+            self._broker.frames_until_close = remaining - 1
             if remaining <= 0:
-                self._broker.frames_left = None
+                self._broker.frames_until_close = None
                 raise trio.BrokenResourceError
 
     async def _write(self) -> None:
@@ -281,10 +281,10 @@
                 ]
                 self._send(channel_number, Basic.CancelOk(value.consumer_tag))
             case Basic.Ack():
-                channel.unsettled.pop(value.delivery_tag or 0, None)
+                channel.unacknowledged.pop(value.delivery_tag or 0, None)
                 self._broker.dispatch()
             case Basic.Reject():
-                entry = channel.unsettled.pop(value.delivery_tag or 0, None)
+                entry = channel.unacknowledged.pop(value.delivery_tag or 0, None)
                 if entry is not None and value.requeue:
                     entry[1].redelivered = True
                     self._broker.queues.setdefault(entry[0], deque()).append(entry[1])
@@ -303,7 +303,7 @@
         if header is None or len(channel.received_body) < header.body_size:
             return
         key = str(channel.pending_publish.routing_key)
-        if key in self._broker.refuse_keys:
+        if key in self._broker.unroutable_keys:
             self._send(channel_number, Basic.Return(312, "no route", "", key))
             self._send(
                 channel_number, ContentHeader(0, len(channel.received_body), header.properties)
--- a/ryegauge/emulator/cloud.py
+++ b/ryegauge/emulator/cloud.py
@@ -102,8 +102,8 @@
                     if worker.alive or worker.lost_at is not None:
                         self._returned(worker)
                     worker.lost_at = None
-                    worker.returned_while_busy |= worker.alive and bool(worker.on_machine())
-                    worker.die()
+                    worker.returned_while_busy |= worker.alive and bool(worker.active_tasks())
+                    worker.shut_down()
             return Reply(200, {})
         if url.path == "/hosts":
             return self._handle_rental(raw)
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -30,7 +30,7 @@
 CURRENT_HOST: ContextVar[str] = ContextVar("host", default="")
 
 
-class Processors(trio.abc.Instrument):
+class ProcessorTimeMeter(trio.abc.Instrument):
     """Measures the processor time of each host's code; `seconds`: host -> seconds."""
 
     def __init__(self) -> None:
@@ -73,13 +73,15 @@
         self.cuts: list[NetworkCut] = []
         self.powered_off: set[str] = set()  # connections to these hosts hang
         # Hosts whose incoming messages are lost; what they send arrives, its answers don't.
-        self.deaf: set[str] = set()
-        self.mute: set[str] = set()  # hosts whose outgoing connections hang
-        self.refused: set[tuple[str, str]] = set()  # (source, destination): answered 503
-        self.slow: dict[str, float] = {}  # host -> maximum delay of each of its answers, seconds
+        self.inbound_loss: set[str] = set()
+        self.outbound_loss: set[str] = set()  # hosts whose outgoing connections hang
+        self.refused_routes: set[tuple[str, str]] = set()  # (source, destination): answered 503
+        self.max_answer_delay_s: dict[
+            str, float
+        ] = {}  # host -> maximum delay of each of its answers, seconds
         # Share of transactions that get no answer and are executed later; the range of delays.
-        self.late_writes, self.late_writes_s = 0.0, (2.0, 12.0)
-        self.late_kind: Callable[[Any], bool] = lambda body: True  # only these transactions
+        self.late_writes, self.late_write_delay_s = 0.0, (2.0, 12.0)
+        self.may_write_late: Callable[[Any], bool] = lambda body: True  # only these transactions
         # Share of transactions that are executed at once and whose answer is lost.
         self.lost_writes = 0.0
         # Share of workers' reports that are delivered twice; the maximum delay of the duplicate.
@@ -94,7 +96,7 @@
 
     async def _traverse(self, a: str, b: str) -> None:
         await trio.sleep(self._rng.uniform(0.0005, 0.004))
-        if b in self.deaf:
+        if b in self.inbound_loss:
             await trio.sleep_forever()
         while (cut := next((c for c in self.cuts if c.separates(a, b)), None)) is not None:
             if not cut.hold:
@@ -112,18 +114,18 @@
         answer: list[Reply] = []
         done = trio.Event()
         assert self.nursery is not None
-        if (source, host) in self.refused:
+        if (source, host) in self.refused_routes:
             await trio.sleep(self._rng.uniform(0.001, 0.008))
             return 503, {"error": "trouble"}, None
         if (
             self.late_writes
             and target == "/multi"
             and body["apply"]
-            and self.late_kind(body)
+            and self.may_write_late(body)
             and self._draw(self.late_writes)
         ):
             self.nursery.start_soon(
-                self._deliver_later, address, method, target, payload, *self.late_writes_s
+                self._deliver_later, address, method, target, payload, *self.late_write_delay_s
             )
             await trio.sleep(timeout_s)
             raise ResponseTimeout("no answer")
@@ -141,7 +143,7 @@
         async def deliver() -> None:
             # Continues after the caller's timeout: a request may still be executed then.
             await self._traverse(source, host)
-            if host in self.powered_off or source in self.mute:
+            if host in self.powered_off or source in self.outbound_loss:
                 await trio.sleep_forever()
             connected.set()
             CURRENT_HOST.set(host)
@@ -153,8 +155,8 @@
             reply = await respond(handler, method, target, payload)
             if answer_lost:
                 return
-            if host in self.slow:
-                await trio.sleep(self._rng.uniform(0.0, self.slow[host]))
+            if host in self.max_answer_delay_s:
+                await trio.sleep(self._rng.uniform(0.0, self.max_answer_delay_s[host]))
             CURRENT_HOST.set(source)
             await self._traverse(host, source)
             answer.append(reply)
--- a/ryegauge/emulator/rules.py
+++ b/ryegauge/emulator/rules.py
@@ -29,7 +29,7 @@
         self.broken: list[str] = []
         self.accepted: set[str] = set()
         self.cancelled_at: dict[str, float] = {}
-        self.asked_to_cancel: set[str] = set()
+        self.cancel_requested: set[str] = set()
         self.final: dict[str, str] = {}
         # When a user was first told that a job is accepted, and that it is done or cancelled.
         self.accepted_at: dict[str, float] = {}
@@ -50,7 +50,7 @@
         self.starts += 1
         machines = [w for w in self.world.workers.values() if w.alive]
         for other in machines:
-            if other is not worker and task in other.on_machine():
+            if other is not worker and task in other.active_tasks():
                 self.report_violation("ran_twice", f"{task} on {worker.name} and {other.name}")
         self.check_quota(machines)
         self.check_placement(worker, task, machines)
@@ -79,7 +79,7 @@
         """`quota`: a team uses more cores than its limit on the given machines."""
         used: dict[str, float] = defaultdict(float)
         for w in machines:
-            for task in w.on_machine():
+            for task in w.active_tasks():
                 spec = self.specs[task.rpartition("/")[0]]
                 used[spec["crew"]] += spec["cpus"]
         for team in self.world.settings[0].settings.teams:
@@ -92,7 +92,7 @@
         spec = self.specs[uid]
         zones: dict[str, int] = defaultdict(int)
         for w in machines:
-            zones[w.zone] += sum(t.rpartition("/")[0] == uid for t in w.on_machine())
+            zones[w.zone] += sum(t.rpartition("/")[0] == uid for t in w.active_tasks())
         wrong = (
             (spec.get("builds") and worker.type.name not in spec["builds"])
             or (spec.get("district") and worker.zone != spec["district"])
@@ -125,7 +125,7 @@
             )
 
     def answered(
-        self, uid: str, status: int, body: Any, asked: str, sent: float | None = None
+        self, uid: str, status: int, body: Any, action: str, sent: float | None = None
     ) -> None:
         """Checks the answer to a user's request against all answers received before the request
         was sent: of two requests in flight at once, the one with the older answer may complete
@@ -134,7 +134,7 @@
         known_by = trio.current_time() if sent is None else sent
         if uid in self.accepted and (
             (status == 404 and self.accepted_at.get(uid, 0.0) <= known_by)
-            or (asked == "submit" and status in (400, 422))
+            or (action == "submit" and status in (400, 422))
         ):
             self.report_violation("forgotten", f"{uid} is answered {status}")
         if status in (200, 201, 404):
@@ -157,7 +157,7 @@
             self.final[uid] = job_status
             self.final_at.setdefault(uid, trio.current_time())
         if job_status == "cancelled":
-            if not {uid, *self.transitive_needs(uid)} & self.asked_to_cancel:
+            if not {uid, *self.transitive_needs(uid)} & self.cancel_requested:
                 self.report_violation(
                     "went_back", f"{uid} is cancelled, though no user cancelled it"
                 )
@@ -195,5 +195,5 @@
                 waiting_checker.check()
             machines = [w for w in self.world.workers.values() if w.alive]
             for w in machines:
-                for task in w.on_machine():
+                for task in w.active_tasks():
                     self.check_cancelled(task)
--- a/ryegauge/emulator/state.py
+++ b/ryegauge/emulator/state.py
@@ -69,7 +69,7 @@
         while self._history[0][0] < now - self.history_s:
             self._history.popleft()
 
-    def go_back(self, seconds: float, *, leases: bool = True) -> None:
+    def restore_earlier_state(self, seconds: float, *, leases: bool = True) -> None:
         """Returns to the state of `seconds` ago, as a restored backup or a stale replica would.
         Leases of that state have their full time again, or are lost as well."""
         now = trio.current_time()
--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -47,26 +47,26 @@
 
     def __init__(self, world: "World") -> None:
         self._world = world
-        self.at_end = 0.0  # share of jobs that are cancelled at their end
+        self.cancel_share_at_end = 0.0  # share of jobs that are cancelled at their end
         self.close = False  # whether close looks are taken
-        self.odd_since: float | None = None  # since when odd requests are sent
+        self.odd_requests_since: float | None = None  # since when odd requests are sent
         self._odd_request_count = 0
 
     async def ask_and_check(
-        self, uid: str, asked: str, body: Any = None, controller: int | None = None
+        self, uid: str, action: str, body: Any = None, controller: int | None = None
     ) -> int:
         """Sends one request about a job, to `controller` or to any, and checks the answer.
         `asked`: submit, poll or cancel. Returns the status; 0: not answered."""
         world, checker = self._world, self._world.checker
-        path = "/v1/jobs" + {"submit": "", "poll": f"/{uid}", "cancel": f"/{uid}/cancel"}[asked]
+        path = "/v1/jobs" + {"submit": "", "poll": f"/{uid}", "cancel": f"/{uid}/cancel"}[action]
         sent = trio.current_time()
         status, answer = await world.ask(
-            "GET" if asked == "poll" else "POST", path, body, controller
+            "GET" if action == "poll" else "POST", path, body, controller
         )
         accepted, was_final = uid in checker.accepted, uid in checker.final
-        checker.answered(uid, status, answer, asked, sent)
+        checker.answered(uid, status, answer, action, sent)
         if not was_final and uid in checker.final:
-            world.note("final", uid, detail=checker.final[uid])
+            world.record_event("final", uid, detail=checker.final[uid])
         if not (accepted and was_final) and (accepted, was_final) != (
             uid in checker.accepted,
             uid in checker.final,
@@ -79,7 +79,7 @@
     async def _cancel_after(self, uid: str, delay_s: float) -> None:
         checker = self._world.checker
         await trio.sleep(delay_s)
-        checker.asked_to_cancel.add(uid)
+        checker.cancel_requested.add(uid)
         while await self.ask_and_check(uid, "cancel") != 200 and uid not in checker.final:
             await trio.sleep(CANCEL_RETRY_S)
 
@@ -89,12 +89,12 @@
         world, checker = self._world, self._world.checker
         machines_by_job: dict[str, set[str]] = {}
         for worker in world.workers.values():
-            for task in worker.on_machine() if worker.alive else ():
+            for task in worker.active_tasks() if worker.alive else ():
                 uid = task.rpartition("/")[0]
                 ran_s = trio.current_time() - world.began_at[task]
                 left_s = world.run_s(task, checker.specs[uid]) - ran_s
                 open_ = uid in checker.accepted and uid not in checker.final
-                if open_ and uid not in checker.asked_to_cancel and left_s > world.lease_s:
+                if open_ and uid not in checker.cancel_requested and left_s > world.lease_s:
                     machines_by_job.setdefault(uid, set()).add(worker.name)
         return machines_by_job
 
@@ -108,7 +108,7 @@
             machines = sorted({name for uid in selected for name in running[uid]})
             for name in world.rng.sample(machines, min(MAX_HUNG_MACHINES, len(machines))):
                 world.workers[name].hung_until = trio.current_time() + hang_s
-                world.note("hung", machine=name)
+                world.record_event("hung", machine=name)
         for uid in selected:
             world.nursery.start_soon(
                 self._cancel_after, uid, world.rng.uniform(0.0, CANCEL_BURST_S)
@@ -118,20 +118,20 @@
     @contextmanager
     def cancel_at_end(self, share: float) -> Iterator[None]:
         """While it is open, `share` of the jobs are cancelled at the moment they end."""
-        self.at_end = share
+        self.cancel_share_at_end = share
         try:
             yield
         finally:
-            self.at_end = 0.0
+            self.cancel_share_at_end = 0.0
 
     def task_done(self, task: str) -> None:
         """To be called when a task completes; reacts to the end of its job."""
-        if not (self.at_end or self.close):
+        if not (self.cancel_share_at_end or self.close):
             return
         world, uid = self._world, task.rpartition("/")[0]
         pieces = world.checker.specs[uid]["pieces"]
         if all(f"{uid}/{i}" in world.results for i in range(pieces)):
-            if self.at_end and world.rng.random() < self.at_end:
+            if self.cancel_share_at_end and world.rng.random() < self.cancel_share_at_end:
                 world.nursery.start_soon(
                     self._cancel_after, uid, world.rng.uniform(0.0, CANCEL_AT_END_WINDOW_S)
                 )
@@ -169,10 +169,10 @@
             )
 
     async def _ask_later(
-        self, delay_s: float, uid: str, asked: str, body: Any, controller: int | None
+        self, delay_s: float, uid: str, action: str, body: Any, controller: int | None
     ) -> None:
         await trio.sleep(delay_s)
-        await self.ask_and_check(uid, asked, body, controller)
+        await self.ask_and_check(uid, action, body, controller)
 
     def _submission(self, uid: str) -> dict[str, Any]:
         spec = self._world.checker.specs[uid]
@@ -192,12 +192,12 @@
                     await trio.sleep(self._world.rng.uniform(*ODD_REQUEST_INTERVAL_S))
                     await self._odd_request()
 
-        self.odd_since = trio.current_time()
+        self.odd_requests_since = trio.current_time()
         self._world.nursery.start_soon(send_odd_requests)
         try:
             yield
         finally:
-            self.odd_since = None
+            self.odd_requests_since = None
             scope.cancel()
 
     async def _odd_request(self) -> None:
--- a/ryegauge/emulator/versions.py
+++ b/ryegauge/emulator/versions.py
@@ -16,7 +16,7 @@
 }
 
 
-def node_of(checkout: str | Path | None) -> Any:
+def load_node_class(checkout: str | Path | None) -> Any:
     """The `Node` class of the version in `checkout`; without a checkout, this version's.
     The settings' types get the properties' former names; `sys.modules` and `sys.path` are as
     before when it returns."""
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -83,7 +83,7 @@
         if (
             spec.get("broken")
             or spec.get("shape") == "gang"
-            or {uid, *needs} & (checker.asked_to_cancel | set(checker.cancelled_at))
+            or {uid, *needs} & (checker.cancel_requested | set(checker.cancelled_at))
         ):
             return False
         team = next(t for t in world.settings[0].settings.teams if t.name == spec["crew"])
--- a/ryegauge/emulator/workers.py
+++ b/ryegauge/emulator/workers.py
@@ -93,15 +93,15 @@
         self._fetches: dict[str, trio.Event] = {}
         self.hung_until = 0.0  # until then it neither sends nor answers
         self.changed = trio.Event()  # set when there is something new to report
-        self.lease_from = 0.0  # start of the present lease
+        self.lease_renewed_at = 0.0  # start of the present lease
         self.scope = trio.CancelScope()
         self._network = environment.network_of(name)
 
-    def on_machine(self) -> list[str]:
+    def active_tasks(self) -> list[str]:
         """Tasks that run or write a checkpoint now."""
         return [t for t, a in self.tasks.items() if a.state in ("running", "flushing")]
 
-    def die(self) -> None:
+    def shut_down(self) -> None:
         """Stops the machine with everything on it."""
         if self.alive:
             self.ended_at = trio.current_time()
@@ -114,7 +114,7 @@
             boot_s = self.type.boot_s * self._environment.rng.uniform(0.3, 1.5)
             await trio.sleep(boot_s * self.boot_factor)
             self.up = True
-            self.lease_from = trio.current_time()
+            self.lease_renewed_at = trio.current_time()
             async with trio.open_nursery() as nursery:
                 self.nursery = nursery
                 nursery.start_soon(self._serve)
@@ -138,13 +138,13 @@
         lease_s = self._environment.lease_s
         while True:
             # Not delayed while the machine hangs: its tasks end with the lease.
-            await trio.sleep_until(self.lease_from + lease_s + 0.001)
-            if trio.current_time() > self.lease_from + lease_s:
+            await trio.sleep_until(self.lease_renewed_at + lease_s + 0.001)
+            if trio.current_time() > self.lease_renewed_at + lease_s:
                 for task, attempt in self.tasks.items():
                     self._end(task, attempt, "lease")
                 self.tasks.clear()
                 self.session += 1
-                self.lease_from = trio.current_time()
+                self.lease_renewed_at = trio.current_time()
                 self.changed.set()
 
     def report(self) -> dict[str, Any]:
@@ -199,7 +199,7 @@
             if status == 200:
                 if body["baton"] >= self.token and session == self.session:
                     self._accept_token(body["baton"])
-                    self.lease_from = max(self.lease_from, sent_at)
+                    self.lease_renewed_at = max(self.lease_renewed_at, sent_at)
                     self._execute_orders(body["orders"])
                 await trio.sleep(MIN_REPORT_GAP_S)
                 pause_s = environment.report_s * rng.uniform(0.75, 1.25) - MIN_REPORT_GAP_S
--- a/ryegauge/emulator/world.py
+++ b/ryegauge/emulator/world.py
@@ -28,10 +28,10 @@
 RESTART_S = 4.0  # from a controller's end until it is started again, by default
 
 # Creates a controller from settings, network, clock and random number generator.
-Program = Callable[..., Any]
+NodeFactory = Callable[..., Any]
 
 
-class Happened(NamedTuple):
+class RecordedEvent(NamedTuple):
     """An event of a run: seconds since its start, kind, and the job, task or machine concerned."""
 
     at: float
@@ -86,20 +86,20 @@
         self.results: set[str] = set()
         self.progress: dict[str, float] = {}
         self.began_at: dict[str, float] = {}  # task -> start of its latest attempt
-        self.happened: list[Happened] = []
+        self.recorded_events: list[RecordedEvent] = []
         # Cancel scopes of the controllers that run now.
         self.scopes: list[trio.CancelScope] = [trio.CancelScope() for _ in settings]
         self.nodes: dict[int, Any] = {}
         # Factory of each controller; rolling updates replace them one by one.
-        self.programs: list[Program] = [Node for _ in settings]
+        self.node_factories: list[NodeFactory] = [Node for _ in settings]
         # Zones where machines boot slowly, by which factor, and the share that never boots.
         self.slow_zones: set[str] = set()
-        self.boot_factor, self.boot_fails = 1.0, 0.0
-        self.asks_times = 1.0  # factor by which users poll more often
+        self.boot_factor, self.boot_failure_share = 1.0, 0.0
+        self.poll_rate_factor = 1.0  # factor by which users poll more often
         self.troubles_ended_at = math.inf  # when the script ended
-        self.disks: dict[int, MemoryDisk] = {}  # snapshot directories, by controller
+        self.snapshot_stores: dict[int, MemoryDisk] = {}  # snapshot directories, by controller
         # Error of each controller's time of day, in seconds.
-        self.wall_errors: list[float] = [0.0 for _ in settings]
+        self.clock_errors_s: list[float] = [0.0 for _ in settings]
         self.nursery: trio.Nursery
         self._poll_s, self._resubmits = poll_s, resubmits
         self.restart_s = restart_s
@@ -118,13 +118,13 @@
 
     def on_task_started(self, worker: Worker, task: str) -> None:
         """Records the event and checks the rules of starts."""
-        self.note("started", task=task, machine=worker.name)
+        self.record_event("started", task=task, machine=worker.name)
         self.began_at[task] = trio.current_time()
         self.checker.on_task_started(worker, task)
 
     def on_task_ended(self, worker: Worker, task: str, cause: str) -> None:
         """Records the event; users may react to it."""
-        self.note("ended", task=task, machine=worker.name, detail=cause)
+        self.record_event("ended", task=task, machine=worker.name, detail=cause)
         if cause == "done":
             self.users.task_done(task)
 
@@ -140,12 +140,14 @@
 
     # -- machines and controllers --------------------------------------------------------
 
-    def note(
+    def record_event(
         self, what: str, uid: str = "", task: str = "", machine: str = "", detail: str = ""
     ) -> None:
         """Records an event of this moment; a task's event also names its job."""
         uid = uid or task.rpartition("/")[0]
-        self.happened.append(Happened(trio.current_time(), what, uid, task, machine, detail))
+        self.recorded_events.append(
+            RecordedEvent(trio.current_time(), what, uid, task, machine, detail)
+        )
 
     def rent(self, label: str, zone: str, spot: bool) -> str:
         """Starts a machine of the type named `label` without the cloud's API; its name."""
@@ -156,24 +158,24 @@
         name = f"m-{self._machines:06d}"
         worker = self.workers[name] = Worker(self, name, type_, zone, spot, f"{name}:9000")
         if zone in self.slow_zones:
-            fails = self.rng.random() < self.boot_fails
+            fails = self.rng.random() < self.boot_failure_share
             worker.boot_factor = math.inf if fails else self.boot_factor
         self.nursery.start_soon(self.workers[name].run)
-        self.note("rented", machine=name)
+        self.record_event("rented", machine=name)
         return name
 
     def _returned(self, worker: Worker) -> None:
         hung = worker.hung_until > trio.current_time()
         state = "lost" if not worker.alive else "hung" if hung else "alive"
-        tasks = len(worker.on_machine()) if worker.alive else 0
-        self.note("returned", machine=worker.name, detail=f"{state} {tasks}")
+        tasks = len(worker.active_tasks()) if worker.alive else 0
+        self.record_event("returned", machine=worker.name, detail=f"{state} {tasks}")
 
-    def lose(self, worker: Worker) -> None:
+    def fail_machine(self, worker: Worker) -> None:
         """A machine fails with everything on it, without a report; connections to it hang."""
         self.network.powered_off.add(worker.name)
-        self.note("lost", machine=worker.name, detail=str(len(worker.on_machine())))
+        self.record_event("lost", machine=worker.name, detail=str(len(worker.active_tasks())))
         worker.lost_at = trio.current_time()
-        worker.die()
+        worker.shut_down()
 
     async def _node(self, n: int) -> None:
         """Runs controller number `n`, and restarts it whenever it ends."""
@@ -183,11 +185,11 @@
             self._restarts += 1
             rng = random.Random(f"{n}-{self._restarts}")
             with trio.CancelScope() as self.scopes[n]:
-                with_disk = {"disk": self.disks[n]} if n in self.disks else {}
-                node = self.programs[n](
+                with_disk = {"disk": self.snapshot_stores[n]} if n in self.snapshot_stores else {}
+                node = self.node_factories[n](
                     self.settings[n],
                     self.network.at(host),
-                    lambda: WALL_CLOCK_START_S + trio.current_time() + self.wall_errors[n],
+                    lambda: WALL_CLOCK_START_S + trio.current_time() + self.clock_errors_s[n],
                     rng,
                     **with_disk,
                 )
@@ -198,7 +200,7 @@
     def crash(self, *numbers: int) -> None:
         """Stops these controllers at once; they restart after `restart_s`."""
         for n in numbers:
-            self.note("crash", detail=str(n))
+            self.record_event("crash", detail=str(n))
             self.scopes[n].cancel()
 
     @contextmanager
@@ -215,7 +217,7 @@
         arrive at the end; otherwise they are lost."""
         return self._with_cut(NetworkCut((one, two), hold))
 
-    def silence(self, hosts: set[str]) -> AbstractContextManager[None]:
+    def isolate_hosts(self, hosts: set[str]) -> AbstractContextManager[None]:
         """Isolates these hosts from all others: connections hang instead of being refused, and
         messages sent meanwhile arrive at the end."""
 
@@ -230,40 +232,40 @@
         """The state service answers these controllers 503, and others as usual."""
         service = self.settings[0].outside.state.partition(":")[0]
         pairs = {(self.host_of(n), service) for n in numbers}
-        self.network.refused |= pairs
+        self.network.refused_routes |= pairs
         try:
             yield
         finally:
-            self.network.refused -= pairs
+            self.network.refused_routes -= pairs
 
     @contextmanager
     def slow_state(self, max_delay_s: float) -> Iterator[None]:
         """The state service executes requests at once and delays each answer by up to
         `max_delay_s`."""
         service = self.settings[0].outside.state.partition(":")[0]
-        self.network.slow[service] = max_delay_s
+        self.network.max_answer_delay_s[service] = max_delay_s
         try:
             yield
         finally:
-            del self.network.slow[service]
+            del self.network.max_answer_delay_s[service]
 
     @contextmanager
-    def deaf(self, machines: Collection[str]) -> Iterator[None]:
+    def inbound_loss(self, machines: Collection[str]) -> Iterator[None]:
         """Reports of these machines arrive; answers and commands to them are lost."""
-        self.network.deaf |= set(machines)
+        self.network.inbound_loss |= set(machines)
         try:
             yield
         finally:
-            self.network.deaf -= set(machines)
+            self.network.inbound_loss -= set(machines)
 
     @contextmanager
-    def mute(self, machines: Collection[str]) -> Iterator[None]:
+    def outbound_loss(self, machines: Collection[str]) -> Iterator[None]:
         """Reports of these machines reach no controller; commands reach them and are answered."""
-        self.network.mute |= set(machines)
+        self.network.outbound_loss |= set(machines)
         try:
             yield
         finally:
-            self.network.mute -= set(machines)
+            self.network.outbound_loss -= set(machines)
 
     @contextmanager
     def late_writes(self, share: float, at_once: bool = False) -> Iterator[None]:
@@ -320,7 +322,7 @@
         return self.settings[n].listen.partition(":")[0]
 
     @property
-    def leading(self) -> int | None:
+    def leader_number(self) -> int | None:
         """Number of the controller that leads according to the state service; None: no record."""
         record = self.state.data.get("r/l")
         return None if record is None else self.names.index(record[0]["o"])
@@ -382,17 +384,17 @@
             while name not in (checker.final if late else checker.accepted):
                 await trio.sleep(0.2)
         checker.specs[uid] = {**body, "really": really, "broken": broken}
-        self.note("submitted", uid, detail=body["urgency"])
+        self.record_event("submitted", uid, detail=body["urgency"])
         while uid not in checker.accepted:
             await self.users.ask_and_check(uid, "submit", body)
             if uid not in checker.accepted:
                 await trio.sleep(1.0)
-        self.note("accepted", uid)
+        self.record_event("accepted", uid)
         accepted_at = trio.current_time()
         while True:
-            await trio.sleep(self.rng.uniform(*self._poll_s) / self.asks_times)
+            await trio.sleep(self.rng.uniform(*self._poll_s) / self.poll_rate_factor)
             if cancel_after is not None and trio.current_time() > accepted_at + cancel_after:
-                checker.asked_to_cancel.add(uid)
+                checker.cancel_requested.add(uid)
                 if checker.final.get(uid) is None:
                     await self.users.ask_and_check(uid, "cancel")
             await self.users.ask_and_check(uid, "poll")
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -61,7 +61,7 @@
 def _start_times(played: DayResult) -> dict[str, _StartTimes]:
     submitted_at: dict[str, float] = {}
     first_start_at: dict[str, float] = {}
-    for event in played.happened:
+    for event in played.recorded_events:
         if event.what == "submitted":
             submitted_at[event.uid] = event.at
         elif event.what == "started":
@@ -72,7 +72,7 @@
     }
 
 
-def figures(day: Day, played: DayResult) -> DayMetrics:
+def compute_metrics(day: Day, played: DayResult) -> DayMetrics:
     """Compute the metrics of a played day.
 
     Ages are judged by the ageing policy with the day's properties, whichever policy was played.
@@ -101,7 +101,7 @@
     uids_by_rank: dict[int, list[str]] = defaultdict(list)
     for uid, rank in rank_of.items():
         uids_by_rank[rank].append(uid)
-    for event in played.happened:
+    for event in played.recorded_events:
         uid = event.uid
         if event.what == "ended":
             running[uid].discard(event.task)
@@ -167,7 +167,7 @@
         useful,
         played.changes,
         played.broken,
-        *least_served(played.happened, played.bodies, 0.75 * played.seconds),
+        *least_served(played.recorded_events, played.bodies, 0.75 * played.seconds),
     )
 
 
--- a/ryegauge/experiments/loss.py
+++ b/ryegauge/experiments/loss.py
@@ -8,7 +8,7 @@
 
 from ryegauge.bookkeeping.epochs import EPOCH_KEY, RECOVERED, RESTORING
 from ryegauge.emulator.disk import MemoryDisk
-from ryegauge.emulator.versions import node_of
+from ryegauge.emulator.versions import load_node_class
 from ryegauge.emulator.world import World
 from ryegauge.experiments.day import Arrivals, Day, Trouble
 from ryegauge.experiments.play import play
@@ -161,7 +161,7 @@
     for n in range(records):
         world.state.data[f"f/wk-9{n:07d}"] = ({"st": "done", "d": 1}, n + 1, None)
     if cell.snapshots != "none" and checkout is None:
-        world.disks = {n: MemoryDisk() for n in range(len(world.settings))}
+        world.snapshot_stores = {n: MemoryDisk() for n in range(len(world.settings))}
 
 
 def measure(
@@ -193,13 +193,13 @@
         check_answer: Callable[..., None] = world.checker.answered
 
         def on_answer(
-            uid: str, status: int, body: Any, asked: str, sent: float | None = None
+            uid: str, status: int, body: Any, action: str, sent: float | None = None
         ) -> None:
             now = trio.current_time()
             last_answers[uid] = now, status
             if now >= LOSS_AT_S and status in (200, 201):
-                first_answer_at.setdefault(asked, now)
-            check_answer(uid, status, body, asked, sent)
+                first_answer_at.setdefault(action, now)
+            check_answer(uid, status, body, action, sent)
 
         world.checker.answered = on_answer  # type: ignore[method-assign]
 
@@ -209,24 +209,24 @@
             running.clear()
             for worker in world.workers.values():
                 if worker.alive:
-                    running.update((worker.name, task) for task in worker.on_machine())
+                    running.update((worker.name, task) for task in worker.active_tasks())
             if cell.snapshots == "broken" and now > LOSS_AT_S - 1:
-                for disk in world.disks.values():
+                for disk in world.snapshot_stores.values():
                     disk.files = {name: data[:-40] for name, data in disk.files.items()}
 
-    program = node_of(checkout)
+    program = load_node_class(checkout)
     day = _build_day(machines, cell)
     played = play(day, "settled", seed, program=program, watch=watch, prepare=prepare)
     (world,) = worlds
     detected_at = stage_began_at.get(RESTORING, float("inf"))
     since = detected_at if detected_at < float("inf") else LOSS_AT_S
-    starts = [e for e in played.happened if e.what == "started" and e.at > since]
+    starts = [e for e in played.recorded_events if e.what == "started" and e.at > since]
     ends = {
         (e.machine, e.task): e.detail
-        for e in played.happened
+        for e in played.recorded_events
         if e.what == "ended" and e.at > LOSS_AT_S
     }
-    lost_machines = {e.machine for e in played.happened if e.what in ("lost", "returned")}
+    lost_machines = {e.machine for e in played.recorded_events if e.what in ("lost", "returned")}
     tracked = {key for key in running if key[0] not in lost_machines}
     killed = {key for key in tracked if ends.get(key) in ("lease", "stopped")}
     checker = world.checker
@@ -235,7 +235,9 @@
         for uid in checker.accepted
         if uid not in checker.final and last_answers.get(uid, (0.0, 0))[1] not in (200, 201)
     ]
-    served, least = least_served(played.happened, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S)
+    served, least = least_served(
+        played.recorded_events, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S
+    )
     restarted = {e.task for e in starts} & {task for _, task in tracked}
     return LossMetrics(
         cell.loss,
--- a/ryegauge/experiments/play.py
+++ b/ryegauge/experiments/play.py
@@ -9,7 +9,7 @@
 
 from ryegauge.coordination.node import Node
 from ryegauge.emulator.state import StateService
-from ryegauge.emulator.world import Happened, Program, World, run_simulated
+from ryegauge.emulator.world import NodeFactory, RecordedEvent, World, run_simulated
 from ryegauge.experiments.day import Day, Trouble, controller_settings, submissions
 
 
@@ -19,7 +19,7 @@
     seed: int
     ordering: str
     seconds: float  # length of the day
-    happened: list[Happened]
+    recorded_events: list[RecordedEvent]
     bodies: dict[str, dict[str, object]]  # submitted jobs, by uid
     broken: list[str]  # violated rules of the protocol
     cost: float  # of all rented machines
@@ -41,7 +41,7 @@
 async def _apply_trouble(world: World, trouble: Trouble) -> None:
     """Wait until the trouble begins, inject it and, if it lasts, end it in time."""
     await trio.sleep(trouble.at_s)
-    world.note("trouble", detail=trouble.kind)
+    world.record_event("trouble", detail=trouble.kind)
     match trouble.kind:
         case "crash_leader":
             record = world.state.data.get("r/l")
@@ -64,21 +64,21 @@
         case "silent":
             record = world.state.data.get("r/l")
             name = record[0]["o"] if record is not None else world.names[0]
-            with world.silence({world.controllers[name].partition(":")[0]}):
+            with world.isolate_hosts({world.controllers[name].partition(":")[0]}):
                 await trio.sleep(trouble.lasts_s)
         case "polls":
-            world.asks_times = trouble.times
+            world.poll_rate_factor = trouble.times
             await trio.sleep(trouble.lasts_s)
-            world.asks_times = 1.0
+            world.poll_rate_factor = 1.0
         case "state_back":
-            world.state.go_back(trouble.lasts_s, leases=not trouble.part)
+            world.state.restore_earlier_state(trouble.lasts_s, leases=not trouble.part)
         case "state_empty":
             world.state.lose_all()
         case "state_records":
             world.state.lose_records("r/j/")
         case "boots":
             world.slow_zones = {zone for w in world.workers.values() for zone in w.type.zones}
-            world.boot_factor, world.boot_fails = trouble.times, trouble.part
+            world.boot_factor, world.boot_failure_share = trouble.times, trouble.part
             await trio.sleep(trouble.lasts_s)
             world.slow_zones = set()
         case "state_outage":
@@ -89,11 +89,11 @@
             # Each controller's wall clock jumps at random within the error, backwards too.
             until = trio.current_time() + trouble.lasts_s
             while trio.current_time() < until:
-                world.wall_errors = [
+                world.clock_errors_s = [
                     world.rng.uniform(-trouble.error_s, trouble.error_s) for _ in world.settings
                 ]
                 await trio.sleep(1.0)
-            world.wall_errors = [0.0 for _ in world.settings]
+            world.clock_errors_s = [0.0 for _ in world.settings]
         case "zone_cut":
             area = world.settings[-1].area
             inside = {w.name for w in world.workers.values() if w.zone == area}
@@ -116,10 +116,10 @@
             with world.late_reports(trouble.part, trouble.for_next):
                 await trio.sleep(trouble.lasts_s)
         case "machines_deaf":
-            with world.deaf(_select_machines(world, trouble)):
+            with world.inbound_loss(_select_machines(world, trouble)):
                 await trio.sleep(trouble.lasts_s)
         case "machines_mute":
-            with world.mute(_select_machines(world, trouble)):
+            with world.outbound_loss(_select_machines(world, trouble)):
                 await trio.sleep(trouble.lasts_s)
         case "cancel_now":
             await world.cancel_now(trouble.count, trouble.hang_s)
@@ -133,7 +133,7 @@
             with world.close_looks():
                 await trio.sleep(trouble.lasts_s)
         case "leader_refused" | "leader_cut":
-            first = world.leading or 0
+            first = world.leader_number or 0
             affected = [(first + n) % len(world.settings) for n in range(max(1, trouble.count))]
             with ExitStack() as cuts:
                 if trouble.kind == "leader_refused":
@@ -153,20 +153,20 @@
                 match trouble.kind:
                     case "machines_hang":
                         worker.hung_until = trio.current_time() + trouble.lasts_s
-                        world.note("hung", machine=name)
+                        world.record_event("hung", machine=name)
                     case "spot_taken" if worker.spot:
                         worker.notice_at = trio.current_time() + trouble.lasts_s
                         worker.changed.set()
                     case "machines_restart":
                         await trio.sleep(trouble.lasts_s / len(up) if n else 0.0)
-                        world.lose(worker)
+                        world.fail_machine(worker)
                     case "machines_lost":
-                        world.lose(worker)
+                        world.fail_machine(worker)
             if trouble.kind == "spot_taken":
                 await trio.sleep(trouble.lasts_s)
                 for worker in list(world.workers.values()):
                     if worker.alive and worker.notice_at is not None:
-                        worker.die()
+                        worker.shut_down()
 
 
 def play(
@@ -175,7 +175,7 @@
     seed: int,
     size: float = 1.0,
     backlog: bool = True,
-    program: Program = Node,
+    program: NodeFactory = Node,
     watch: Callable[[World], None] | None = None,
     prepare: Callable[[World], None] | None = None,
 ) -> DayResult:
@@ -214,7 +214,7 @@
             poll_s=(4.0, 6.0),
             resubmits=0.0,
         )
-        world.programs = [program for _ in world.programs]
+        world.node_factories = [program for _ in world.node_factories]
         worlds.append(world)
         if prepare is not None:
             prepare(world)
@@ -237,7 +237,7 @@
         seed,
         ordering,
         day.seconds,
-        world.happened,
+        world.recorded_events,
         world.checker.specs,
         world.checker.broken,
         world.cloud.cost(day.seconds),
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -17,7 +17,7 @@
 from ryegauge.coordination.node import Node
 from ryegauge.emulator.broker import Broker
 from ryegauge.emulator.fleet import FleetType
-from ryegauge.emulator.network import Processors
+from ryegauge.emulator.network import ProcessorTimeMeter
 from ryegauge.emulator.state import StateService
 from ryegauge.emulator.world import World, run_simulated
 from ryegauge.experiments.day import Day, Installation, TeamQuota, controller_settings
@@ -26,7 +26,7 @@
 from ryegauge.queues.messages import uid_of
 from ryegauge.queues.meter import Meter
 
-MESSAGE: dict[str, Any] = {
+MESSAGE_BODY: dict[str, Any] = {
     "pieces": 2,
     "cpus": 1.0,
     "memoryGb": 1.0,
@@ -38,26 +38,26 @@
 MACHINE_TYPE = FleetType("small", 4.0, 16.0, ["a"], 0.4, 0.1, 10.0, steady=4, spot=8)
 
 
-def bind(name: str = "picks", queue: str = "work", **changes: Any) -> Binding:
+def make_binding(name: str = "picks", queue: str = "work", **changes: Any) -> Binding:
     """A binding of the queue to team red and class pick; `changes` are further fields of it."""
     address = BrokerAddress("amqp://127.0.0.1", timeout_s=3.0)
     fields: dict[str, Any] = {"dead_letter_exchange": "dead.", **changes}
     return Binding(name, queue, "red", "pick", [address], **fields)
 
 
-class Played:
+class QueueDay:
     """A day that is being played or is over, with what is counted of it."""
 
     def __init__(self, world: World, broker: Broker) -> None:
         self.world = world
         self.broker = broker
-        self.records: set[str] = set()  # jobs that were ever recorded
+        self.recorded_jobs: set[str] = set()  # jobs that were ever recorded
         # Binding -> its meter, one mapping for each start of a controller.
         self.meters: list[dict[str, Meter]] = []
         self.processor_s = 0.0  # processor time of the controllers' code
 
     @property
-    def told(self) -> dict[str, list[tuple[str, str]]]:
+    def answers_by_job(self) -> dict[str, list[tuple[str, str]]]:
         """The (message id, status) of each answer in the queue `answers`, by job."""
         answers: dict[str, list[tuple[str, str]]] = {}
         for message in self.broker.queues.get("answers", ()):
@@ -67,14 +67,14 @@
         return answers
 
     @property
-    def again(self) -> Counter[str]:
+    def restarts_after_done(self) -> Counter[str]:
         """How often each task was started after it was done.
 
         Restarts of tasks that were lost with their machine or lease are correct and not counted.
         """
         done: set[str] = set()
         restarts: Counter[str] = Counter()
-        for event in self.world.happened:
+        for event in self.world.recorded_events:
             if event.what == "ended" and event.detail == "done":
                 done.add(event.task)
             elif event.what == "started" and event.task in done:
@@ -83,11 +83,11 @@
 
 
 # Runs beside a day: puts messages and injects failures.
-Script = Callable[[Played], Awaitable[None]]
+Script = Callable[[QueueDay], Awaitable[None]]
 
 
 def put(
-    broker: Broker, queue: str, name: str, body: dict[str, Any] = MESSAGE, **properties: Any
+    broker: Broker, queue: str, name: str, body: dict[str, Any] = MESSAGE_BODY, **properties: Any
 ) -> None:
     """Put a message with the id `name` onto the queue."""
     properties = {
@@ -108,7 +108,7 @@
     controllers: int = 3,
     write_rps: float = 100.0,
     known: Iterable[str] = (),
-) -> Played:
+) -> QueueDay:
     """Simulate `seconds` of a day with the bindings, with `script` running beside it.
 
     `known` are the jobs whose description workers can fetch, as if users had uploaded them.
@@ -120,21 +120,21 @@
         write_rps=write_rps,
     )
     day = Day("queues", seconds, installation, [MACHINE_TYPE], [])
-    played_days: list[Played] = []
-    processors = Processors()
+    played_days: list[QueueDay] = []
+    processors = ProcessorTimeMeter()
 
     async def main() -> None:
         trio.lowlevel.add_instrument(processors)
         state = StateService(write_rps=write_rps, rps=installation.rps)
         world = World(controller_settings(day, "settled"), seed, fleet=(MACHINE_TYPE,), state=state)
         for uid in known:
-            world.checker.specs[uid] = described(uid)
+            world.checker.specs[uid] = job_description(uid)
 
         async def run(world: World) -> None:
             broker = Broker(world.nursery, random.Random(seed))
             for binding in queues.bindings:
                 broker.queues.setdefault(binding.queue, deque())
-            played = Played(world, broker)
+            played = QueueDay(world, broker)
             played_days.append(played)
             state.on_write.append(lambda key, value: _note_write(played, key))
 
@@ -150,7 +150,7 @@
                 )
 
             # Restarts all controllers, so that they run `program`.
-            world.programs = [program] * controllers
+            world.node_factories = [program] * controllers
             world.crash(*range(controllers))
             await script(played)
 
@@ -162,10 +162,10 @@
     return played_days[0]
 
 
-def described(uid: str, team: str = "red", tasks: int = 2) -> dict[str, Any]:
+def job_description(uid: str, team: str = "red", tasks: int = 2) -> dict[str, Any]:
     """The description of a job, of a message or of a user, as the emulator keeps it."""
     return {
-        **MESSAGE,
+        **MESSAGE_BODY,
         "uid": uid,
         "duty": "pick",
         "crew": team,
@@ -186,10 +186,10 @@
     }
 
 
-def _note_write(played: Played, key: str) -> None:
+def _note_write(played: QueueDay, key: str) -> None:
     match key.split("/"):
         case ["r", "j", uid]:
-            played.records.add(uid)
+            played.recorded_jobs.add(uid)
 
 
 # -- delivery guarantees ---------------------------------------------------------------------
@@ -214,7 +214,7 @@
     broken: int  # violations of protocol rules
 
 
-async def random_ends(played: Played, rng: random.Random) -> None:
+async def inject_random_failures(played: QueueDay, rng: random.Random) -> None:
     """Inject eight random failures of broker, connections, controllers or state service.
 
     They follow each other within about a minute.
@@ -228,7 +228,7 @@
                 await trio.sleep(rng.uniform(0.1, 4.0))
                 broker.up = True
             case "cut":
-                broker.frames_left = rng.randrange(30)
+                broker.frames_until_close = rng.randrange(30)
             case "crash":
                 world.crash(rng.randrange(len(world.settings)))
             case "crash_all":
@@ -239,14 +239,14 @@
                 world.state.end_outage()
 
 
-async def cut_after(played: Played, frames: int) -> None:
+async def drop_connections_after(played: QueueDay, frames: int) -> None:
     """Drop the connection of the consuming controller after `frames` frames, twice."""
     for pause_s in (6.0, 8.0):
         await trio.sleep(pause_s)
-        played.broker.frames_left = frames
+        played.broker.frames_until_close = frames
 
 
-def count(delivery: Delivery, trouble: str, seed: int, messages: int) -> DeliveryCounts:
+def count_deliveries(delivery: Delivery, trouble: str, seed: int, messages: int) -> DeliveryCounts:
     """Play one day and count what became of its messages.
 
     `trouble` is "ends" for random failures, or the number of frames after which connections drop.
@@ -254,33 +254,33 @@
     names = [f"m-{n}" for n in range(messages)]
     uids = {uid_of("picks", f"id:{name}"): name for name in names}
 
-    async def script(played: Played) -> None:
+    async def script(played: QueueDay) -> None:
         for name in names:
             put(played.broker, "work", name)
         if trouble == "ends":
-            await random_ends(played, random.Random(seed))
+            await inject_random_failures(played, random.Random(seed))
         else:
-            await cut_after(played, int(trouble))
+            await drop_connections_after(played, int(trouble))
 
-    played = play(seed, [bind(delivery=delivery)], script, 170.0, known=uids)
-    answers_of_job = played.told
+    played = play(seed, [make_binding(delivery=delivery)], script, 170.0, known=uids)
+    answers_of_job = played.answers_by_job
     waiting = {str(m.properties.message_id) for m in played.broker.queues.get("work", ())}
     waiting |= {str(m.properties.message_id) for m in played.broker.queues.get("dead.work", ())}
-    without_job = [name for uid, name in uids.items() if uid not in played.records]
+    without_job = [name for uid, name in uids.items() if uid not in played.recorded_jobs]
     completed = [
         uid
-        for uid in played.records
-        if all(f"{uid}/{n}" in played.world.results for n in range(MESSAGE["pieces"]))
+        for uid in played.recorded_jobs
+        if all(f"{uid}/{n}" in played.world.results for n in range(MESSAGE_BODY["pieces"]))
     ]
     return DeliveryCounts(
         delivery,
         "ends" if trouble == "ends" else "drops",
         1,
         messages,
-        len(played.records),
+        len(played.recorded_jobs),
         sum(name in waiting for name in without_job),
         sum(name not in waiting for name in without_job),
-        played.again.total(),
+        played.restarts_after_done.total(),
         sum(uid not in answers_of_job for uid in completed),
         sum(len(set(answers)) > 1 for answers in answers_of_job.values()),
         sum(len(answers) - len(set(answers)) for answers in answers_of_job.values()),
@@ -327,7 +327,7 @@
     broken: int  # violations of protocol rules
 
 
-def overload(seed: int, seconds: float, queues: bool) -> OverloadMetrics:
+def measure_overload(seed: int, seconds: float, queues: bool) -> OverloadMetrics:
     """Play a day of `seconds`, with the flood if `queues`, and measure it."""
     from hdrh.histogram import HdrHistogram
 
@@ -336,7 +336,7 @@
     messages_per_queue = 4000
     max_open_jobs = 4000
     bindings = [
-        bind(name, name, weight=weight, prefetch=40, open_jobs=max_open_jobs)
+        make_binding(name, name, weight=weight, prefetch=40, open_jobs=max_open_jobs)
         for name, weight in (("one", 1.0), ("three", 3.0))
     ]
     direct_uids = [f"wk-{n:06d}" for n in range(1, int(seconds * 2))]
@@ -344,7 +344,7 @@
     async def user(world: World, uid: str, at_s: float) -> None:
         await trio.sleep(at_s)
         began_at = trio.current_time()
-        world.checker.specs[uid] = spec = described(uid, "blue", 1)
+        world.checker.specs[uid] = spec = job_description(uid, "blue", 1)
         body = {k: v for k, v in spec.items() if k not in ("really", "broken")}
         while True:
             status, answer = await world.ask("POST", "/v1/jobs", body)
@@ -354,7 +354,7 @@
             await trio.sleep(1.0)
         histogram.record_value(max(1, round(1000 * (trio.current_time() - began_at))))
 
-    async def script(played: Played) -> None:
+    async def script(played: QueueDay) -> None:
         nonlocal most_in_hand
         world, broker = played.world, played.broker
         if queues:
@@ -368,7 +368,9 @@
             while True:
                 await trio.sleep(0.25)
                 in_hand = sum(
-                    len(c.unsettled) for link in broker.links for c in link.channels.values()
+                    len(c.unacknowledged)
+                    for link in broker.client_connections
+                    for c in link.channels.values()
                 )
                 most_in_hand = max(most_in_hand, in_hand)
 
@@ -390,6 +392,6 @@
         most_in_hand,
         left,
         round(recorded_total / seconds, 1),
-        round(1000 * played.processor_s / max(1, len(played.records)), 2),
+        round(1000 * played.processor_s / max(1, len(played.recorded_jobs)), 2),
         len(played.world.checker.broken),
     )
--- a/ryegauge/experiments/recovery.py
+++ b/ryegauge/experiments/recovery.py
@@ -6,12 +6,12 @@
 from hdrh.histogram import HdrHistogram
 
 from ryegauge.emulator.fleet import FleetType
-from ryegauge.emulator.network import Processors
-from ryegauge.emulator.versions import node_of
+from ryegauge.emulator.network import ProcessorTimeMeter
+from ryegauge.emulator.versions import load_node_class
 from ryegauge.emulator.world import World
 from ryegauge.experiments.day import Arrivals, Day, Installation, TeamQuota, Trouble
 from ryegauge.experiments.play import play
-from ryegauge.experiments.served import MIN_SERVED_SHARE, least_served
+from ryegauge.experiments.served import LEAST, least_served
 
 TROUBLE_AT_S = 150.0  # when the trouble begins
 DAY_LENGTH_S = 330.0
@@ -163,7 +163,7 @@
     answerable_at: list[float] = []  # samples at which some controller could answer workers
     used_machines: set[str] = set()
 
-    processors = Processors()
+    processors = ProcessorTimeMeter()
     # (time, workers answered since the crash of all controllers, workers)
     renewed: list[tuple[float, int, int]] = []
     trouble_at = {t.kind: t.at_s for t in TROUBLES[trouble]}
@@ -177,20 +177,24 @@
         reporting = [
             w
             for w in world.workers.values()
-            if w.alive and w.up and now - w.lease_from < 3 * REPORT_S
+            if w.alive and w.up and now - w.lease_renewed_at < 3 * REPORT_S
         ]
         cpus_at.append((now, sum(w.type.cpus for w in reporting)))
         live = [w for w in world.workers.values() if w.alive and w.up]
-        renewed.append((now, sum(w.lease_from > crashed_at for w in live), len(live)))
+        renewed.append((now, sum(w.lease_renewed_at > crashed_at for w in live), len(live)))
         used_machines.update(w.name for w in world.workers.values() if w.tasks)
         up = sum(not scope.cancel_called for scope in world.scopes)
         if up and not world.state.outage:
             answerable_at.append(now)
 
     played = play(
-        recovery_day(machines, trouble), "settled", seed, program=node_of(checkout), watch=watch
+        recovery_day(machines, trouble),
+        "settled",
+        seed,
+        program=load_node_class(checkout),
+        watch=watch,
     )
-    events = [e for e in played.happened if e.at >= TROUBLE_AT_S]
+    events = [e for e in played.recorded_events if e.at >= TROUBLE_AT_S]
     rented = [e for e in events if e.what == "rented"]
     lost = sum(e.what == "lost" for e in events if e.at < TROUBLE_AT_S + 5)
     cpus_before = max((c for at, c in cpus_at if at < TROUBLE_AT_S), default=0.0)
@@ -213,7 +217,7 @@
         return next(
             (
                 e.at - crashed_at
-                for e in played.happened
+                for e in played.recorded_events
                 if e.what == what and e.at > crashed_at + 1
             ),
             float("inf"),
@@ -240,7 +244,7 @@
     ]
     first_start_at: dict[str, float] = {}
     urgent_submitted_at: dict[str, float] = {}
-    for e in played.happened:
+    for e in played.recorded_events:
         if e.what == "submitted" and e.detail == "high":
             urgent_submitted_at[e.uid] = e.at
         elif e.what == "started":
@@ -277,13 +281,13 @@
         len(killed),
         avoidable,
         len(played.broken),
-        *least_served(played.happened, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S),
+        *least_served(played.recorded_events, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S),
     )
 
 
 def summarize(rows: list[RecoveryMetrics]) -> list[dict[str, Any]]:
     """One row per trouble and version over all seeds: medians of times and `core`, sums of
-    counts, the smallest share of tasks served, and the number of days below MIN_SERVED_SHARE."""
+    counts, the smallest share of tasks served, and the number of days below LEAST."""
     result: list[dict[str, Any]] = []
     for key in dict.fromkeys((r.trouble, r.version) for r in rows):
         same_case = [r for r in rows if (r.trouble, r.version) == key]
@@ -293,6 +297,6 @@
             timed = name.endswith("_s") or name == "core"
             entry[name] = values[len(values) // 2] if timed else sum(values)
         entry["served"], entry["least"] = min((r.served, r.least) for r in same_case)
-        entry["failed"] = sum(r.served < MIN_SERVED_SHARE for r in same_case)
+        entry["failed"] = sum(r.served < LEAST for r in same_case)
         result.append(entry)
     return result
--- a/ryegauge/experiments/report.py
+++ b/ryegauge/experiments/report.py
@@ -10,12 +10,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from ryegauge.experiments.runs import RunResult
-from ryegauge.experiments.served import MIN_SERVED_SHARE
+from ryegauge.experiments.runs import Outcome
+from ryegauge.experiments.served import LEAST
 from ryegauge.protocol.jobs import PRIORITIES
 
 
-def summary(results: list[RunResult]) -> list[dict[str, Any]]:
+def summary(results: list[Outcome]) -> list[dict[str, Any]]:
     """One row per policy and priority over all seeds.
 
     `median_s` is the median of the seeds' medians; `p99_s` and `worst_s` are of the worst seed.
@@ -44,11 +44,11 @@
     return rows
 
 
-def totals(results: list[RunResult]) -> list[dict[str, Any]]:
+def totals(results: list[Outcome]) -> list[dict[str, Any]]:
     """One row per policy over all seeds and priorities.
 
     `useful` and `changes` are means, `served` is the minimum and `failed` the number of days below
-    MIN_SERVED_SHARE; all else are sums.
+    LEAST; all else are sums.
     """
     names = list(dict.fromkeys(result.run.name for result in results))
     rows: list[dict[str, Any]] = []
@@ -66,7 +66,7 @@
                 "broken": sum(len(m.broken) for m in metrics),
                 "served": min(m.served for m in metrics),
                 "least": min((m.served, m.least) for m in metrics)[1],
-                "failed": sum(m.served < MIN_SERVED_SHARE for m in metrics),
+                "failed": sum(m.served < LEAST for m in metrics),
             }
         )
     return rows
@@ -86,7 +86,7 @@
         console.print(table)
 
 
-def write_events(results: list[RunResult], path: Path) -> None:
+def write_events(results: list[Outcome], path: Path) -> None:
     """Write a Parquet file with a row per event, of the runs whose events were kept.
 
     `at` is in seconds since the start of the day.
@@ -98,7 +98,7 @@
         name: [] for name in ("run", "seed", "at", "what", "uid", "task", "machine", "detail")
     }
     for result in results:
-        for event in result.played.happened if result.played else ():
+        for event in result.played.recorded_events if result.played else ():
             columns["run"].append(result.run.name)
             columns["seed"].append(result.run.seed)
             for name, value in event._asdict().items():
@@ -106,7 +106,7 @@
     pq.write_table(pa.table(columns), path, compression="zstd")
 
 
-def plot_delays(results: list[RunResult], path: Path) -> None:
+def plot_delays(results: list[Outcome], path: Path) -> None:
     """Plot the worst delay to the first task as PNG: an axis per priority, a dot per day."""
     import matplotlib
 
--- a/ryegauge/experiments/runs.py
+++ b/ryegauge/experiments/runs.py
@@ -7,7 +7,7 @@
 
 from ryegauge.experiments import BASELINE
 from ryegauge.experiments.day import Day
-from ryegauge.experiments.delays import DayMetrics, figures
+from ryegauge.experiments.delays import DayMetrics, compute_metrics
 from ryegauge.experiments.play import DayResult, play
 
 
@@ -22,7 +22,7 @@
     backlog: bool
 
 
-class RunResult(NamedTuple):
+class Outcome(NamedTuple):
     """A day that was played, with its metrics."""
 
     run: DayRun
@@ -30,9 +30,9 @@
     played: DayResult | None  # kept only on request, as it is large
 
 
-def _run_day(run: DayRun, keep_events: bool) -> RunResult:
+def _run_day(run: DayRun, keep_events: bool) -> Outcome:
     played = play(run.day, run.ordering, run.seed, run.size, run.backlog)
-    return RunResult(run, figures(run.day, played), played if keep_events else None)
+    return Outcome(run, compute_metrics(run.day, played), played if keep_events else None)
 
 
 def ageing_runs(day: Day, seeds: list[int], size: float, policies: tuple[str, ...]) -> list[DayRun]:
@@ -44,9 +44,9 @@
     return runs
 
 
-def run_all(
-    runs: list[DayRun], processes: int, keep_events: bool, on_result: Callable[[RunResult], None]
-) -> Iterator[RunResult]:
+def play_all(
+    runs: list[DayRun], processes: int, keep_events: bool, on_result: Callable[[Outcome], None]
+) -> Iterator[Outcome]:
     """Yield the results in the order of `runs`; `on_result` is called as each run ends.
 
     With more than one process, yielding begins after the last run has ended.
@@ -59,7 +59,7 @@
         return
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         futures = {pool.submit(_run_day, run, keep_events): n for n, run in enumerate(runs)}
-        results: dict[int, RunResult] = {}
+        results: dict[int, Outcome] = {}
         for future in as_completed(futures):
             results[futures[future]] = future.result()
             on_result(results[futures[future]])
--- a/ryegauge/experiments/served.py
+++ b/ryegauge/experiments/served.py
@@ -7,15 +7,17 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from ryegauge.emulator.world import Happened
+from ryegauge.emulator.world import RecordedEvent
 
-MIN_SERVED_SHARE = 0.5  # a day on which less of any class or team is served counts as failed
+LEAST = 0.5  # a day on which less of any class or team is served counts as failed
 LARGEST_JOBS_SHARE = 0.1  # share of a class's jobs that are its largest; at least one job
 MAX_START_DELAY_S = 240.0  # from submission until the first task of a largest job has to start
 
 
 def least_served(
-    happened: Iterable[Happened], bodies: Mapping[str, Mapping[str, Any]], until_s: float
+    recorded_events: Iterable[RecordedEvent],
+    bodies: Mapping[str, Mapping[str, Any]],
+    until_s: float,
 ) -> tuple[float, str]:
     """The smallest share that was served, and the name of the group whose share it is.
 
@@ -30,7 +32,7 @@
     first_start_at: dict[str, float] = {}
     cancelled: set[str] = set()
     done_tasks: dict[str, set[str]] = defaultdict(set)
-    for event in happened:
+    for event in recorded_events:
         if event.what == "submitted":
             submitted_at[event.uid] = event.at
         elif event.what == "started":
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -17,8 +17,8 @@
 from ryegauge.coordination.leader import Leader
 from ryegauge.coordination.membership import LEADER_KEY
 from ryegauge.coordination.node_context import RETRYABLE_ERRORS, NodeContext
+from ryegauge.queues.binding_channel import BindingChannel
 from ryegauge.queues.meter import Meter
-from ryegauge.queues.serving import BindingChannel
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
 
     async def _settle(self, leader: Leader, channel: BindingChannel | None, uid: str) -> None:
         try:
-            if (final_status := await self._final(uid)) is None:
+            if (final_status := await self._final_status(uid)) is None:
                 return
             entry = self._context.replica.pending_replies.get(uid)
             if entry is None:
@@ -150,7 +150,7 @@
         pause_s = min(max(report_s, 2 * pause_s), MAX_PAUSE_REPORTS * report_s)
         self._backoff[uid] = (trio.current_time() + pause_s, pause_s)
 
-    async def _final(self, uid: str) -> tuple[str, int] | None:
+    async def _final_status(self, uid: str) -> tuple[str, int] | None:
         """(status, number of done tasks) once the end of the job is durable; None before."""
         replica = self._context.replica
         if (job := replica.jobs.get(uid)) is not None:
--- a/ryegauge/queues/serving.py
+++ b/ryegauge/queues/binding_channel.py
@@ -26,7 +26,7 @@
 )
 from ryegauge.queues.admission import PrefetchWindow
 from ryegauge.queues.bindings import Binding
-from ryegauge.queues.consuming import ConsumerElection
+from ryegauge.queues.consumer_election import ConsumerElection
 from ryegauge.queues.meter import Meter
 
 log = logging.getLogger(__name__)
@@ -83,10 +83,10 @@
                 self._in_hand[event.tag] = event
                 self.meter.in_hand += 1
                 self._nursery.start_soon(self._handle_delivery, self, event)
-            case Confirmed(tags=tags, good=good):
+            case Confirmed(tags=tags, acknowledged=acknowledged):
                 for tag in tags:
                     if (pending := self._pending_confirms.pop(tag, None)) is not None:
-                        pending[1].append(good)
+                        pending[1].append(acknowledged)
                         pending[0].set()
             case Returned(code=code, text=text, routing_key=key, properties=properties):
                 # A confirm follows, which only means that the broker has processed the message.
--- a/ryegauge/queues/front.py
+++ b/ryegauge/queues/front.py
@@ -24,12 +24,12 @@
 from ryegauge.protocol.jobs import JobSpec
 from ryegauge.queues.admission import AdaptiveRateLimiter, AdmissionGate
 from ryegauge.queues.answers import PERSISTENT, Answers
+from ryegauge.queues.binding_channel import BindingChannel
 from ryegauge.queues.bindings import Binding, Queues
-from ryegauge.queues.consuming import ConsumerElection
+from ryegauge.queues.consumer_election import ConsumerElection
 from ryegauge.queues.lifecycle import CONSUME_STEPS
 from ryegauge.queues.messages import Cancellation, Never, Submission, read
 from ryegauge.queues.meter import Meter
-from ryegauge.queues.serving import BindingChannel
 from ryegauge.transport.http import Reply
 
 log = logging.getLogger(__name__)
@@ -64,7 +64,7 @@
             self._elections[binding.name] = ConsumerElection(
                 context.settings.node_name, brokers, context.settings.controller_lease_s
             )
-        self._answers = Answers(context, self._channels, self.meters, queues.keep_answers_s)
+        self._reply_publisher = Answers(context, self._channels, self.meters, queues.keep_answers_s)
         # A refused call is repeated after half a report interval, then after pauses that double
         # up to eight times that.
         self._min_pause_s = context.report_s / 2
@@ -93,7 +93,7 @@
         async with trio.open_nursery() as nursery:
             for binding in self._queues.bindings:
                 nursery.start_soon(self._serve, binding)
-            nursery.start_soon(self._answers.run)
+            nursery.start_soon(self._reply_publisher.run)
             nursery.start_soon(self._update_consumers)
 
     async def _serve(self, binding: Binding) -> None:
--- a/ryegauge/scheduling/takeback_share.py
+++ b/ryegauge/scheduling/takeback_share.py
@@ -10,11 +10,11 @@
         self._rented_at: dict[str, float] = {}
         self._ended_spans: list[tuple[float, float, bool]] = []
 
-    def began(self, name: str, at: float) -> None:
+    def record_start(self, name: str, at: float) -> None:
         """A spot machine was rented at `at`; repeated calls for one machine are ignored."""
         self._rented_at.setdefault(name, at)
 
-    def ended(self, name: str, at: float, reclaimed: bool) -> None:
+    def record_end(self, name: str, at: float, reclaimed: bool) -> None:
         """A spot machine is gone since `at`; `reclaimed` says that the cloud reclaimed it."""
         rented_at = self._rented_at.pop(name, None)
         if rented_at is not None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ryegauge.queues.admission import AdaptiveRateLimiter, AdmissionGate, FairQueue, PrefetchWindow
-from ryegauge.queues.consuming import ConsumerElection, rank_consumers
+from ryegauge.queues.consumer_election import ConsumerElection, rank_consumers
 
 BINDING_NAMES = ["a", "b", "c"]
 WEIGHTS = st.fixed_dictionaries(
--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -83,7 +83,7 @@
     for n in range(12):
         harness.machine(f"m-{n}")
     harness.job("wk-000001", pieces=16, cpus=2.0)  # team red is at its limit
-    harness.allot("wk-000001", 0, list(range(16)))
+    harness.assign("wk-000001", 0, list(range(16)))
     submit_aged_job(harness, "wk-000002", DAY_S, pieces=4, cpus=2.0)
     submit_aged_job(
         harness, "wk-000003", 500.0, pieces=4, cpus=2.0, crew="blue", urgency="best_effort"
@@ -109,7 +109,7 @@
     is none for an equally long time."""
     refuse_all_rentals(harness)
     harness.job("wk-000001", pieces=2, cpus=1.0, crew="blue")
-    harness.allot("wk-000001", 0, [0, 1])
+    harness.assign("wk-000001", 0, [0, 1])
     add_busy_machine(harness, "m-1", 0, 15.0)
     add_busy_machine(harness, "m-2", 1, 19.0)
     submit_aged_job(
@@ -138,9 +138,9 @@
 def test_urgent_job_preempts_routine_but_not_aged_tasks(harness: LeaderHarness) -> None:
     """An urgent job preempts a routine task, but not one that runs because of its age."""
     harness.job("wk-000001", crew="blue", pieces=1, cpus=4.0)
-    harness.allot("wk-000001", 0, [0])
+    harness.assign("wk-000001", 0, [0])
     submit_aged_job(harness, "wk-000002", 65.0, crew="blue", pieces=1, cpus=4.0)
-    harness.allot("wk-000002", 0, [0])
+    harness.assign("wk-000002", 0, [0])
     harness.machine("m-1", empty=False, tasks=[("wk-000001", [0, 1], 12.0)])
     harness.machine("m-2", empty=False, tasks=[("wk-000002", [0, 1], 12.0)])
     harness.job("wk-000003", urgency="high", pieces=2, cpus=4.0)
@@ -156,9 +156,9 @@
     all small tasks on a machine have ended. Several are preempted on the machine that loses the
     least run time, and no more of them than needed."""
     harness.job("wk-000001", crew="blue", pieces=4, cpus=1.0, expectS=30.0)
-    harness.allot("wk-000001", 0, [0, 1, 2, 3])
+    harness.assign("wk-000001", 0, [0, 1, 2, 3])
     harness.job("wk-000002", crew="blue", pieces=3, cpus=1.0, expectS=30.0)
-    harness.allot("wk-000002", 0, [0, 1, 2])
+    harness.assign("wk-000002", 0, [0, 1, 2])
     harness.machine("m-1", empty=False, tasks=[("wk-000001", [0, 4], 5.0)])
     harness.machine("m-2", empty=False, tasks=[("wk-000002", [0, 3], 25.0)])
     harness.job("wk-000003", urgency="high", pieces=1, cpus=3.0)
@@ -234,7 +234,7 @@
 def first_start(world: World, uid: str) -> float:
     """When the first task of a job started; infinity if none did."""
     return next(
-        (e.at for e in world.happened if e.what == "started" and e.uid == uid), float("inf")
+        (e.at for e in world.recorded_events if e.what == "started" and e.uid == uid), float("inf")
     )
 
 
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -26,7 +26,7 @@
     Opened,
     Returned,
 )
-from ryegauge.amqp.frames import Cutter, FrameError
+from ryegauge.amqp.frames import FrameDecoder, FrameError
 
 
 def encode(value: Any, channel: int = 0) -> bytes:
@@ -276,9 +276,9 @@
 
 
 def test_decoder_buffers_at_most_one_frame() -> None:
-    decoder = Cutter()
+    decoder = FrameDecoder()
     with pytest.raises(FrameError):
         decoder.feed(struct.pack(">BHI", 3, 1, 5000))
-    decoder = Cutter()
+    decoder = FrameDecoder()
     decoder.feed(struct.pack(">BHI", 3, 1, 4000) + b"x" * 3999)
     assert len(decoder._data) <= decoder.frame_max
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,7 +12,7 @@
 from conftest import job_body
 from days import Day, play
 from test_late_writes import KINDS, with_small_replica
-from test_world import MIX, PIPES, some_controllers
+from test_world import MIXED_JOBS, PIPELINE_JOBS, controller_settings
 
 from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
 from ryegauge.bookkeeping.ranges import Ranges
@@ -287,7 +287,7 @@
             settings, SimulatedNetwork(None, rng).at("x"), lambda: 0.0, rng
         )._context
         node_context.replica.replace([Event("r/k/x", {"cancelled": {"wk-4": 1}}, 6)], 6)
-        assert await Answers(node_context, {}, {}, 9.0)._final("wk-4") == ("cancelled", 1)
+        assert await Answers(node_context, {}, {}, 9.0)._final_status("wk-4") == ("cancelled", 1)
 
     trio.run(scenario)
 
@@ -305,7 +305,7 @@
 
 async def crash_leader_then_all(world: Day) -> None:
     """Crashes the leader and, 20 s later, all controllers."""
-    for numbers in ([world.leading or 0], range(3)):
+    for numbers in ([world.leader_number or 0], range(3)):
         await trio.sleep(20.0)
         world.crash(*numbers)
 
@@ -313,7 +313,7 @@
 def small_replicas(tmp_path: Path) -> list[Settings]:
     """Settings of three controllers whose replicas hold two jobs: others are archived before a
     second request."""
-    return [with_small_replica(each) for each in some_controllers(tmp_path, 3)]
+    return [with_small_replica(each) for each in controller_settings(tmp_path, 3)]
 
 
 def test_simultaneous_requests_at_all_controllers(tmp_path: Path) -> None:
@@ -325,7 +325,7 @@
             await crash_leader_then_all(world)
             await trio.sleep(25.0)
 
-    world = play(small_replicas(tmp_path), 21, [*PIPES, *one_task_jobs(15)], script, 130.0)
+    world = play(small_replicas(tmp_path), 21, [*PIPELINE_JOBS, *one_task_jobs(15)], script, 130.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -351,7 +351,7 @@
             await crash_leader_then_all(world)
             await trio.sleep(10.0)
 
-    jobs = [*PIPES[:5], *MIX[:4], *one_task_jobs(12, cancel_after=2.0)]
+    jobs = [*PIPELINE_JOBS[:5], *MIXED_JOBS[:4], *one_task_jobs(12, cancel_after=2.0)]
     world = play(small_replicas(tmp_path), 31, jobs, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -366,8 +366,8 @@
         with world.cancel_at_end(0.7), world.close_looks(), world.odd_requests():
             await trio.sleep(70.0)
 
-    jobs = [*PIPES[:5], *one_task_jobs(25, crew="blue")]
-    world = play(some_controllers(tmp_path, 3), 41, jobs, script, 120.0)
+    jobs = [*PIPELINE_JOBS[:5], *one_task_jobs(25, crew="blue")]
+    world = play(controller_settings(tmp_path, 3), 41, jobs, script, 120.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     ends = [world.checker.final[f"wk-{n:06d}"] for n in range(6, len(jobs) + 1)]
--- a/tests/test_away.py
+++ b/tests/test_away.py
@@ -8,7 +8,7 @@
 from days import Day, play
 from test_handover import cancel_all_along
 from test_meetings import leader_of
-from test_world import some_controllers
+from test_world import controller_settings
 
 # The second of each pair is cancelled. Half of them run for longer than any fault here.
 JOBS: list[dict[str, Any]] = [
@@ -26,7 +26,7 @@
 
 def running(world: Day) -> set[str]:
     """The tasks on live machines."""
-    return {task for w in world.workers.values() if w.alive for task in w.on_machine()}
+    return {task for w in world.workers.values() if w.alive for task in w.active_tasks()}
 
 
 def test_all_controllers_are_away_for_longer_than_a_lease(tmp_path: Path) -> None:
@@ -49,7 +49,7 @@
         world.state.end_outage()
         await trio.sleep(12.0)
 
-    world = play(some_controllers(tmp_path, 5), 51, [*JOBS, *LATER_JOBS], script, 180.0)
+    world = play(controller_settings(tmp_path, 5), 51, [*JOBS, *LATER_JOBS], script, 180.0)
     assert running_counts[0] > 20
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -73,7 +73,7 @@
         }
         rest |= {w.name for w in world.workers.values() if w.zone == "a"}
         tasks_inside.append(
-            {t for w in world.workers.values() if w.zone == "b" for t in w.on_machine()}
+            {t for w in world.workers.values() if w.zone == "b" for t in w.active_tasks()}
         )
         with world.cut(names, rest, hold=True):
             await trio.sleep(1.0)
@@ -82,7 +82,7 @@
 
     jobs_by_zone = [{**job, "district": "ab"[n // 2 % 2]} for n, job in enumerate(JOBS)]
     world = play(
-        some_controllers(tmp_path, 5, "ab"), 52, [*jobs_by_zone, *LATER_JOBS], script, 200.0
+        controller_settings(tmp_path, 5, "ab"), 52, [*jobs_by_zone, *LATER_JOBS], script, 200.0
     )
     assert len(tasks_inside[0]) > 4
     assert world.checker.broken == []
@@ -111,7 +111,7 @@
                 await trio.sleep(3.0)
         leaders.extend(value["o"] for key, value in world.written if key == "r/l")
 
-    world = play(some_controllers(tmp_path, 5), 53, [*JOBS, *LATER_JOBS], script, 250.0)
+    world = play(controller_settings(tmp_path, 5), 53, [*JOBS, *LATER_JOBS], script, 250.0)
     assert len(leaders) >= 10
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -135,19 +135,21 @@
     ]
 
     async def script(world: Day) -> None:
-        world.network.slow |= {world.host_of(n): 0.25 * world.lease_s for n in range(3)}
+        world.network.max_answer_delay_s |= {
+            world.host_of(n): 0.25 * world.lease_s for n in range(3)
+        }
         for _ in range(3):
             await trio.sleep(25.0)
-            world.network.slow |= dict.fromkeys(world.workers, 0.25 * world.lease_s)
+            world.network.max_answer_delay_s |= dict.fromkeys(world.workers, 0.25 * world.lease_s)
             world.crash(leader_of(world))
         await trio.sleep(15.0)
-        world.network.slow.clear()
+        world.network.max_answer_delay_s.clear()
 
-    world = play(some_controllers(tmp_path, 3), 54, jobs, script, 220.0)
+    world = play(controller_settings(tmp_path, 3), 54, jobs, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    started_at = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
-    submitted = {e.uid: (e.at, e.detail) for e in world.happened if e.what == "submitted"}
+    started_at = {e.uid: e.at for e in reversed(world.recorded_events) if e.what == "started"}
+    submitted = {e.uid: (e.at, e.detail) for e in world.recorded_events if e.what == "submitted"}
     waits_s: dict[str, list[float]] = {}
     for uid, at in started_at.items():
         waits_s.setdefault(submitted[uid][1], []).append(at - submitted[uid][0])
--- a/tests/test_back_at_once.py
+++ b/tests/test_back_at_once.py
@@ -9,7 +9,7 @@
 import trio
 from days import play
 from test_rebuilding_days import rebuilding
-from test_world import MIX, PIPES, some_controllers
+from test_world import MIXED_JOBS, PIPELINE_JOBS, controller_settings
 
 from ryegauge.config import Settings
 from ryegauge.emulator.world import World
@@ -61,11 +61,11 @@
     async def script(world: World) -> None:
         await crash_repeatedly(world, restart_s)
 
-    world = play(with_rebuilding(tmp_path, count), seed, MIX + PIPES, script, 320.0)
+    world = play(with_rebuilding(tmp_path, count), seed, MIXED_JOBS + PIPELINE_JOBS, script, 320.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # A short absence must not cost a controller its roles for long, nor make many tasks rerun.
-    kills = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
+    kills = [e for e in world.recorded_events if e.what == "ended" and e.detail == "lease"]
     assert len(kills) < 40
 
 
@@ -86,9 +86,9 @@
                 each.settings, state=msgspec.structs.replace(each.settings.state, rps=80.0)
             ),
         )
-        for each in some_controllers(tmp_path, 5)
+        for each in controller_settings(tmp_path, 5)
     ]
-    world = play(settings, 8, MIX, script, 160.0)
+    world = play(settings, 8, MIXED_JOBS, script, 160.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 from days import play
-from test_world import MIX, some_controllers
+from test_world import MIXED_JOBS, controller_settings
 
 from ryegauge.emulator.world import World
 from ryegauge.scheduling.boot_times import BootTimes, MachineKind, PendingBoot
@@ -147,16 +147,20 @@
     tmp_path: Path, factor: float, failure_share: float, zones: str
 ) -> None:
     async def script(world: World) -> None:
-        world.slow_zones, world.boot_factor, world.boot_fails = set(zones), factor, failure_share
+        world.slow_zones, world.boot_factor, world.boot_failure_share = (
+            set(zones),
+            factor,
+            failure_share,
+        )
         await trio.sleep(40.0)
         world.crash(0)
         for worker in [w for w in world.workers.values() if w.alive and w.up][:2]:
-            world.lose(worker)
+            world.fail_machine(worker)
         await trio.sleep(80.0)
         world.slow_zones = set()
 
-    world = play(some_controllers(tmp_path, 3), 7, MIX, script, 330.0)
+    world = play(controller_settings(tmp_path, 3), 7, MIXED_JOBS, script, 330.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # No more than needed is rented, however late the machines come: the small fleet has 12.
-    assert sum(e.what == "rented" for e in world.happened) < 70
+    assert sum(e.what == "rented" for e in world.recorded_events) < 70
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 from conftest import job_body
 from days import play
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.cli import main
 from ryegauge.config import ConfigError, read_toml
@@ -205,7 +205,7 @@
     """Runs the scenario in a simulated installation without controllers."""
 
     async def run() -> Any:
-        world = World(some_controllers(tmp_path, 3), 0)
+        world = World(controller_settings(tmp_path, 3), 0)
         async with trio.open_nursery() as nursery:
             world.nursery = world.network.nursery = nursery
             world.network.handlers[world.settings[0].outside.state] = world.state.handle
@@ -239,7 +239,7 @@
         reports = record_reports(world)
         worker = world.workers[world.rent("small", "a", True)]
         await trio.sleep(30.0)
-        with world.mute([worker.name]):
+        with world.outbound_loss([worker.name]):
             await trio.sleep(0.1)  # reports in flight arrive
             count = len(reports)
             for baton, shift, expected in ((1, 1, 200), (0, 1, 409), (1, 2, 409)):
@@ -330,7 +330,7 @@
 ) -> None:
     async def scenario(world: World) -> list[str]:
         checker = world.checker
-        checker.specs["wk-1"], checker.asked_to_cancel = SPEC, {"wk-1"}
+        checker.specs["wk-1"], checker.cancel_requested = SPEC, {"wk-1"}
         world.results = {"wk-1/0"}
         await trio.sleep(1.0)
         checker.answered("wk-1", first[0], {"status": first[1]}, "poll", 0.0)
@@ -389,7 +389,7 @@
             case "over":
                 checker.final["wk-1"] = "done"
             case "cancelled":
-                checker.asked_to_cancel.add("wk-1")
+                checker.cancel_requested.add("wk-1")
             case "placed":
                 worker.tasks["wk-1/0"] = Attempt(1)
             case "no room":
@@ -408,7 +408,7 @@
             case "hung":
                 worker.hung_until = 50.0
             case "down":
-                world.lose(worker)
+                world.fail_machine(worker)
         waiting = WaitingChecker(world)
         for _ in range(19 if obstacle == "soon" else 25):
             waiting.check()
@@ -444,7 +444,7 @@
 
     jobs = [{"pieces": 2, "cpus": 1.0, "delay": 3.0 * n} for n in range(10)]
     jobs += [{"pieces": 1, "cpus": 1.0, "delay": 30.0, "really": 300.0} for _ in range(4)]
-    world = play(some_controllers(tmp_path, 3), 3, jobs, script, 100.0)
+    world = play(controller_settings(tmp_path, 3), 3, jobs, script, 100.0)
     assert world.checker.broken == []
     odd_statuses = [
         status
@@ -453,7 +453,7 @@
     ]
     assert len(odd_statuses) > 20
     assert set(odd_statuses) <= {400, 422}
-    ends = {e.uid: e.at for e in world.happened if e.what == "ended" and e.detail == "done"}
+    ends = {e.uid: e.at for e in world.recorded_events if e.what == "ended" and e.detail == "done"}
     closely_polled = [
         uid
         for uid, end in ends.items()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -8,11 +8,11 @@
 from click.testing import CliRunner
 
 from ryegauge.cli import main
-from ryegauge.cli.experiment import DAYS
+from ryegauge.cli.experiment import DAYS_DIR
 from ryegauge.config import ConfigError
-from ryegauge.emulator.world import Happened, World
+from ryegauge.emulator.world import RecordedEvent, World
 from ryegauge.experiments.day import load, submissions
-from ryegauge.experiments.delays import figures
+from ryegauge.experiments.delays import compute_metrics
 from ryegauge.experiments.play import DayResult, play
 from ryegauge.experiments.served import least_served
 
@@ -153,12 +153,12 @@
                 for name, is_active in {
                     "late_writes": net.late_writes == 0.5,
                     "late_reports": net.late_reports == 0.5,
-                    "machines_deaf": net.deaf,
-                    "leader_refused": net.refused,
+                    "machines_deaf": net.inbound_loss,
+                    "leader_refused": net.refused_routes,
                     "leader_cut": net.cuts,
-                    "machines_mute": net.mute,
-                    "cancel_at_end": world.users.at_end == 0.5,
-                    "odd_requests": world.users.odd_since is not None,
+                    "machines_mute": net.outbound_loss,
+                    "cancel_at_end": world.users.cancel_share_at_end == 0.5,
+                    "odd_requests": world.users.odd_requests_since is not None,
                     "close_looks": world.users.close,
                     "lost_writes": net.lost_writes == 0.5,
                     "kept_reports": net.kept_reports == 0.5,
@@ -182,24 +182,24 @@
     bodies = {
         f"wk-{n}": {"duty": "pick", "crew": "red", "pieces": 10 if n == 9 else 2} for n in range(10)
     }
-    events = [Happened(0.0, "submitted", uid) for uid in bodies]
+    events = [RecordedEvent(0.0, "submitted", uid) for uid in bodies]
     small_jobs = [uid for uid in bodies if uid != "wk-9"]
-    events += [Happened(9.0, "started", uid, f"{uid}/0") for uid in small_jobs]
+    events += [RecordedEvent(9.0, "started", uid, f"{uid}/0") for uid in small_jobs]
     events += [
-        Happened(20.0, "ended", uid, f"{uid}/{i}", detail="done")
+        RecordedEvent(20.0, "ended", uid, f"{uid}/{i}", detail="done")
         for uid in small_jobs
         for i in range(2)
     ]
     assert least_served(events, bodies, 300.0) == (0.0, "largest of pick")
-    events += [Happened(300.0, "ended", "wk-9", f"wk-9/{i}", detail="done") for i in range(10)]
-    late = [*events, Happened(241.0, "started", "wk-9", "wk-9/0")]
+    events += [RecordedEvent(300.0, "ended", "wk-9", f"wk-9/{i}", detail="done") for i in range(10)]
+    late = [*events, RecordedEvent(241.0, "started", "wk-9", "wk-9/0")]
     assert least_served(late, bodies, 300.0) == (0.0, "largest of pick begun")
-    in_time = [*events, Happened(239.0, "started", "wk-9", "wk-9/0")]
+    in_time = [*events, RecordedEvent(239.0, "started", "wk-9", "wk-9/0")]
     assert least_served(in_time, bodies, 300.0)[0] == 1.0
 
 
 def test_built_in_days_load_and_draw_reproducible_jobs() -> None:
-    days = {path.stem: load(path) for path in DAYS.glob("*.toml")}
+    days = {path.stem: load(path) for path in DAYS_DIR.glob("*.toml")}
     assert {"dusk", "flood4", "flood10", "dusk-troubles"} <= set(days)
     for day in days.values():
         jobs = list(submissions(day, 3))
@@ -263,20 +263,20 @@
         "never": low,
     }
     events = [
-        Happened(0.0, "submitted", "old"),
-        Happened(9.0, "submitted", "low"),
-        Happened(9.0, "submitted", "tiny"),
-        Happened(9.0, "submitted", "never"),
-        Happened(10.0, "submitted", "h"),
-        Happened(11.0, "started", "low", "low/0"),
-        Happened(20.0, "started", "low", "low/1"),
-        Happened(20.5, "started", "tiny", "tiny/0"),
-        Happened(25.0, "ended", "low", "low/1", "m", "done"),
-        Happened(29.0, "started", "h", "h/0"),
-        Happened(45.0, "started", "old", "old/0"),
+        RecordedEvent(0.0, "submitted", "old"),
+        RecordedEvent(9.0, "submitted", "low"),
+        RecordedEvent(9.0, "submitted", "tiny"),
+        RecordedEvent(9.0, "submitted", "never"),
+        RecordedEvent(10.0, "submitted", "h"),
+        RecordedEvent(11.0, "started", "low", "low/0"),
+        RecordedEvent(20.0, "started", "low", "low/1"),
+        RecordedEvent(20.5, "started", "tiny", "tiny/0"),
+        RecordedEvent(25.0, "ended", "low", "low/1", "m", "done"),
+        RecordedEvent(29.0, "started", "h", "h/0"),
+        RecordedEvent(45.0, "started", "old", "old/0"),
     ]
     played = DayResult(1, "settled", 60.0, events, bodies, [], 1.0, 0)
-    metrics = figures(day, played)
+    metrics = compute_metrics(day, played)
     assert metrics.inversions == 1
     assert metrics.aged_starts == 1
     assert metrics.ranks["normal"].unserved == 1
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -13,7 +13,7 @@
 import trio.testing
 from conftest import job_body
 from days import Day, play
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.bookkeeping.state import Event
 from ryegauge.bookkeeping.state_replica import StateReplica, job_record
@@ -52,7 +52,7 @@
     status, "" if it was refused."""
     target = "/v1/jobs" if body else f"/v1/jobs/{uid}/cancel"
     if not body:
-        world.checker.asked_to_cancel.add(uid)
+        world.checker.cancel_requested.add(uid)
     status, answer, _ = await world.network.call(
         "users", world.settings[n].listen, "POST", target, body, 5.0
     )
@@ -70,7 +70,7 @@
     await trio.sleep(0.3)
     if scenario_name == "found written":
         # The writer's commits get no answer; another controller's replica shows them.
-        world.network.late_writes_s = (0.05, 0.1)
+        world.network.late_write_delay_s = (0.05, 0.1)
         async with trio.open_nursery() as nursery:
             with world.late_writes(1.0):
                 for uid in CANCELLED:
@@ -92,7 +92,7 @@
 async def isolate_then_outage(world: World, role: str, scenario_name: str) -> None:
     """Isolates the leader or another controller while cancellations are confirmed, and begins an
     outage of the state service before its replica is read again."""
-    leader = world.leading
+    leader = world.leader_number
     assert leader is not None
     n = (leader + 1) % 5 if role == "owner" else leader
     with ExitStack() as until_outage:
@@ -121,16 +121,16 @@
 
     async def script(world: Day) -> None:
         await trio.sleep(45.0)
-        assert len({t for w in world.workers.values() for t in w.on_machine()}) > 25
+        assert len({t for w in world.workers.values() for t in w.active_tasks()}) > 25
         await isolate_then_outage(world, role, scenario_name)
         isolated.append(True)
 
-    world = play(some_controllers(tmp_path, 5), seed, JOBS, script, 260.0)
+    world = play(controller_settings(tmp_path, 5), seed, JOBS, script, 260.0)
     assert isolated
     assert world.checker.broken == []
     assert world.unfinished == set()
     # An expired lease ends no task of the job that was not cancelled, unless a controller crashes.
-    lease_ends = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
+    lease_ends = [e for e in world.recorded_events if e.what == "ended" and e.detail == "lease"]
     assert scenario_name == "writer ends" or not [e for e in lease_ends if e.uid == "wk-000002"]
 
 
@@ -300,15 +300,17 @@
             await trio.sleep(20.0)
         await trio.sleep(10.0)
         expired.append(world.nodes[1]._context.controller_lease.incarnation != old_incarnation)
-        world.note("outage")
+        world.record_event("outage")
         world.state.outage = True
         await trio.sleep(30.0)
         world.state.end_outage()
 
-    world = play(some_controllers(tmp_path, 5), 5, JOBS, script, 330.0)
+    world = play(controller_settings(tmp_path, 5), 5, JOBS, script, 330.0)
     assert expired == [True]
     assert world.checker.broken == []
     assert world.unfinished == set()
-    outage_began_at = next(e.at for e in world.happened if e.what == "outage")
-    lease_ends = [e for e in world.happened if e.at > outage_began_at and e.detail == "lease"]
+    outage_began_at = next(e.at for e in world.recorded_events if e.what == "outage")
+    lease_ends = [
+        e for e in world.recorded_events if e.at > outage_began_at and e.detail == "lease"
+    ]
     assert lease_ends == []
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 from days import play
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.config import Settings, Team
 from ryegauge.emulator.world import World
@@ -16,7 +16,7 @@
 def with_guest(tmp_path: Path, count: int = 3) -> list[Settings]:
     """Settings of controllers with a team that has zeros for guarantee and limit."""
     result = []
-    for each in some_controllers(tmp_path, count):
+    for each in controller_settings(tmp_path, count):
         teams = [*each.settings.teams, Team("guest")]
         shared = msgspec.structs.replace(each.settings, teams=teams)
         result.append(msgspec.structs.replace(each, settings=shared))
@@ -102,7 +102,7 @@
         "wk-000004",
     }
     failed: dict[str, int] = {}
-    for e in world.happened:
+    for e in world.recorded_events:
         if e.what == "ended" and e.detail == "error":
             failed[e.uid] = failed.get(e.uid, 0) + 1
     # The first attempts of each job and a few retries; without backoff all eight tasks of a job
@@ -110,5 +110,5 @@
     failures = [failed.get(f"wk-00000{n}", 0) for n in (2, 3, 4)]
     assert min(failures) >= 2
     assert max(failures) < 40
-    returned = {e.machine for e in world.happened if e.what == "returned"}
+    returned = {e.machine for e in world.recorded_events if e.what == "returned"}
     assert faulty <= returned
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 from conftest import job_body
 from days import Day, play
 from test_part import TOKEN, TYPES, UID, ShardHarness, shard
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.bookkeeping.state_replica import assignment_key, job_key, job_record
 from ryegauge.config import Settings
@@ -232,7 +232,7 @@
 
 async def confirm(world: Day, uid: str, n: int) -> None:
     """Asks controller `n`, then the next ones in turn, until one confirms the cancellation."""
-    world.checker.asked_to_cancel.add(uid)
+    world.checker.cancel_requested.add(uid)
     while await world.users.question(uid, "cancel", controller=n % len(world.settings)) != 200:
         n += 1
         await trio.sleep(0.1)
@@ -265,7 +265,7 @@
     shard_map = ShardMap(world.settings[0])
     tasks: Counter[int] = Counter()
     for worker in world.workers.values():
-        tasks[shard_map.shard_of(worker.name, worker.zone)] += len(worker.on_machine())
+        tasks[shard_map.shard_of(worker.name, worker.zone)] += len(worker.active_tasks())
     shard, _ = tasks.most_common(1)[0]
     return world.names.index(world.state.data[f"r/p/{shard}"][0]["o"])
 
@@ -290,7 +290,7 @@
     async def script(world: Day) -> None:
         world.restart_s = restart_s
         await trio.sleep(32.0)
-        assert len({t for w in world.workers.values() for t in w.on_machine()}) == len(
+        assert len({t for w in world.workers.values() for t in w.active_tasks()}) == len(
             SINGLE_TASK_JOBS
         )
         before = len(world.written)
@@ -304,11 +304,11 @@
             await trio.sleep(44.0 if fault is cut_from_state else 14.0)
         claims.extend(key.startswith("r/p/") for key, _ in world.written[before:])
 
-    world = play(some_controllers(tmp_path, 3), 21, SINGLE_TASK_JOBS, script, 94.0)
+    world = play(controller_settings(tmp_path, 3), 21, SINGLE_TASK_JOBS, script, 94.0)
     assert sum(claims) >= 1
     assert world.checker.broken == []
     assert len(world.checker.cancelled_at) == len(SINGLE_TASK_JOBS)
-    assert not [t for w in world.workers.values() if w.alive for t in w.on_machine()]
+    assert not [t for w in world.workers.values() if w.alive for t in w.active_tasks()]
 
 
 # -- reports for the next leader ---------------------------------------------------------------
@@ -340,14 +340,14 @@
             await trio.sleep(5.0)
         if held_s:
             world.state.on_write.remove(world._written)
-        for worker in [w for w in world.workers.values() if w.on_machine()][::4]:
-            world.lose(worker)
-        leader, before = world.leading, len(world.written)
+        for worker in [w for w in world.workers.values() if w.active_tasks()][::4]:
+            world.fail_machine(worker)
+        leader, before = world.leader_number, len(world.written)
         assert leader is not None
         held_reports.append(len(world.network._kept))
         world.crash(leader)
         await trio.sleep(8.0)
-        assert world.leading not in (leader, None)
+        assert world.leader_number not in (leader, None)
         held_reports.append(len(world.network._kept))
         await trio.sleep(max(0.0, held_s - 8.0))
         world._written("r/l", None)
@@ -355,7 +355,7 @@
         await trio.sleep(10.0)
         claims.extend(key for key, _ in world.written[before:] if key.startswith("r/p/"))
 
-    world = play(some_controllers(tmp_path, 3), 22, MIXED_JOBS, script, 135.0)
+    world = play(controller_settings(tmp_path, 3), 22, MIXED_JOBS, script, 135.0)
     assert held_reports[0] > 3
     assert held_reports[1] == (held_reports[0] if held_s else 0)
     assert world.checker.broken == []
@@ -387,20 +387,20 @@
         world.restart_s = 9.0
         await trio.sleep(35.0)
         for _ in range(4):
-            leader = world.leading
+            leader = world.leader_number
             assert leader is not None
             leaders.append(leader)
             world.crash(leader)
             await trio.sleep(14.0)
 
-    world = play(some_controllers(tmp_path, 3), 23, jobs, script, 130.0)
+    world = play(controller_settings(tmp_path, 3), 23, jobs, script, 130.0)
     assert len(set(leaders)) > 1
     assert world.checker.broken == []
     assert world.unfinished == set()
-    started = [event.task for event in world.happened if event.what == "started"]
+    started = [event.task for event in world.recorded_events if event.what == "started"]
     assert sorted(started) == sorted(
         f"wk-{n + 1:06d}/{i}" for n, job in enumerate(jobs) for i in range(job["pieces"])
     )
-    ended = {e.uid: e.at for e in world.happened if e.what == "ended"}
-    final = {e.uid: e.at for e in world.happened if e.what == "final"}
+    ended = {e.uid: e.at for e in world.recorded_events if e.what == "ended"}
+    final = {e.uid: e.at for e in world.recorded_events if e.what == "final"}
     assert max(final[uid] - at for uid, at in ended.items()) < 15.0
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -14,7 +14,7 @@
 from conftest import job_body
 from days import Day, play
 from test_rebuilding_days import rebuilding
-from test_world import MIX, PIPES, some_controllers
+from test_world import MIXED_JOBS, PIPELINE_JOBS, controller_settings
 
 from ryegauge.bookkeeping.state import Event, Unavailable
 from ryegauge.bookkeeping.state_replica import job_record
@@ -79,17 +79,17 @@
         return False
 
     async def script(world: Day) -> None:
-        world.network.late_kind = matches_kind
+        world.network.may_write_late = matches_kind
         with world.late_writes(0.5):
             for n in range(5):
                 await trio.sleep(16.0)
-                leader = world.leading
+                leader = world.leader_number
                 world.crash(*([leader] if n % 2 and leader is not None else [n % 3]))
 
     settings = rebuilding(tmp_path, 3)
     if kind in ("archive", "clearing"):
         settings = [with_small_replica(each) for each in settings]
-    world = play(settings, 40 + len(kind), MIX + PIPES, script, 300.0)
+    world = play(settings, 40 + len(kind), MIXED_JOBS + PIPELINE_JOBS, script, 300.0)
     assert len(late_bodies) >= 2
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -121,8 +121,8 @@
         with world.cut({"10.0.0.3"}, set(world.workers), hold=False):
             await trio.sleep(25.0)
 
-    settings = [with_small_replica(each) for each in some_controllers(tmp_path, 3)]
-    world = play(settings, 7, MIX + PIPES, script, 200.0)
+    settings = [with_small_replica(each) for each in controller_settings(tmp_path, 3)]
+    world = play(settings, 7, MIXED_JOBS + PIPELINE_JOBS, script, 200.0)
     assert world.checker.broken == []
     assert seen_kinds == set(KINDS)
     assert unguarded_prefixes == {"r/n", "r/c"}
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -62,7 +62,7 @@
         """Records a job that is submitted now."""
         self.put(job_key(uid), job_record(parse_job(job_body(uid, **changes)), self.now, False))
 
-    def allot(self, uid: str, shard: int, tasks: list[int], zone: str = "") -> None:
+    def assign(self, uid: str, shard: int, tasks: list[int], zone: str = "") -> None:
         """Records that these tasks of a job are assigned to a shard."""
         flat = [bound for i in tasks for bound in (i, i + 1)]
         self.put(assignment_key(uid, shard), {"t": {zone: flat}, "d": []})
@@ -147,7 +147,7 @@
     for i in range(12):
         harness.machine(f"m-{i}")
     harness.job("wk-000001", pieces=10)
-    harness.allot("wk-000001", 0, list(range(9)))
+    harness.assign("wk-000001", 0, list(range(9)))
     harness.job("wk-000002", pieces=30)
     assigned = harness.round()
     assert sum(assigned.values()) == 7
@@ -160,7 +160,7 @@
     for i in range(6):
         harness.machine(f"m-{i}")
     harness.job("wk-000001", pieces=6)
-    harness.allot("wk-000001", 0, [0, 2])
+    harness.assign("wk-000001", 0, [0, 2])
     harness.put(assignment_key("wk-000001", 1), {"t": {}, "d": [4, 5]})
     harness.round()
     newly_assigned: list[int] = []
@@ -193,7 +193,7 @@
 def test_a_chosen_zone_is_kept(harness: LeaderHarness) -> None:
     harness.machine("m-1", zone="b")
     harness.job("wk-000001", together=True)
-    harness.allot("wk-000001", 0, [0], zone="a")
+    harness.assign("wk-000001", 0, [0], zone="a")
     assert harness.round() == {}
 
 
@@ -306,7 +306,7 @@
 def test_replacements_for_lost_machines_are_rented_within_the_share(harness: LeaderHarness) -> None:
     harness.job("wk-000001", pieces=8)
     names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:4]
-    harness.allot("wk-000001", 0, list(range(8)))
+    harness.assign("wk-000001", 0, list(range(8)))
     for n, name in enumerate(names):
         harness.machine(name, empty=False, tasks=[("wk-000001", [2 * n, 2 * n + 2], 20.0)])
     harness.round()
@@ -364,7 +364,7 @@
     """Only tasks that have just begun are evicted."""
     harness.job("wk-000001", crew="blue", pieces=12, cpus=4.0)  # beyond blue's 8 CPUs
     flat = list(range(12))
-    harness.allot("wk-000001", 0, flat)
+    harness.assign("wk-000001", 0, flat)
     for i in range(12):
         left_s = 19.5 if i == 3 else 5.0
         harness.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], left_s)])
@@ -380,14 +380,14 @@
 
 def test_much_higher_priority_evicts_lower_at_once(harness: LeaderHarness) -> None:
     harness.job("wk-000001", crew="blue", pieces=2, cpus=4.0)
-    harness.allot("wk-000001", 0, [0, 1])
+    harness.assign("wk-000001", 0, [0, 1])
     for i in range(2):
         harness.machine(f"m-{i}", empty=False, tasks=[("wk-000001", [i, i + 1], 19.5)])
     harness.job("wk-000002", pieces=1, urgency="critical", crew="blue", cpus=4.0)
     harness.round()
     assert harness.views() == []  # the other job is within its guarantee
     harness.job("wk-000003", crew="blue", pieces=2, cpus=4.0)
-    harness.allot("wk-000003", 1, [0, 1])
+    harness.assign("wk-000003", 1, [0, 1])
     harness.machine("m-2", empty=False, tasks=[("wk-000003", [0, 2], 19.5)])
     harness.round()
     assert harness.views() == [("m-2", "wk-000003", 1)]
@@ -428,8 +428,8 @@
     harness.machine("m-1")
     assert harness.round() == {"wk-000001": 4}
     assert harness.last_result.rentals != []  # for the third job
-    harness.allot("wk-000001", 0, [0, 1, 2, 3])
-    harness.allot("wk-000003", 0, [0, 1, 2, 3])
+    harness.assign("wk-000001", 0, [0, 1, 2, 3])
+    harness.assign("wk-000003", 0, [0, 1, 2, 3])
     assert harness.round() == {}
     assert harness.last_result.rentals == []
     record_done(harness, "wk-000001")
@@ -499,7 +499,7 @@
     harness.machine("m-1", zone="c")
     shard = harness.shard_of("m-1")
     harness.job("wk-000001", pieces=4, cpus=2.0)
-    harness.allot("wk-000001", shard, [0, 1])
+    harness.assign("wk-000001", shard, [0, 1])
     harness.job("wk-000002", pieces=4, cpus=2.0, crew="blue")
     assert harness.round() == {}
     view = harness.view(shard, [harness.machines["m-1"]], pending_removal=[("wk-000001", 2)])
@@ -537,7 +537,7 @@
         harness.machine(f"m-{i}")
     lease_s = harness.settings.settings.workers.lease_s
     assert set(harness.round()) == {"wk-000002"}
-    harness.allot("wk-000002", 0, [0, 1])
+    harness.assign("wk-000002", 0, [0, 1])
     harness.now += lease_s + 0.1
     assert harness.round() == {"wk-000001": 1}
     harness.leader.on_assigned(["wk-000001"], harness.now)
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -13,7 +13,7 @@
 from days import Day, play
 from test_handover import confirm, hosts
 from test_late_writes import KINDS
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.emulator.fleet import SMALL_FLEET
 
@@ -43,7 +43,7 @@
 
 
 def used_cpus(world: Day) -> dict[str, int]:
-    tasks = {t for w in world.workers.values() if w.alive for t in w.on_machine()}
+    tasks = {t for w in world.workers.values() if w.alive for t in w.active_tasks()}
     return dict(Counter(world.checker.specs[t.rpartition("/")[0]]["crew"] for t in tasks))
 
 
@@ -65,7 +65,7 @@
 
 
 def crash_leader(world: Day) -> None:
-    if (leader := world.leading) is not None:
+    if (leader := world.leader_number) is not None:
         world.crash(leader)
 
 
@@ -89,7 +89,7 @@
 
 
 def delay_assignment_writes(world: Day) -> AbstractContextManager[None]:
-    world.network.late_kind = KINDS["allotment"]
+    world.network.may_write_late = KINDS["allotment"]
     return world.late_writes(0.5)
 
 
@@ -97,8 +97,8 @@
     "held up": lambda world: world.cut(every_third_machine(world), hosts(world), hold=True),
     "cut off": lambda world: world.cut(every_third_machine(world), hosts(world), hold=False),
     "hung": hang,
-    "deaf": lambda world: world.deaf(every_third_machine(world)),
-    "mute": lambda world: world.mute(every_third_machine(world)),
+    "deaf": lambda world: world.inbound_loss(every_third_machine(world)),
+    "mute": lambda world: world.outbound_loss(every_third_machine(world)),
     "late assignments": delay_assignment_writes,
     "lost answers": lambda world: world.late_writes(0.4, at_once=True),
 }
@@ -121,7 +121,7 @@
                 world.nursery.start_soon(confirm, world, uid, 2)
             await trio.sleep(4.0)
 
-    check_end(play(some_controllers(tmp_path, 3), 31, JOBS, script, 86.0, FLEET))
+    check_end(play(controller_settings(tmp_path, 3), 31, JOBS, script, 86.0, FLEET))
 
 
 @pytest.mark.parametrize("fault", ["held up", "late assignments"])
@@ -139,7 +139,7 @@
                 await trio.sleep(3.0)
             await trio.sleep(5.5 - 0.4 * n)
 
-    world = play(some_controllers(tmp_path, 3), 32, JOBS, script, 135.0, FLEET)
+    world = play(controller_settings(tmp_path, 3), 32, JOBS, script, 135.0, FLEET)
     check_end(world)
     leaders = [value["o"] for key, value in world.written if key == "r/l"]
     assert len(leaders) >= 8
@@ -155,7 +155,7 @@
 
     async def script(world: Day) -> None:
         await wait_until_full(world)
-        leader = world.leading
+        leader = world.leader_number
         assert leader is not None
         last = f"r/j/{CANCELLED[-1]}"
         began = trio.Event()
@@ -176,4 +176,4 @@
             world.state.end_outage()
             await trio.sleep(1.0)
 
-    check_end(play(some_controllers(tmp_path, 3), 33 + seed, JOBS, script, 115.0, FLEET))
+    check_end(play(controller_settings(tmp_path, 3), 33 + seed, JOBS, script, 115.0, FLEET))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,7 +11,7 @@
 import trio
 from days import Day, play
 from test_rebuilding_days import rebuilding
-from test_world import MIX, PIPES, some_controllers
+from test_world import MIXED_JOBS, PIPELINE_JOBS, controller_settings
 
 from ryegauge.config import Settings
 
@@ -19,8 +19,8 @@
 SEEDS = int(os.environ.get("RYEGAUGE_SEEDS", "3"))
 
 JOBS: list[dict[str, Any]] = [
-    *MIX,
-    *PIPES,
+    *MIXED_JOBS,
+    *PIPELINE_JOBS,
     # Jobs of two or three tasks that end far apart, so that leaders change in between.
     {"pieces": 3, "delay": 15.0, "cpus": 1.0, "really": 4.0, "apart": 40.0, "crew": "blue"},
     {"pieces": 2, "delay": 25.0, "cpus": 1.0, "really": 10.0, "apart": 60.0, "crew": "blue"},
@@ -48,7 +48,7 @@
 
 def leader_of(world: Day) -> int:
     """Number of the leader; 0 if none is on record."""
-    leader = world.leading
+    leader = world.leader_number
     return 0 if leader is None else leader
 
 
@@ -87,7 +87,9 @@
 
 
 async def machines_deaf(world: Day) -> None:
-    await keep_for_a_while(world, world.deaf(sample_booted(world, world.rng.choice([0.2, 0.6]))))
+    await keep_for_a_while(
+        world, world.inbound_loss(sample_booted(world, world.rng.choice([0.2, 0.6])))
+    )
 
 
 async def leader_cut(world: Day) -> None:
@@ -109,7 +111,7 @@
     some = set(sample_booted(world, 0.4))
     hosts = {world.host_of(n) for n in range(5)}
     cut = world.cut(some, hosts, hold=world.rng.random() < 0.5)
-    with cut if world.rng.random() < 0.5 else world.deaf(some):
+    with cut if world.rng.random() < 0.5 else world.inbound_loss(some):
         world.crash(leader_of(world))
         await trio.sleep(world.rng.uniform(8.0, 35.0))
 
@@ -132,7 +134,9 @@
 
 
 async def machines_mute(world: Day) -> None:
-    await keep_for_a_while(world, world.mute(sample_booted(world, world.rng.choice([0.2, 0.6]))))
+    await keep_for_a_while(
+        world, world.outbound_loss(sample_booted(world, world.rng.choice([0.2, 0.6])))
+    )
 
 
 async def lost_write_answers(world: Day) -> None:
@@ -210,7 +214,7 @@
     settings: list[Settings] = (
         rebuilding(tmp_path, 5)
         if seed % 3 == 0
-        else some_controllers(tmp_path, 5, "ab" if seed % 3 == 1 else "a")
+        else controller_settings(tmp_path, 5, "ab" if seed % 3 == 1 else "a")
     )
     world = play(settings, 300 + seed, JOBS, script, 500.0)
     assert world.checker.broken == []
@@ -232,7 +236,7 @@
                     for refused_number in (leader_of(world), (leader_of(world) + 1) % 5):
                         inner.start_soon(refused_before_outage, world, refused_number)
 
-    world = play(some_controllers(tmp_path, 5), 11, JOBS, script, 420.0)
+    world = play(controller_settings(tmp_path, 5), 11, JOBS, script, 420.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
--- a/tests/test_mute.py
+++ b/tests/test_mute.py
@@ -11,7 +11,7 @@
 from days import Day, play
 from test_leader import LeaderHarness, listed
 from test_part import TOKEN, UID, ShardHarness
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.bookkeeping.state_replica import job_key, job_record
 from ryegauge.config import Settings
@@ -68,7 +68,7 @@
                 await trio.sleep(2.0)
                 if n:
                     await world.cancel_now(6, hang_s=8.0)
-                leader = world.leading
+                leader = world.leader_number
                 if crashed != "nobody" and leader is not None:
                     world.crash((leader + (crashed == "owner")) % 3)
                 await trio.sleep(18.0)
@@ -76,7 +76,7 @@
             await trio.sleep(20.0)
 
     world = play(
-        some_controllers(tmp_path, 3),
+        controller_settings(tmp_path, 3),
         4,
         [LONG_JOB, LONG_JOB, FULL_FLEET_JOB, *SHORT_JOBS],
         script,
@@ -84,7 +84,7 @@
     )
     assert world.checker.broken == []
     assert world.unfinished == set()
-    starts = [(e.at, e.machine) for e in world.happened if e.what == "started"]
+    starts = [(e.at, e.machine) for e in world.recorded_events if e.what == "started"]
     for began, ended, muted in mute:
         # A machine that reported just before may still be given a task, which fetches for 1 s.
         late = [at for at, name in starts if name in muted and began + 5.5 < at < ended]
@@ -157,7 +157,7 @@
     """It hangs three times in a row, for almost a lease, while its shard changes owners in
     between; the answers in between must kill the cancelled task."""
     controllers = []
-    for settings in some_controllers(tmp_path, 5):
+    for settings in controller_settings(tmp_path, 5):
         workers = msgspec.structs.replace(
             settings.settings.workers, report_s=2.5, lease_s=14.0, cancel_s=39.0
         )
@@ -169,18 +169,18 @@
     renewed: list[float] = []
 
     async def hang_when_answered(world: Day, worker: Worker) -> None:
-        before = worker.lease_from
-        while worker.lease_from == before:
+        before = worker.lease_renewed_at
+        while worker.lease_renewed_at == before:
             await trio.sleep(0.005)
-        worker.hung_until = worker.lease_from + 13.4
+        worker.hung_until = worker.lease_renewed_at + 13.4
         renewed.append(trio.current_time())
 
     async def script(world: Day) -> None:
         await trio.sleep(40.0)
-        worker = next(w for w in world.workers.values() if w.alive and w.on_machine())
-        uid = worker.on_machine()[0].rpartition("/")[0]
+        worker = next(w for w in world.workers.values() if w.alive and w.active_tasks())
+        uid = worker.active_tasks()[0].rpartition("/")[0]
         await hang_when_answered(world, worker)
-        world.checker.asked_to_cancel.add(uid)
+        world.checker.cancel_requested.add(uid)
         status = 0
         while status != 200:
             status, answer = await world.ask("POST", f"/v1/jobs/{uid}/cancel")
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -12,7 +12,7 @@
 from conftest import job_body
 from days import Day, play
 from test_rebuilding_days import rebuilding
-from test_world import MIX
+from test_world import MIXED_JOBS
 
 from ryegauge.emulator.world import World
 from ryegauge.transport.http import encode
@@ -54,7 +54,7 @@
             return world.cut(host, workers, hold=False)
         case _:
             next_one = {f"10.0.0.{(n + 1) % 5 + 1}"}
-            return world.silence(host if kind == "from all" else host | next_one)
+            return world.isolate_hosts(host if kind == "from all" else host | next_one)
 
 
 @pytest.mark.parametrize(
@@ -113,13 +113,13 @@
                 assert reply.status in (421, 503)
         cut_times.append(trio.current_time())
 
-    world = play(rebuilding(tmp_path, 5), 21, MIX, script, 170.0)
+    world = play(rebuilding(tmp_path, 5), 21, MIXED_JOBS, script, 170.0)
     assert world.checker.broken == []
     assert world.unfinished <= set(urgent)
     assert len(urgent) == CUT_LASTS_S[who] // 5
     assert not set(answers) - {200, 201, 429, 503}
     # No job waits longer than the takeover of its roles, a little more than a controller lease.
-    started = {e.uid: e.at for e in reversed(world.happened) if e.what == "started"}
+    started = {e.uid: e.at for e in reversed(world.recorded_events) if e.what == "started"}
     delays = sorted(started[uid] - at for uid, at in urgent.items())
     # As without a cut, since the fleet is full; a silent one has to be detected first.
     assert delays[-1] < 13.0 + (world.settings[0].controller_lease_s if "from all" in kind else 0.0)
@@ -128,5 +128,5 @@
     during = Counter(key for at, key in changes if began < at < ended)
     # No role changes hands more than once meanwhile, except that a leader may fence itself once.
     assert all(count <= 1 for key, count in during.items() if key != "r/l"), during
-    kills = [e for e in world.happened if e.what == "ended" and e.detail == "lease"]
+    kills = [e for e in world.recorded_events if e.what == "ended" and e.detail == "lease"]
     assert len(kills) <= 8
--- a/tests/test_operations_day.py
+++ b/tests/test_operations_day.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
-from ryegauge.cli.experiment import DAYS
+from ryegauge.cli.experiment import DAYS_DIR
 from ryegauge.experiments.day import Day, load, submissions
-from ryegauge.experiments.delays import figures
+from ryegauge.experiments.delays import compute_metrics
 from ryegauge.experiments.play import play
 
 
@@ -23,14 +23,14 @@
 def test_a_day_with_faults_and_failing_jobs(
     seed: int, with_mistakes: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    day = load(DAYS / "operations.toml")
+    day = load(DAYS_DIR / "operations.toml")
     if not with_mistakes:
         day = without_mistakes(day)
     mistaken = {s.body["uid"] for s in submissions(day, seed) if s.mistaken}
     assert bool(mistaken) == with_mistakes
     with caplog.at_level(logging.INFO, "ryegauge"):
         played = play(day, "ageing", seed)
-    results = figures(day, played)
+    results = compute_metrics(day, played)
     assert played.broken == []
     # Of every team, including guests, and of every job class.
     assert results.served > 0.9, results.least
@@ -39,7 +39,7 @@
     assert logged_as_failing == mistaken
     assert "to be given up" not in caplog.text
     failed: dict[str, int] = {}
-    for e in played.happened:
+    for e in played.recorded_events:
         if e.what == "ended" and e.detail == "error":
             failed[e.uid] = failed.get(e.uid, 0) + 1
     assert failed.keys() <= mistaken
@@ -55,7 +55,7 @@
 def test_tiny_jobs_are_reported_done_soon_after_they_ran() -> None:
     """The state service allows few changes per second: 200 tiny jobs, each with three changes,
     have to share about five of them per second with urgent jobs."""
-    day = load(DAYS / "operations.toml")
+    day = load(DAYS_DIR / "operations.toml")
     limited_installation = msgspec.structs.replace(day.installation, write_rps=14.0)
     arrivals = [
         msgspec.structs.replace(a, from_s=60.0, until_s=90.0, every_s=0.15)
@@ -72,10 +72,12 @@
         4,
     )
     assert played.broken == []
-    done_at = {e.uid: e.at for e in played.happened if e.what == "ended" and e.detail == "done"}
-    reported_at = {e.uid: e.at for e in played.happened if e.what == "final"}
+    done_at = {
+        e.uid: e.at for e in played.recorded_events if e.what == "ended" and e.detail == "done"
+    }
+    reported_at = {e.uid: e.at for e in played.recorded_events if e.what == "final"}
     tiny = [uid for uid in done_at if played.bodies[uid]["duty"] == "flurry"]
     assert len(tiny) > 150
     delays_s = sorted(reported_at.get(uid, day.seconds) - done_at[uid] for uid in tiny)
     assert delays_s[len(delays_s) // 2] < 7.0  # was 10 s in an earlier version
-    assert figures(day, played).ranks["high"].median_s < 1.0
+    assert compute_metrics(day, played).ranks["high"].median_s < 1.0
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -80,9 +80,9 @@
     now = 60
     total = lost = 0
     for i, (start, length, taken) in enumerate(machines):
-        share.began(str(i), start)
+        share.record_start(str(i), start)
         if start + length < now:
-            share.ended(str(i), start + length, taken)
+            share.record_end(str(i), start + length, taken)
         for second in range(now - 30, now):
             if start <= second < start + length:
                 total += 1
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -6,7 +6,7 @@
 import trio
 from conftest import job_body
 from days import play
-from test_world import MIX, some_controllers
+from test_world import MIXED_JOBS, controller_settings
 
 from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
 from ryegauge.bookkeeping.state import StateClient, Unavailable
@@ -20,7 +20,7 @@
 def small_replica(tmp_path: Path) -> list[Settings]:
     """Settings of three controllers that archive jobs almost as soon as they are over."""
     result = []
-    for settings in some_controllers(tmp_path, 3):
+    for settings in controller_settings(tmp_path, 3):
         quota = msgspec.structs.replace(settings.settings.quota, memory_mb=0.1)
         shared = msgspec.structs.replace(settings.settings, quota=quota)
         result.append(msgspec.structs.replace(settings, settings=shared))
@@ -62,7 +62,7 @@
                 submit_times_s.append(trio.current_time() - sent_at)
         request_counts.append(world.state.requests - requests_before)
 
-    world = play(small_replica(tmp_path), 4, MIX, script, 130.0)
+    world = play(small_replica(tmp_path), 4, MIXED_JOBS, script, 130.0)
     assert world.checker.broken == []
     assert world.unfinished <= {f"wk-80000{n}" for n in range(5)}
     assert set(answer_counts) == {"known 200", "unknown 404"}
--- a/tests/test_queue_days.py
+++ b/tests/test_queue_days.py
@@ -10,18 +10,18 @@
 from pamqp.commands import Basic
 
 from ryegauge.experiments.queues import (
-    MESSAGE,
-    Played,
-    bind,
-    count,
-    cut_after,
-    described,
-    overload,
+    MESSAGE_BODY,
+    QueueDay,
+    count_deliveries,
+    drop_connections_after,
+    inject_random_failures,
+    job_description,
+    make_binding,
+    measure_overload,
     play,
     put,
-    random_ends,
 )
-from ryegauge.queues.consuming import rank_consumers
+from ryegauge.queues.consumer_election import rank_consumers
 from ryegauge.queues.messages import uid_of
 
 
@@ -29,40 +29,42 @@
     return uid_of("picks", f"id:{name}")
 
 
-def play_day(seed: int, number: int, script: Any, seconds: float, **changes: Any) -> Played:
+def play_day(seed: int, number: int, script: Any, seconds: float, **changes: Any) -> QueueDay:
     names = [f"m-{n}" for n in range(number)]
 
-    async def script_with_messages(played: Played) -> None:
+    async def script_with_messages(played: QueueDay) -> None:
         for name in names:
             put(played.broker, "work", name)
         await script(played)
 
-    return play(seed, [bind(**changes)], script_with_messages, seconds, known=map(uid, names))
+    return play(
+        seed, [make_binding(**changes)], script_with_messages, seconds, known=map(uid, names)
+    )
 
 
-def check_exactly_once(played: Played, number: int) -> None:
+def check_exactly_once(played: QueueDay, number: int) -> None:
     """Each message has exactly one job and one reply, which may be repeated with the same id; no
     message, pending reply or dead letter is left."""
     assert played.world.checker.broken == []
     uids = {uid(f"m-{n}") for n in range(number)}
-    assert played.records == uids
-    told = played.told
-    assert set(told) == uids
-    assert all(len(set(answers)) == 1 for answers in told.values())
+    assert played.recorded_jobs == uids
+    answers_by_job = played.answers_by_job
+    assert set(answers_by_job) == uids
+    assert all(len(set(answers)) == 1 for answers in answers_by_job.values())
     assert not played.broker.queues["work"]
     assert played.world.state.data.keys().isdisjoint(f"r/q/{u}" for u in uids)
     assert "dead.work" not in played.broker.queues
 
 
-async def no_faults(played: Played) -> None:
+async def no_faults(played: QueueDay) -> None:
     return
 
 
 def test_each_message_gets_one_job_and_one_reply() -> None:
     played = play_day(1, 12, no_faults, 60.0)
     check_exactly_once(played, 12)
-    assert all(len(answers) == 1 for answers in played.told.values())
-    assert not played.again
+    assert all(len(answers) == 1 for answers in played.answers_by_job.values())
+    assert not played.restarts_after_done
     fates = sum((meters["picks"].fates for meters in played.meters), Counter())
     assert fates == {"recorded": 12}
     answers = sum((meters["picks"].answers for meters in played.meters), Counter())
@@ -71,8 +73,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_exactly_once_under_random_crashes_and_outages(seed: int) -> None:
-    async def fail_at_random(played: Played) -> None:
-        await random_ends(played, random.Random(seed))
+    async def fail_at_random(played: QueueDay) -> None:
+        await inject_random_failures(played, random.Random(seed))
 
     check_exactly_once(play_day(seed, 15, fail_at_random, 170.0), 15)
 
@@ -82,25 +84,25 @@
     """The counts place the drop within login, subscription, acknowledgements, replies or their
     confirms."""
 
-    async def cut(played: Played) -> None:
-        await cut_after(played, frames)
+    async def cut(played: QueueDay) -> None:
+        await drop_connections_after(played, frames)
 
     check_exactly_once(play_day(frames, 4, cut, 70.0), 4)
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_at_most_once_never_duplicates_messages(seed: int) -> None:
-    counted = count("at_most_once", "ends", seed, 12)
+    counted = count_deliveries("at_most_once", "ends", seed, 12)
     assert counted.broken == counted.two_answers == 0
     assert counted.jobs + counted.lost + counted.waiting == counted.messages
 
 
 def test_invalid_messages_are_dead_lettered_with_the_reason() -> None:
-    async def put_invalid(played: Played) -> None:
+    async def put_invalid(played: QueueDay) -> None:
         broker = played.broker
         for n, body in enumerate([b"[", b'{"pieces": 1}', b'{"cancel": "nobody"}']):
             broker.put("work", Basic.Properties(message_id=f"bad-{n}"), body)
-        put(broker, "work", "bad-3", {**MESSAGE, "cpus": 99.0})
+        put(broker, "work", "bad-3", {**MESSAGE_BODY, "cpus": 99.0})
 
     played = play_day(4, 2, put_invalid, 60.0)
     dead = {
@@ -116,35 +118,35 @@
         ("bad-3", "limit"),
     ):
         assert expected in reasons[name]
-    assert all(len(answers) == 1 for answers in played.told.values())
+    assert all(len(answers) == 1 for answers in played.answers_by_job.values())
     assert not played.broker.queues["work"]
 
 
 def test_message_waits_for_a_need_recorded_later() -> None:
     """With several consumers, a message may be recorded before one that it needs."""
 
-    async def put_need_later(played: Played) -> None:
+    async def put_need_later(played: QueueDay) -> None:
         world, broker = played.world, played.broker
         last, first = uid("last"), uid("m-50")
-        world.checker.specs[last] = {**described(last), "awaits": [first]}
-        put(broker, "work", "last", {**MESSAGE, "awaits": ["m-50"]})
+        world.checker.specs[last] = {**job_description(last), "awaits": [first]}
+        put(broker, "work", "last", {**MESSAGE_BODY, "awaits": ["m-50"]})
         await trio.sleep(12.0)
-        world.checker.specs[first] = described(first)
+        world.checker.specs[first] = job_description(first)
         put(broker, "work", "m-50", reply_to=None)
 
     played = play_day(7, 2, put_need_later, 70.0)
     assert played.world.checker.broken == []
-    assert played.told[uid("last")] == [(uid("last") + "/done", "done")]
+    assert played.answers_by_job[uid("last")] == [(uid("last") + "/done", "done")]
     assert "dead.work" not in played.broker.queues
 
 
 def test_cancelled_message_gets_a_reply() -> None:
-    async def cancel(played: Played) -> None:
+    async def cancel(played: QueueDay) -> None:
         await trio.sleep(10.0)
         put(played.broker, "work", "c-1", {"cancel": "m-0"}, reply_to=None)
 
     played = play_day(5, 40, cancel, 50.0, prefetch=60)
-    assert {status for _, status in played.told[uid("m-0")]} in ({"cancelled"}, {"done"})
+    assert {status for _, status in played.answers_by_job[uid("m-0")]} in ({"cancelled"}, {"done"})
     assert played.world.checker.broken == []
 
 
@@ -152,7 +154,7 @@
     """The prefetch window shrinks to one, and the other messages stay at the broker."""
     queued: list[int] = []
 
-    async def outage(played: Played) -> None:
+    async def outage(played: QueueDay) -> None:
         await trio.sleep(9.0)
         played.world.state.outage = True
         for n in range(100, 400):
@@ -173,16 +175,16 @@
     elected = rank_consumers("amqp://127.0.0.1", {f"node-{n}" for n in range(3)})[0]
     consuming_hosts: list[set[str]] = []
 
-    async def cut(played: Played) -> None:
+    async def cut(played: QueueDay) -> None:
         world, broker = played.world, played.broker
         host = world.settings[world.names.index(elected)].listen.partition(":")[0]
         await trio.sleep(8.0)
         consuming_hosts.append({c.host for c in broker.consumers})
         broker.unreachable.add(host)
-        for link in [link for link in broker.links if link.host == host]:
+        for link in [link for link in broker.client_connections if link.host == host]:
             link.end()
         for n in range(50, 56):
-            world.checker.specs[uid(f"m-{n}")] = described(uid(f"m-{n}"))
+            world.checker.specs[uid(f"m-{n}")] = job_description(uid(f"m-{n}"))
             put(broker, "work", f"m-{n}")
         await trio.sleep(14.0)
         consuming_hosts.append({c.host for c in broker.consumers})
@@ -202,18 +204,18 @@
 def test_unroutable_replies_are_kept_and_delivered_later() -> None:
     """An unroutable reply stays pending and is retried; it arrives once its queue exists."""
 
-    async def unroutable(played: Played) -> None:
-        played.broker.refuse_keys.add("answers")
+    async def unroutable(played: QueueDay) -> None:
+        played.broker.unroutable_keys.add("answers")
         await trio.sleep(45.0)
         assert f"r/q/{uid('m-0')}" in played.world.state.data
-        played.broker.refuse_keys.clear()
+        played.broker.unroutable_keys.clear()
 
     played = play_day(9, 3, unroutable, 110.0)
     check_exactly_once(played, 3)
 
 
 def test_flood_keeps_binding_shares_and_direct_latency() -> None:
-    with_queues, without = overload(3, 60.0, True), overload(3, 60.0, False)
+    with_queues, without = measure_overload(3, 60.0, True), measure_overload(3, 60.0, False)
     assert with_queues.broken == without.broken == 0
     assert with_queues.left > 1000
     assert with_queues.most_in_hand <= 80
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -9,7 +9,7 @@
 from days import Day, play
 from test_leader import SMALL, LeaderHarness
 from test_part import ShardHarness
-from test_world import some_controllers
+from test_world import controller_settings
 
 from ryegauge.config import Settings
 from ryegauge.coordination.leader import Leader
@@ -95,7 +95,7 @@
     worker = world.workers[name]
     end = last_event_at(world) if worker.ended_at is None else worker.ended_at
     longest, since, busy = 0.0, worker.since, 0
-    for e in world.happened:
+    for e in world.recorded_events:
         if e.machine == name and e.what in ("started", "ended"):
             if not busy:
                 longest = max(longest, e.at - since)
@@ -105,7 +105,7 @@
 
 
 def last_event_at(world: Day) -> float:
-    return max(e.at for e in world.happened)
+    return max(e.at for e in world.recorded_events)
 
 
 JOBS: list[dict[str, Any]] = [
@@ -125,15 +125,17 @@
 def test_quick_boots_while_writes_lag_and_leaders_crash(tmp_path: Path, seed: int) -> None:
     async def script(world: Day) -> None:
         world.slow_zones, world.boot_factor = {"a", "b"}, 0.05
-        world.network.slow["10.2.0.2"] = 4.0  # many machines report before the cloud's answer
+        world.network.max_answer_delay_s["10.2.0.2"] = (
+            4.0  # many machines report before the cloud's answer
+        )
         with world.late_writes(0.3), world.late_writes(0.2, at_once=True):
             for _ in range(4):
                 await trio.sleep(15.0)
-                leader = world.leading
+                leader = world.leader_number
                 world.crash(*([] if leader is None else [leader]))
-        del world.network.slow["10.2.0.2"]
+        del world.network.max_answer_delay_s["10.2.0.2"]
 
-    world = play(some_controllers(tmp_path, 3), 60 + seed, JOBS, script, 190.0)
+    world = play(controller_settings(tmp_path, 3), 60 + seed, JOBS, script, 190.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert [w.name for w in world.workers.values() if w.alive] == []
@@ -160,13 +162,13 @@
     async def script(world: Day) -> None:
         for n in range(4):
             await trio.sleep(14.0)
-            busy = sorted(w.name for w in world.workers.values() if w.alive and w.on_machine())
+            busy = sorted(w.name for w in world.workers.values() if w.alive and w.active_tasks())
             for name in world.rng.sample(busy, len(busy) // 2):
-                world.lose(world.workers[name])
+                world.fail_machine(world.workers[name])
             if n % 2:
                 world.crash(n % 3)
 
-    world = play(some_controllers(tmp_path, 3), 80 + seed, zone_jobs, script, 140.0)
+    world = play(controller_settings(tmp_path, 3), 80 + seed, zone_jobs, script, 140.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    assert sum(e.what == "lost" for e in world.happened) >= 4
+    assert sum(e.what == "lost" for e in world.recorded_events) >= 4
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 from days import play
-from test_world import MIX, some_controllers
+from test_world import MIXED_JOBS, controller_settings
 
 from ryegauge.config import Settings
 from ryegauge.emulator.disk import MemoryDisk
@@ -21,14 +21,14 @@
         msgspec.structs.replace(
             controller, properties=msgspec.structs.replace(controller.properties, rebuilding="on")
         )
-        for controller in some_controllers(tmp_path, count)
+        for controller in controller_settings(tmp_path, count)
     ]
 
 
 LOSSES: dict[str, Callable[[StateService], None]] = {
-    "back 3 s": lambda state: state.go_back(3.0),
-    "back 20 s": lambda state: state.go_back(20.0),
-    "back 20 s, no leases": lambda state: state.go_back(20.0, leases=False),
+    "back 3 s": lambda state: state.restore_earlier_state(3.0),
+    "back 20 s": lambda state: state.restore_earlier_state(20.0),
+    "back 20 s, no leases": lambda state: state.restore_earlier_state(20.0, leases=False),
     "all": lambda state: state.lose_all(),
     "records": lambda state: state.lose_records("r/j/"),
 }
@@ -57,7 +57,7 @@
         lose_data(world, kind)
         world.crash(*crashed)
 
-    world = play(rebuilding(tmp_path, count), seed, MIX, script, 220.0)
+    world = play(rebuilding(tmp_path, count), seed, MIXED_JOBS, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -72,11 +72,11 @@
         await trio.sleep(0.6)
         world.crash(0, 1, 2, 3)
         await trio.sleep(8.0)
-        world.state.go_back(3.0)
+        world.state.restore_earlier_state(3.0)
         await trio.sleep(0.9)
-        world.state.go_back(2.0)
+        world.state.restore_earlier_state(2.0)
 
-    world = play(rebuilding(tmp_path, 5), 12, MIX, script, 220.0)
+    world = play(rebuilding(tmp_path, 5), 12, MIXED_JOBS, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert world.state.data["r/e"][0]["e"] >= 3
@@ -89,15 +89,15 @@
 
     async def script(world: World) -> None:
         world.state.history_s = 30.0
-        disks = [MemoryDisk() for _ in world.settings]
-        world.disks.update(enumerate(disks))
+        snapshot_stores = [MemoryDisk() for _ in world.settings]
+        world.snapshot_stores.update(enumerate(snapshot_stores))
         world.crash(0, 1, 2)
         await trio.sleep(62.0)
         lose_data(world, kind)
         world.crash(0, 1, 2)
-        newest = max(disks[0].files)
-        disks[0].files[f"9{newest[1:]}"] = disks[0].files[newest][:-7]
-        disks[1].files[f"9{newest[1:]}"] = b"something else"
+        newest = max(snapshot_stores[0].files)
+        snapshot_stores[0].files[f"9{newest[1:]}"] = snapshot_stores[0].files[newest][:-7]
+        snapshot_stores[1].files[f"9{newest[1:]}"] = b"something else"
 
     settings = [
         msgspec.structs.replace(
@@ -106,10 +106,10 @@
         )
         for controller in rebuilding(tmp_path)
     ]
-    world = play(settings, 13, MIX, script, 220.0)
+    world = play(settings, 13, MIXED_JOBS, script, 220.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
-    assert all(3 <= len(disk.files) <= 5 for disk in world.disks.values())
+    assert all(3 <= len(disk.files) <= 5 for disk in world.snapshot_stores.values())
 
 
 def test_running_tasks_are_adopted_if_no_copy_of_their_records_is_left(tmp_path: Path) -> None:
@@ -121,7 +121,7 @@
     async def script(world: World) -> None:
         world.state.history_s = 30.0
         await trio.sleep(40.0)
-        running_before.append(sum(len(w.on_machine()) for w in world.workers.values() if w.alive))
+        running_before.append(sum(len(w.active_tasks()) for w in world.workers.values() if w.alive))
         assignments = [k for k in world.state.data if k.startswith("r/j/") and k.count("/") == 3]
         for key in assignments:
             del world.state.data[key]
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -7,7 +7,7 @@
 import trio
 from days import play
 from test_rebuilding_days import rebuilding
-from test_world import MIX, some_controllers
+from test_world import MIXED_JOBS, controller_settings
 
 from ryegauge.bookkeeping.state import Delete, OutcomeUnknown, Put
 from ryegauge.coordination.node import Node
@@ -57,7 +57,7 @@
         assert node._context.owned
         assert all("node-1" in other._context.replica.nodes for other in world.nodes.values())
 
-    world = play(rebuilding(tmp_path, 3), 6, MIX, script, 150.0)
+    world = play(rebuilding(tmp_path, 3), 6, MIXED_JOBS, script, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     # A healthy state service does not look as if it had lost data.
@@ -96,7 +96,7 @@
             now = trio.current_time()
             assert any(reachability.is_silent(name, now) for name in node._peer_messenger.peers)
 
-    world = play(some_controllers(tmp_path, 5), 3, [], script, 32.0)
+    world = play(controller_settings(tmp_path, 5), 3, [], script, 32.0)
     assert world.checker.broken == []
 
 
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -128,7 +128,7 @@
         self.submitted[uid] = at, trio.current_time()
         if cancel_after is not None:
             await trio.sleep(cancel_after)
-            self.checker.asked_to_cancel.add(uid)
+            self.checker.cancel_requested.add(uid)
             while uid not in final:
                 _, _, after_s = await self.send_request("cancel", uid, f"/v1/jobs/{uid}/cancel")
                 if uid not in final:
@@ -239,7 +239,7 @@
         world.state.outage = True
         await trio.sleep(outage_s)
     if leader:
-        world.crash(world.leading or 0)
+        world.crash(world.leader_number or 0)
     if outage_s:
         world.state.end_outage()
     world.troubles.append((began_at, trio.current_time()))
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -13,12 +13,12 @@
 
 from ryegauge.config import NextState, Settings, load
 from ryegauge.coordination.node import Node
-from ryegauge.emulator.versions import node_of
+from ryegauge.emulator.versions import load_node_class
 from ryegauge.emulator.workers import Attempt
 from ryegauge.emulator.world import World
 
 
-def some_controllers(tmp_path: Path, count: int, areas: str = "a") -> list[Settings]:
+def controller_settings(tmp_path: Path, count: int, areas: str = "a") -> list[Settings]:
     """Settings of `count` controllers, spread over the areas."""
     result = []
     for n in range(count):
@@ -31,11 +31,11 @@
 @pytest.fixture
 def controllers(tmp_path: Path) -> list[Settings]:
     """Settings of three controllers in one area."""
-    return some_controllers(tmp_path, 3)
+    return controller_settings(tmp_path, 3)
 
 
 # Sweeps of both teams with different demands, a standing job and cancellations.
-MIX: list[dict[str, Any]] = [
+MIXED_JOBS: list[dict[str, Any]] = [
     {"pieces": 6, "delay": 1.0},
     {"pieces": 12, "cpus": 1.0, "urgency": "high", "delay": 5.0, "crew": "blue", "dueS": 60.0},
     {"pieces": 9, "delay": 12.0, "really": 15.0, "kit": "img-2"},
@@ -59,7 +59,7 @@
 
 # Pipelines: chains, a diamond, a job that two teams need, cancellations at the front and in the
 # middle, final jobs that are submitted late. Names go by position: the first is wk-000001.
-PIPES: list[dict[str, Any]] = [
+PIPELINE_JOBS: list[dict[str, Any]] = [
     {"pieces": 6, "delay": 20.0, "cpus": 1.0, "urgency": "best_effort", "dueS": None},
     {"pieces": 5, "delay": 20.0, "awaits": ["wk-000001"], "urgency": "best_effort", "dueS": None},
     {"pieces": 4, "delay": 20.0, "awaits": ["wk-000001"], "crew": "blue", "dueS": None},
@@ -99,14 +99,14 @@
 
 
 def test_all_jobs_finish_without_faults(controllers: list[Settings]) -> None:
-    world = play(controllers, 1, MIX, no_faults, 150.0)
+    world = play(controllers, 1, MIXED_JOBS, no_faults, 150.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert world.checker.starts >= 70
 
 
 def test_a_seed_determines_the_run(controllers: list[Settings]) -> None:
-    days = [play(controllers, 5, MIX[:3], no_faults, 30.0) for _ in range(2)]
+    days = [play(controllers, 5, MIXED_JOBS[:3], no_faults, 30.0) for _ in range(2)]
     assert days[0].checker.starts == days[1].checker.starts
     assert days[0].state.revision == days[1].state.revision
 
@@ -134,7 +134,11 @@
         apply_next_state_limits(world)
 
     world = play(
-        with_next_state_limits(some_controllers(tmp_path, 5)), 1, PIPES, apply_limits, 150.0
+        with_next_state_limits(controller_settings(tmp_path, 5)),
+        1,
+        PIPELINE_JOBS,
+        apply_limits,
+        150.0,
     )
     assert world.checker.broken == []
     assert world.unfinished == set()
@@ -147,7 +151,7 @@
     """With memory for two jobs in the state replica, finished jobs are archived; jobs that are
     submitted later can still need them."""
     small = []
-    for settings in with_next_state_limits(some_controllers(tmp_path, 3)):
+    for settings in with_next_state_limits(controller_settings(tmp_path, 3)):
         quota = msgspec.structs.replace(settings.settings.quota, memory_mb=0.2)
         shared = msgspec.structs.replace(settings.settings, quota=quota)
         small.append(msgspec.structs.replace(settings, settings=shared))
@@ -161,7 +165,7 @@
         {"pieces": 2, "delay": 100.0, "awaits": ["wk-000001"]},
         {"pieces": 2, "delay": 100.0, "awaits": ["wk-000007", "wk-000001"]},
     ]
-    world = play(small, 9, PIPES + late_jobs, script, 200.0)
+    world = play(small, 9, PIPELINE_JOBS + late_jobs, script, 200.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert world.checker.final["wk-000016"] == "done"
@@ -209,7 +213,7 @@
             checker.answered("wk-9999", status, answer, "poll")
         answers["again"] = await world.ask("POST", "/v1/jobs", body)
 
-    world = play(with_next_state_limits(some_controllers(tmp_path, 3)), 2, [], script, 200.0)
+    world = play(with_next_state_limits(controller_settings(tmp_path, 3)), 2, [], script, 200.0)
     assert world.checker.broken == []
     assert answers["first"]["status"] == "queued"
     assert len(answers["waits"]["awaits"]) > 100
@@ -291,12 +295,12 @@
         elif alive:
             worker = world.workers[rng.choice(alive)]
             if kind == "machine_fails":
-                worker.die()
+                worker.shut_down()
             elif kind == "spot_notice":
                 worker.notice_at = trio.current_time() + 6.0
                 worker.changed.set()
                 await trio.sleep(6.0)
-                worker.die()
+                worker.shut_down()
             elif kind == "machine_hangs":
                 worker.hung_until = trio.current_time() + duration_s
             elif kind == "machine_faulty":
@@ -319,7 +323,9 @@
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_rules_hold_under_combined_failures(tmp_path: Path, count: int, seed: int) -> None:
     areas = "ab" if seed % 2 else "a"
-    world = play(some_controllers(tmp_path, count, areas), seed, MIX, inject_random_faults, 260.0)
+    world = play(
+        controller_settings(tmp_path, count, areas), seed, MIXED_JOBS, inject_random_faults, 260.0
+    )
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -331,8 +337,8 @@
         await trio.sleep(world.rng.uniform(20.0, 120.0))
         apply_next_state_limits(world)
 
-    settings = with_next_state_limits(some_controllers(tmp_path, 5, "ab" if seed % 2 else "a"))
-    world = play(settings, 100 + seed, PIPES, limit_state_service, 280.0)
+    settings = with_next_state_limits(controller_settings(tmp_path, 5, "ab" if seed % 2 else "a"))
+    world = play(settings, 100 + seed, PIPELINE_JOBS, limit_state_service, 280.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -344,15 +350,15 @@
 
     async def roll(world: World) -> None:
         # Without another checkout, as in CI, this version replaces itself.
-        old_node_class = node_of(os.environ.get("RYEGAUGE_PRODUCTION"))
+        old_node_class = load_node_class(os.environ.get("RYEGAUGE_PRODUCTION"))
         count = len(world.settings)
-        world.programs = [old_node_class] * count
+        world.node_factories = [old_node_class] * count
         world.restart_s = 0.1 if seed % 2 else world.restart_s  # restarts at once with odd seeds
         world.crash(*range(count))
         rng = world.rng
         await trio.sleep(30.0)
         for n in rng.sample(range(count), count):
-            world.programs[n] = Node
+            world.node_factories[n] = Node
             world.crash(n, *([rng.randrange(count)] if rng.random() < 0.5 else []))
             if rng.random() < 0.2:
                 world.crash(*range(count))
@@ -365,12 +371,14 @@
         {
             **job,
             "delay": job["delay"] + 80.0,
-            "awaits": [f"wk-{int(name[3:]) + len(MIX):06d}" for name in job.get("awaits", ())],
+            "awaits": [
+                f"wk-{int(name[3:]) + len(MIXED_JOBS):06d}" for name in job.get("awaits", ())
+            ],
         }
-        for job in PIPES
+        for job in PIPELINE_JOBS
     ]
-    settings = with_next_state_limits(some_controllers(tmp_path, 5, "ab" if seed % 2 else "a"))
-    world = play(settings, 200 + seed, MIX + later_jobs, roll, 300.0)
+    settings = with_next_state_limits(controller_settings(tmp_path, 5, "ab" if seed % 2 else "a"))
+    world = play(settings, 200 + seed, MIXED_JOBS + later_jobs, roll, 300.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -385,13 +393,13 @@
         await trio.sleep(30.0)
         with world.cut(hosts, hosts, hold=False):
             await trio.sleep(60.0)
-            busy_machines.append({w.name for w in world.workers.values() if w.on_machine()})
+            busy_machines.append({w.name for w in world.workers.values() if w.active_tasks()})
             world.crash(0)  # the new leader hears from no other owner either
             await trio.sleep(25.0)
             busy_machines.append({w.name for w in world.workers.values() if w.returned_while_busy})
 
     jobs = [{"pieces": 6, "delay": 1.0, "really": 100.0}, {"pieces": 4, "delay": 50.0}]
-    world = play(some_controllers(tmp_path, 5), 1, jobs, refuse, 200.0)
+    world = play(controller_settings(tmp_path, 5), 1, jobs, refuse, 200.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert busy_machines[0]
@@ -408,7 +416,7 @@
 
 
 def test_all_controllers_crash_during_a_state_outage(controllers: list[Settings]) -> None:
-    world = play(controllers, 3, MIX, crash_during_outage, 170.0)
+    world = play(controllers, 3, MIXED_JOBS, crash_during_outage, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
 
@@ -430,7 +438,7 @@
         await trio.sleep(30.0)
         world.state.end_outage()
 
-    world = play(controllers, 2, MIX, outage, 170.0)
+    world = play(controllers, 2, MIXED_JOBS, outage, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert lost_lease_count(world) == 0
@@ -445,7 +453,7 @@
         with world.cut({"10.0.0.1"}, {"10.2.0.1"}, hold=False):
             await trio.sleep(30.0)
 
-    world = play(controllers, 4, MIX, cut_off, 170.0)
+    world = play(controllers, 4, MIXED_JOBS, cut_off, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert lost_lease_count(world) == 0
@@ -456,7 +464,7 @@
         await trio.sleep(45.0)
         world.crash(1)
 
-    world = play(controllers, 6, MIX, crash, 120.0)
+    world = play(controllers, 6, MIXED_JOBS, crash, 120.0)
     assert world.checker.broken == []
     assert lost_lease_count(world) == 0
 
@@ -501,7 +509,7 @@
         await ask("needs in outage", "POST", jobs, job_body("wk-782", awaits=["wk-7"]))
 
     long = {"pieces": 1, "delay": 1.0, "really": 90.0}
-    world = play(controllers, 8, [*MIX[:1], long], send_requests, 45.0)
+    world = play(controllers, 8, [*MIXED_JOBS[:1], long], send_requests, 45.0)
     assert world.checker.broken == []
     statuses = {name: status for name, (status, _) in answers.items()}
     assert statuses == {
@@ -545,7 +553,7 @@
         await trio.sleep(100.0)
         world.crash(0, 2)
 
-    world = play(small, 9, MIX, crash, 170.0)
+    world = play(small, 9, MIXED_JOBS, crash, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert sum(key.startswith("f/") for key in world.state.data) >= 5
@@ -564,7 +572,7 @@
         {"pieces": 9, "delay": 1.0, "really": 60.0, "cpus": 4.0},
         {"pieces": 6, "delay": 45.0, "crew": "blue"},
     ]
-    world = play(some_controllers(tmp_path, 5, "ab"), 3, jobs, cut, 170.0)
+    world = play(controller_settings(tmp_path, 5, "ab"), 3, jobs, cut, 170.0)
     assert world.checker.broken == []
     assert world.unfinished == set()
     assert lost_lease_count(world) == 0
@@ -604,7 +612,7 @@
 
     jobs = [{"pieces": 8, "delay": 1.0, "really": 80.0, "cpus": 4.0}]
     controllers = []
-    for settings in some_controllers(tmp_path, 3, "a"):
+    for settings in controller_settings(tmp_path, 3, "a"):
         workers = msgspec.structs.replace(settings.settings.workers, lease_s=14.0, cancel_s=40.0)
         controllers.append(
             msgspec.structs.replace(
