--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -76,7 +76,7 @@
     version: int
 
 
-class StateObserver(Protocol):
+class CommitObserver(Protocol):
     """Compares the service's answers to detect a loss of its data (`rebuilding`). Present only
     if rebuilding is enabled."""
 
@@ -104,7 +104,7 @@
         """`rps`, `write_rps`: the service's limits, in requests and changes per second, which
         `nodes` controllers have in common."""
         self._client = client
-        self.observer: StateObserver | None = None
+        self.observer: CommitObserver | None = None
         # A tenth of the limits stays unused, since the service counts by its own clock.
         self._rps, self._write_rps = 0.9 * rps, 0.9 * write_rps
         self.requests = Budget(self._rps / nodes, self._rps / nodes)
--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -10,7 +10,7 @@
 Versions before pipelines ignore these:
 
 - `r/w/UID/DIGEST/N`: names of the jobs that a job needs, if its own record cannot hold them.
-- `r/q/UID`: the reply that is owed to the queue that submitted the job.
+- `r/q/UID`: the pending reply to the queue that submitted the job.
 - `r/s/UID/SHARD/N`: done tasks moved out of an assignment that grew too large.
 - `r/o/UID`: the outcome of a job that has left the replica and is needed by one in it.
 
@@ -326,7 +326,7 @@
 
 
 def pending_reply_key(uid: str) -> str:
-    """Key of the reply that is owed to the queue which submitted the job."""
+    """Key of the pending reply to the queue that submitted the job."""
     return f"r/q/{uid}"
 
 
@@ -364,7 +364,7 @@
         # and the names of needed jobs whose outcome has yet to be looked up.
         self.outcomes: dict[str, Outcome] = {}
         self.unresolved_needs: set[str] = set()
-        # Replies owed to the queues that submitted jobs: job -> (record, version).
+        # Pending replies to the queues that submitted jobs: job -> (record, version).
         self.pending_replies: dict[str, tuple[Any, int]] = {}
         # Keys of records whose job is no longer in the replica, to be deleted.
         self.orphans: set[str] = set()
@@ -493,7 +493,7 @@
 
     def _begin_epoch(self, value: Any, version: int) -> None:
         """Takes in the epoch's record. Role records from before the epoch count no more."""
-        if value is None:  # deleted: only seen by a replica that is about to be read anew
+        if value is None:  # deleted: only seen by a replica that is about to be read again in full
             return
         self.epoch, self.recovery_stage, self.epoch_version = value["e"], value["s"], version
         self.epoch_start = value.get("v", version)
@@ -511,7 +511,7 @@
 
     def _apply_role(self, key: str, holder: RoleHolder) -> None:
         """Takes in a role's record, whose token is still the bare version. A record from
-        before the epoch grants nothing: its lease may be one of before the loss."""
+        before the epoch grants nothing: its lease may date from before the loss."""
         if holder.token < self.epoch_start:
             self.stale[key] = (holder.node, holder.token)
             return
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -12,7 +12,7 @@
 log = logging.getLogger(__name__)
 
 
-class StateObserver(Protocol):
+class ReadObserver(Protocol):
     """Checks every read for signs that the service has lost data."""
 
     @property
@@ -65,7 +65,7 @@
         self.on_sync: list[Callable[[], None]] = []  # called after each successful read
         self.ready = trio.Event()  # set after the first successful read
         # None if rebuilding is not enabled.
-        self.observer: StateObserver | None = None
+        self.observer: ReadObserver | None = None
         self._full_read_needed = True
 
     @property
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -97,7 +97,7 @@
             with trio.move_on_after(timeout_s) as scope:
                 await operation(session, channel, receive_events)
             if scope.cancelled_caught:
-                errors.append(f"nothing came within {timeout_s:g} s")
+                errors.append(f"nothing received within {timeout_s:g} s")
             session.protocol.close()
             session.flush()
             await trio.sleep(0.1)
--- a/ryegauge/coordination/assignment_updates.py
+++ b/ryegauge/coordination/assignment_updates.py
@@ -1,5 +1,5 @@
 """Which assignment records of a shard are to be written. Pure functions of the state replica and
-of the tasks that have ended or are handed back."""
+of the tasks that have ended or are returned to the leader."""
 
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
@@ -21,7 +21,7 @@
     awaited: bool  # a user, the leader or another job waits for it
     lowest_priority: bool  # the job has the lowest priority, and no other job depends on it
     unblocks_jobs: bool  # may be the last write that jobs depending on this one wait for
-    tasks: int  # ended or handed back, recorded by this one write
+    tasks: int  # ended or returned, recorded by this one write
     uid: str
     assignment: Assignment
     # Done tasks of the assignment that have to be copied to overflow pages first.
@@ -37,9 +37,9 @@
     wall: float | None = None,
 ) -> list[AssignmentUpdate]:
     """The writes that bring the shard's assignments up to date, most urgent first: those that
-    hand tasks back or are finished, since users, the leader or dependent jobs wait for them,
-    with the lowest priority last; then those that only shrank. `ended`: tasks that have ended or
-    are handed back; `oversized`: jobs whose assignment record is too large. With `wall`, the
+    return tasks or are finished, since users, the leader or dependent jobs wait for them, with
+    the lowest priority last; then those that only shrank. `ended`: tasks that have ended or are
+    returned to the leader; `oversized`: jobs whose assignment record is too large. With `wall`, the
     wall-clock time in seconds, finished assignments get their end time."""
     tasks_by_job: dict[str, list[Task]] = {uid: [] for uid in oversized}
     for task in ended:
--- a/ryegauge/coordination/capacity.py
+++ b/ryegauge/coordination/capacity.py
@@ -28,7 +28,7 @@
     now: float,
 ) -> list[MachineCapacity]:
     """The free capacity of the machines that take tasks, by their owners' views, and of the
-    machines of shards whose owner cannot be heard."""
+    machines of shards whose owner sends no views here."""
     expected_overrun_s: dict[tuple[str, float], float] = {}
     capacities: list[MachineCapacity] = []
     for shard, state in views.items():
@@ -83,10 +83,10 @@
 def _unseen_machines(
     replica: StateReplica, fleet: Fleet, views: dict[int, ShardState]
 ) -> list[MachineCapacity]:
-    """Machines of shards whose owner is alive but cannot be heard, as when controllers refuse each
-    other's connections. Each counts as unused if the cloud lists it as running; the tasks
+    """Machines of shards whose owner is alive but sends no views here, as when controllers refuse
+    each other's connections. Each counts as unused if the cloud lists it as running; the tasks
     that the replica shows for its shard are subtracted as in transit. An owner that finds no
-    capacity for an assigned task hands it back."""
+    capacity for an assigned task returns it."""
     capacities: list[MachineCapacity] = []
     for machine in fleet.machines.values():
         if (
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -199,7 +199,7 @@
             self._log_round(round_plan, jobs, running, market)
             self._log_diagnoses(diagnoses)
             if self._retry_backoff:
-                log.info("held back: %s", self._retry_backoff.describe(now))
+                log.info("in retry backoff: %s", self._retry_backoff.describe(now))
             if due_by_age:
                 log.info(
                     "first in line because of their age: %d tasks of %d jobs, first %s, "
@@ -234,9 +234,9 @@
         ]
         for uid, machines, tries in self._retry_backoff.on_failing(reports, now):
             log.warning(
-                "%s is held back: its tasks failed %d times on %d machines and none succeeded; "
-                "one task is retried after %.0f s, then at growing intervals, until it succeeds "
-                "or the job is cancelled",
+                "%s is in retry backoff: its tasks failed %d times on %d machines and none "
+                "succeeded; one task is retried after %.0f s, then at growing intervals, until it "
+                "succeeds or the job is cancelled",
                 uid,
                 tries,
                 machines,
--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -61,7 +61,7 @@
                     try:
                         await self._context.syncer.wait_for_read()
                     except Unavailable as error:
-                        log.debug("reading the book after an assignment failed: %s", error)
+                        log.debug("reading after an assignment failed: %s", error)
                     continue
                 decisions = leader.round(now, self._context.wall())
                 took_s = trio.current_time() - now
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -143,7 +143,7 @@
 
     async def _run_restarting(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Restarts a loop that fails, since a controller never ends by itself. A loop that
-        returns has nothing to do and is not restarted: without peers, the loop that tells them
+        returns has nothing to do and is not restarted: without peers, the loop that notifies them
         of writes returns at once, and restarting it would keep the controller busy with nothing
         else."""
         while True:
--- a/ryegauge/coordination/node_context.py
+++ b/ryegauge/coordination/node_context.py
@@ -18,7 +18,7 @@
 from ryegauge.detection.last_heard import ForeignReports
 from ryegauge.transport.http import Network
 
-# Errors after which a write is decided anew from the newest state of the replica.
+# Errors after which a write is decided again from the newest state of the replica.
 RETRYABLE_ERRORS = (Conflict, Gone, Unavailable, OutcomeUnknown)
 
 
--- a/ryegauge/coordination/owner_records.py
+++ b/ryegauge/coordination/owner_records.py
@@ -11,7 +11,8 @@
 # unplaced: certainly on no machine.
 # placed: to be started on a machine that has not reported it yet.
 # seen: reported alive.
-# pending_removal: ended or handed back; its removal from the assignment is not written yet.
+# pending_removal: ended or returned to the leader; its removal from the assignment is not
+#     written yet.
 Phase = Literal["unseen", "unplaced", "placed", "seen", "pending_removal"]
 
 
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -255,9 +255,9 @@
         if self._faults.set_failing_elsewhere(frozenset(uids)):
             self._update_machine_faults()
 
-    def _hand_back_unstarted(self, uid: str) -> None:
-        """Hands back the tasks that have not started, of a job that fails on every machine. The
-        leader then has a single task retried with growing pauses. Otherwise each of its tasks
+    def _return_unstarted(self, uid: str) -> None:
+        """Returns the unstarted tasks of a job that fails on every machine to the leader, which
+        then has a single task retried with growing pauses. Otherwise each of its tasks
         was retried on each machine: 2,300 times in a simulated day with 15 such jobs."""
         for key in list(self._by_job.get(uid, ())):
             task = self.tasks[key]
@@ -449,7 +449,7 @@
                     task.not_before = now + self._settings.settings.workers.report_s
                 self._end_attempt(task)
                 if task_failed and self._faults.is_failing(key[0]):
-                    self._hand_back_unstarted(key[0])
+                    self._return_unstarted(key[0])
                 commands += forget
             elif entry.why == "done":
                 if task.phase == "unplaced":
@@ -507,7 +507,7 @@
         else:
             # Only attempts started by an earlier owner in this epoch: those of earlier epochs could
             # be adopted while records were restored. An attempt that has ended proves nothing:
-            # once handed back, its task is open in the replica until the worker has processed
+            # once returned, its task is open in the replica until the worker has processed
             # `forget`. Counting those made a task that was preempted after a takeover look like
             # data loss in a healthy state service.
             token = attempt >> 20
@@ -674,7 +674,7 @@
 
     def evict(self, machine: str, uid: str, count: int) -> None:
         """Stops `count` of a job's tasks on a machine, those started last, in favour of work
-        that takes precedence. They are handed back once they have certainly ended."""
+        that takes precedence. They are returned to the leader once they have certainly ended."""
         if (m := self.machines.get(machine)) is None:
             return
         running = [self.tasks[key] for key in m.tasks if key[0] == uid]
@@ -731,7 +731,7 @@
 
         A machine that has not shown this owner's token may have been answered by an earlier
         owner, but only until that owner's authority ended. If a report that was delayed beyond
-        that made the machine count as present, its tasks, handed back since, would look like
+        that made the machine count as present, its tasks, returned since, would look like
         data lost by the state service."""
         if machine.heard_at < self._authority_ended_at:
             return machine.last_report_id[0]
@@ -806,7 +806,7 @@
         )
 
     def _place(self, now: float, wall: float) -> None:
-        """Places the unplaced tasks whose retry pause is over; hands back those that do not fit."""
+        """Places the unplaced tasks whose retry pause is over; returns those that do not fit."""
         if not self._unplaced:
             return
         capacities = self._free_capacities(now)
--- a/ryegauge/coordination/silent_machines.py
+++ b/ryegauge/coordination/silent_machines.py
@@ -25,12 +25,12 @@
 
 
 class SilentMachines:
-    """Collects the evidence on machines that do not report, and judges them once a round."""
+    """Collects the evidence on machines that do not report, and diagnoses them once a round."""
 
     def __init__(self, settings: Settings) -> None:
         self._limits = DetectionLimits(settings.report_gap_s, settings.max_lease_s)
         self._unreported: dict[int, list[tuple[str, str]]] = {}
-        self.unreachable_zones: set[str] = set()  # zones from which no machine is heard
+        self.unreachable_zones: set[str] = set()  # zones from which no report arrives
         self._probes: dict[str, list[ProbeResult]] = {}  # silent machine -> its latest known probes
         # Machine -> when it last reported to a controller that does not own it.
         self._foreign_reports: dict[str, float] = {}
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -70,7 +70,7 @@
     probes: Collection[ProbeResult] = ()  # since its last report
     notice: bool = False  # the cloud has announced that it reclaims the machine
     stalled_s: float = 0.0  # seconds in which its owner stalled since its last report
-    heard_share: float = 1.0  # share of the shard's machines that its owner hears
+    heard_share: float = 1.0  # share of the shard's machines whose reports reach its owner
     zone_cut: bool = False  # its zone is one of `cut_zones`
 
 
@@ -79,7 +79,7 @@
 
     severity: Severity
     cause: Cause
-    # Most other machines of its shard are heard, so the cause concerns this machine alone.
+    # Most other machines of its shard report, so the cause concerns this machine alone.
     silent_alone: bool = True
 
 
@@ -108,7 +108,7 @@
 SUSPECT_GAPS = 2.0
 NOTICED_GAPS = 2.0  # for a machine under notice, which is expected to disappear
 LOST_GAPS = 3.0
-# An owner that hears a smaller share of its machines than this may itself be cut off.
+# An owner that gets reports from a smaller share of its machines than this may itself be cut off.
 HEARING_SHARE = 0.75
 # Leases of silence up to which a machine that hangs, or whose zone is cut off, may still recover.
 RECOVERY_LEASES = 3.0
@@ -120,7 +120,7 @@
     """How certain the loss of a silent machine is, and the most likely cause of its silence.
 
     More evidence that it lives never raises the severity; more evidence that it does not never
-    lowers it. An owner that hears few of its machines cannot alone have them diagnosed as lost:
+    lowers it. An owner that few of its machines report to cannot alone have them diagnosed as lost:
     other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
     silent_alone = evidence.heard_share >= HEARING_SHARE
@@ -170,15 +170,15 @@
     return Cause.DEAD_OR_CUT if len(failed_probers) >= MIN_FAILED_PROBERS else Cause.UNDECIDED
 
 
-# A zone counts as cut off if at most this share of its machines is heard, ...
+# A zone counts as cut off if at most this share of its machines reports, ...
 CUT_ZONE_MAX_HEARD_SHARE = 0.05
-# ... it has at least so many machines, and another zone is heard well.
+# ... it has at least so many machines, and most machines of another zone report.
 CUT_ZONE_MIN_MACHINES = 4
 
 
 def cut_zones(zones: Mapping[str, tuple[int, int]]) -> set[str]:
-    """The zones that seem cut off. `zones` has (machines heard, machines) for each. If no other
-    zone is heard well, there are none: the controllers may be cut off themselves."""
+    """The zones that seem cut off. `zones` has (machines heard, machines) for each. If most
+    machines of no other zone report, there are none: the controllers may be cut off themselves."""
     heard_well = {
         zone for zone, (heard, total) in zones.items() if total and heard / total >= HEARING_SHARE
     }
--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -247,5 +247,5 @@
         """One request; returns and raises as `SimulatedNetwork.call`."""
         return await self._network.call(self._host, self._address, method, target, body, timeout_s)
 
-    def close(self) -> None:  # there are no connections to close
-        pass
+    def close(self) -> None:
+        """Does nothing: there are no connections to close."""
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -44,7 +44,7 @@
                 w.name: earlier_since.get(w.name, now) for w in machines if self._fits(w, uid)
             }
             for name, since in waiting_since[uid].items():
-                # A check may just miss the moment at which room became free, so this takes
+                # A check may just miss the moment at which capacity became free, so this takes
                 # one check more than fit into the limit.
                 if now - since > MAX_WAIT_BESIDE_CAPACITY_S:
                     world.checker.report_violation(
@@ -76,7 +76,7 @@
 
     def _has_runnable_task(self, uid: str) -> bool:
         """Whether some task of the job waits only for a machine. False for jobs that were
-        cancelled or fail everywhere, and for gangs, which need room for all tasks at once."""
+        cancelled or fail everywhere, and for gangs, which need capacity for all tasks at once."""
         world, checker = self._world, self._world.checker
         spec = checker.specs[uid]
         needs = checker.transitive_needs(uid)
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -75,7 +75,7 @@
 def compute_metrics(day: Day, played: DayResult) -> DayMetrics:
     """Compute the metrics of a played day.
 
-    Ages are judged by the ageing policy with the day's properties, whichever policy was played.
+    Ages are computed by the ageing policy with the day's properties, whichever policy was played.
     """
     settings = controller_settings(day, "ageing")[0]
     ageing = create_policy(settings)
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -78,7 +78,7 @@
 
     def may_request_preemption(self, request: PreemptionRequest, least_urgent_rank: int) -> bool:
         """Urgent jobs may once they have waited for `stop_after_s`, if there is any less urgent
-        job; jobs that are owed their guarantee always may."""
+        job; jobs that fit into their team's guarantee always may."""
         urgent = request.rank <= MAX_URGENT_RANK and least_urgent_rank > request.rank
         return request.guaranteed or (urgent and request.waited_s >= self._stop_after_s)
 
--- a/ryegauge/ordering/guarantee_first.py
+++ b/ryegauge/ordering/guarantee_first.py
@@ -44,12 +44,13 @@
         return [QueueEntry(job.uid) for job in ranked]
 
     def may_request_preemption(self, request: PreemptionRequest, least_urgent_rank: int) -> bool:
-        """Jobs that are owed their guarantee may, and those with a much less urgent live job."""
+        """Jobs that fit into their team's guarantee may, and those with a much less urgent live
+        job."""
         return request.guaranteed or least_urgent_rank >= request.rank + MIN_RANK_DISTANCE
 
     def may_preempt(self, request: PreemptionRequest, running: RunningTasks) -> bool:
-        """Preempts much less urgent tasks, and for a job that is owed its guarantee those of teams
-        over theirs; never tasks within their team's guarantee."""
+        """Preempts much less urgent tasks, and for a job that fits into its guarantee those of
+        teams over theirs; never tasks within their team's guarantee."""
         less_urgent = running.rank >= request.rank + MIN_RANK_DISTANCE
         yields = request.guaranteed and running.team != request.team and running.team_over_guarantee
         return (less_urgent or yields) and not running.within_guarantee
--- a/ryegauge/protocol/jobs.py
+++ b/ryegauge/protocol/jobs.py
@@ -18,7 +18,7 @@
 
 # A submitted job. There is no docstring, since the job's JSON schema would show it as its
 # `description`.
-class JobSpec(
+class JobSpec(  # noqa: D101
     msgspec.Struct,
     frozen=True,
     rename={
--- a/ryegauge/queues/front.py
+++ b/ryegauge/queues/front.py
@@ -1,8 +1,8 @@
 """Consumes the configured queues: turns their messages into jobs (`answers` publishes replies).
 
-All bindings of a broker are consumed by one controller (`consuming`). The order of the steps is
-that of `lifecycle`. Durable are the job, the pending reply next to it, and what the brokers keep;
-all state in memory may be lost at any moment.
+All bindings of a broker are consumed by one controller (`consumer_election`). The order of the
+steps is that of `lifecycle`. Durable are the job, the pending reply next to it, and what the
+brokers keep; all state in memory may be lost at any moment.
 """
 
 import logging
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -283,7 +283,7 @@
 
 
 def _dependency_writes(known_state: KnownState, replica: StateReplica) -> Iterator[Transaction]:
-    """Restores outcomes that jobs in the replica wait for, and replies owed to queues."""
+    """Restores outcomes that jobs in the replica wait for, and pending replies to queues."""
     for key, known in known_state.records.items():
         if (key.startswith("r/o/") and key[4:] in replica.unresolved_needs) or (
             key.startswith("r/q/") and key[4:] not in replica.pending_replies
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -41,8 +41,9 @@
 
 def test_a_report_delayed_for_longer_than_its_lease(settings: Settings) -> None:
     """A machine got an answer with this owner's token, and its next report was delayed until its
-    lease had expired. The report must not make the machine count as present: its task, long
-    handed back, would look like one whose record was lost, and a new epoch would begin."""
+    lease had expired. The report must not make the machine count as present: its task, returned
+    to the leader long before, would look like one whose record was lost, and a new epoch would
+    begin."""
     shard = ShardHarness(settings, [0])
     use_detecting_owner(shard, settings, shard.now)
     shard.report((0, EARLIER_ATTEMPT, "running"), token=EARLIER_TOKEN, seq=1)
--- a/tests/test_operations_day.py
+++ b/tests/test_operations_day.py
@@ -35,7 +35,7 @@
     # Of every team, including guests, and of every job class.
     assert results.served > 0.9, results.least
     # Faults are attributed to exactly the failing jobs, and to no machine.
-    logged_as_failing = set(re.findall(r"(wk-\d+) is held back", caplog.text))
+    logged_as_failing = set(re.findall(r"(wk-\d+) is in retry backoff", caplog.text))
     assert logged_as_failing == mistaken
     assert "to be given up" not in caplog.text
     failed: dict[str, int] = {}
--- a/tests/test_part.py
+++ b/tests/test_part.py
@@ -192,7 +192,7 @@
     shard.report(session=2, seq=1)
     assert shard.phase(0) == "unplaced"
     shard.tick(1.0)
-    assert shard.phase(0) == "pending_removal"  # no machine takes it: handed back
+    assert shard.phase(0) == "pending_removal"  # no machine takes it: returned to the leader
     for seq in range(2, 14):
         shard.tick(1.0)
         shard.report(session=2, seq=seq)
@@ -312,7 +312,7 @@
     assert shard.owner.tasks[(UID, 0)].attempt != attempt
 
 
-def test_handing_back_is_final(shard: ShardHarness) -> None:
+def test_returning_a_task_is_final(shard: ShardHarness) -> None:
     """The write that removes the task from the assignment may be executed late, after which
     another shard may have it. So the task is not placed here again when capacity appears."""
     shard.report()
@@ -377,9 +377,9 @@
     assert shard.owner.tasks[(UID, 0)].machine is None
 
 
-def test_a_job_that_fails_everywhere_is_handed_back(shard: ShardHarness) -> None:
-    """A job that fails on several machines is handed back, and none of the machines is returned
-    for it. A task assigned as a retry is tried once."""
+def test_tasks_of_a_job_that_fails_everywhere_are_returned(shard: ShardHarness) -> None:
+    """The tasks of a job that fails on several machines are returned to the leader, and none of the
+    machines is returned to the cloud for it. A task assigned as a retry is tried once."""
     attempt = shard.start(0)
     shard.report((0, attempt, "ended"), why="error")
     assert shard.phase(0) == "unplaced"
@@ -478,9 +478,9 @@
 
 
 @pytest.mark.parametrize("why", ["stopped", "error"])
-def test_what_was_handed_back_is_no_sign_of_lost_data(settings: Settings, why: str) -> None:
-    """An earlier owner's task is evicted and handed back. The worker reports it until it gets
-    `forget`, while the task is open again in the replica."""
+def test_returned_tasks_are_no_sign_of_lost_data(settings: Settings, why: str) -> None:
+    """An earlier owner's task is evicted and returned to the leader. The worker reports it until
+    it gets `forget`, while the task is open again in the replica."""
     shard = ShardHarness(settings, [1])
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
--- a/tests/test_queue_cli.py
+++ b/tests/test_queue_cli.py
@@ -76,7 +76,7 @@
         assert "pieces" in output
         code, output = call("take", *file_option, "--wait", "0.2", "picks", "work")
         assert code == 1
-        assert "nothing came within 0.2 s" in output
+        assert "nothing received within 0.2 s" in output
     finally:
         stopped.set()
         thread.join()
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -128,7 +128,7 @@
     code, out = run("list", str(tmp_path), "--config", str(config))
     assert code == 0
     first, second = out.splitlines()
-    assert re.search(r"good: .*node-0, era 2, revision 77, 1 jobs in 1 records, 1 outc", first)
+    assert re.search(r"good: .*node-0, epoch 2, revision 77, 1 jobs in 1 records, 1 outc", first)
     assert "truncated" in second
     assert run("check", str(good))[0] == 0
     assert run("check", str(good), str(bad))[0] == 1
