--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -57,7 +57,7 @@
                 if self._context.syncer.last_read_sent_at < self._last_commit_at:
                     # In this replica the tasks just assigned still look open and would be
                     # assigned to another shard as well, which no guard prevents. That happens
-                    # if the read after an assignment fails (see `tests/test_era_model.py`).
+                    # if the read after an assignment fails (see `tests/test_epoch_model.py`).
                     try:
                         await self._context.syncer.wait_for_read()
                     except Unavailable as error:
--- a/tests/test_ageing.py
+++ b/tests/test_ageing.py
@@ -9,7 +9,7 @@
 from conftest import job_body, settings_text
 from days import play
 from test_leader import NOW, LeaderHarness
-from test_part import UID, ShardHarness
+from test_shard_owner import UID, ShardHarness
 
 from ryegauge.bookkeeping.state import Event
 from ryegauge.bookkeeping.state_replica import StateReplica, assignment_key, job_key, job_record
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -13,7 +13,7 @@
 
 import pytest
 from conftest import job_body
-from test_era_model import Chain, Model, data, replica
+from test_epoch_model import Chain, Model, data, replica
 
 from ryegauge.bookkeeping.ranges import Ranges
 from ryegauge.bookkeeping.state import Conflict, OutcomeUnknown, Put
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 import trio
 from conftest import job_body
 from days import Day, play
-from test_part import TOKEN, TYPES, UID, ShardHarness, shard
+from test_shard_owner import TOKEN, TYPES, UID, ShardHarness, shard
 from test_world import controller_settings
 
 from ryegauge.bookkeeping.state_replica import assignment_key, job_key, job_record
@@ -234,7 +234,7 @@
 async def confirm(world: Day, uid: str, n: int) -> None:
     """Asks controller `n`, then the next ones in turn, until one confirms the cancellation."""
     world.checker.cancel_requested.add(uid)
-    while await world.users.question(uid, "cancel", controller=n % len(world.settings)) != 200:
+    while await world.users.ask_and_check(uid, "cancel", controller=n % len(world.settings)) != 200:
         n += 1
         await trio.sleep(0.1)
 
@@ -340,18 +340,18 @@
         with world.late_reports(1.0, for_next=True):
             await trio.sleep(5.0)
         if held_s:
-            world.state.on_write.remove(world._written)
+            world.state.on_write.remove(world._on_state_write)
         for worker in [w for w in world.workers.values() if w.active_tasks()][::4]:
             world.fail_machine(worker)
         leader, before = world.leader_number, len(world.written)
         assert leader is not None
-        held_reports.append(len(world.network._kept))
+        held_reports.append(len(world.network._report_copies))
         world.crash(leader)
         await trio.sleep(8.0)
         assert world.leader_number not in (leader, None)
-        held_reports.append(len(world.network._kept))
+        held_reports.append(len(world.network._report_copies))
         await trio.sleep(max(0.0, held_s - 8.0))
-        world._written("r/l", None)
+        world._on_state_write("r/l", None)
         await confirm(world, "wk-000001", 1)
         await trio.sleep(10.0)
         claims.extend(key for key, _ in world.written[before:] if key.startswith("r/p/"))
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -97,8 +97,8 @@
     "held up": lambda world: world.cut(every_third_machine(world), hosts(world), hold=True),
     "cut off": lambda world: world.cut(every_third_machine(world), hosts(world), hold=False),
     "hung": hang,
-    "deaf": lambda world: world.inbound_loss(every_third_machine(world)),
-    "mute": lambda world: world.outbound_loss(every_third_machine(world)),
+    "inbound loss": lambda world: world.inbound_loss(every_third_machine(world)),
+    "outbound loss": lambda world: world.outbound_loss(every_third_machine(world)),
     "late assignments": delay_assignment_writes,
     "lost answers": lambda world: world.late_writes(0.4, at_once=True),
 }
--- a/tests/test_quick_boots.py
+++ b/tests/test_quick_boots.py
@@ -8,7 +8,7 @@
 import trio
 from days import Day, play
 from test_leader import SMALL, LeaderHarness
-from test_part import ShardHarness
+from test_shard_owner import ShardHarness
 from test_world import controller_settings
 
 from ryegauge.config import Settings
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -65,9 +65,9 @@
         self.changes: list[tuple[float, str]] = []
         self.refused: list[tuple[float, str]] = []  # with 429
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _append_event(self, event: dict[str, Any]) -> None:
         self.changes.append((trio.current_time(), kind_of(event)))
-        super()._note(event)
+        super()._append_event(event)
 
     async def handle(self, method: str, target: str, body: bytes) -> Reply:
         """Counts requests refused with 429."""
--- a/tests/test_mute.py
+++ b/tests/test_unreachable_machines.py
@@ -10,7 +10,7 @@
 from conftest import job_body
 from days import Day, play
 from test_leader import LeaderHarness, listed
-from test_part import TOKEN, UID, ShardHarness
+from test_shard_owner import TOKEN, UID, ShardHarness
 from test_world import controller_settings
 
 from ryegauge.bookkeeping.state_replica import job_key, job_record
@@ -28,7 +28,7 @@
 FULL_FLEET_JOB = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
 
 
-def test_a_direct_start_at_a_machine_that_falls_mute_counts_until_its_lease_is_over(
+def test_a_direct_start_counts_until_the_lease_of_an_unreachable_machine_is_over(
     settings: Settings,
 ) -> None:
     """Its answers to direct commands renew no lease, and it gets no more tasks."""
@@ -53,18 +53,18 @@
 
 
 @pytest.mark.parametrize("crashed", ["nobody", "leader", "owner"])
-def test_a_day_with_mute_machines(tmp_path: Path, crashed: str) -> None:
-    """Machines are mute for longer than a lease, twice, the second time with hangs and
-    cancellations, while the leader or their owner may crash. Those that recover are used
+def test_a_day_with_unreachable_machines(tmp_path: Path, crashed: str) -> None:
+    """The reports of machines are lost for longer than a lease, twice, the second time with hangs
+    and cancellations, while the leader or their owner may crash. Those that recover are used
     again."""
-    mute: list[tuple[float, float, set[str]]] = []
+    losses: list[tuple[float, float, set[str]]] = []
 
     async def script(world: Day) -> None:
         await trio.sleep(33.0)
         for n in range(2):
-            muted = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
+            machines = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
             began = trio.current_time()
-            with world.mute(muted):
+            with world.outbound_loss(machines):
                 await trio.sleep(2.0)
                 if n:
                     await world.cancel_now(6, hang_s=8.0)
@@ -72,7 +72,7 @@
                 if crashed != "nobody" and leader is not None:
                     world.crash((leader + (crashed == "owner")) % 3)
                 await trio.sleep(18.0)
-            mute.append((began, trio.current_time(), muted))
+            losses.append((began, trio.current_time(), machines))
             await trio.sleep(20.0)
 
     world = play(
@@ -85,12 +85,12 @@
     assert world.checker.broken == []
     assert world.unfinished == set()
     starts = [(e.at, e.machine) for e in world.recorded_events if e.what == "started"]
-    for began, ended, muted in mute:
+    for began, ended, machines in losses:
         # A machine that reported just before may still be given a task, which fetches for 1 s.
-        late = [at for at, name in starts if name in muted and began + 5.5 < at < ended]
+        late = [at for at, name in starts if name in machines and began + 5.5 < at < ended]
         assert late == []
-    _, ended, muted = mute[0]
-    assert any(name in muted and at > ended for at, name in starts)
+    _, ended, machines = losses[0]
+    assert any(name in machines and at > ended for at, name in starts)
 
 
 def test_a_single_silent_machine_is_returned_in_the_end(settings: Settings) -> None:
