--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -76,7 +76,7 @@
     version: int
 
 
-class StateObserver(Protocol):
+class CommitObserver(Protocol):
     """Compares the service's answers to detect a loss of its data (`rebuilding`). Present only
     if rebuilding is enabled."""
 
@@ -104,7 +104,7 @@
         """`rps`, `write_rps`: the service's limits, in requests and changes per second, which
         `nodes` controllers have in common."""
         self._client = client
-        self.observer: StateObserver | None = None
+        self.observer: CommitObserver | None = None
         # A tenth of the limits stays unused, since the service counts by its own clock.
         self._rps, self._write_rps = 0.9 * rps, 0.9 * write_rps
         self.requests = Budget(self._rps / nodes, self._rps / nodes)
@@ -174,7 +174,7 @@
             if target == "/multi":
                 self.rate_limited_writes += 1
             (self.requests if target != "/multi" else self.writes).drain()
-            raise RateLimited("429: over the rate limit")
+            raise RateLimited("429")
         if status == 503:
             raise Unavailable(str(status))
         return status, answer
@@ -281,7 +281,7 @@
             if self.observer is not None and not across_epochs:
                 if self.observer.epoch_version != epoch_version:
                     # It may have been executed before a loss and be lost with the other data.
-                    raise OutcomeUnknown("a new epoch began while the transaction was under way")
+                    raise OutcomeUnknown("an era has begun meanwhile")
                 puts = [change for change in changes if isinstance(change, Put)]
                 self.observer.on_committed(int(answer["ledger"]), puts)
             return int(answer["ledger"])
@@ -293,7 +293,7 @@
         if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
             raise Gone
         if status == 400:
-            raise Unavailable(f"status 400: {answer!r}")
+            raise Unavailable(f"refused as malformed: {answer!r}")
         raise OutcomeUnknown(f"status {status}")
 
     async def grant_lease(self, ttl_s: float, *, timeout_s: float) -> int:
--- a/ryegauge/cli/queues.py
+++ b/ryegauge/cli/queues.py
@@ -97,7 +97,7 @@
             with trio.move_on_after(timeout_s) as scope:
                 await operation(session, channel, receive_events)
             if scope.cancelled_caught:
-                errors.append(f"nothing came within {timeout_s:g} s")
+                errors.append(f"nothing received within {timeout_s:g} s")
             session.protocol.close()
             session.flush()
             await trio.sleep(0.1)
@@ -187,8 +187,8 @@
             match await events.receive():
                 case Returned(code=code, text=text):
                     fail(f"{selected.queue}: {code} {text}", 1)
-                case Confirmed(good=good):
-                    if not good:
+                case Confirmed(acknowledged=acknowledged):
+                    if not acknowledged:
                         fail(f"{selected.queue}: the broker refused the message", 1)
                     break
         click.echo(message.uid if isinstance(message, Cancellation) else message.spec.uid)
--- a/tests/test_mute.py
+++ b/tests/test_unreachable_machines.py
@@ -10,8 +10,8 @@
 from conftest import job_body
 from days import Day, play
 from test_leader import LeaderHarness, listed
-from test_part import TOKEN, UID, ShardHarness
-from test_world import some_controllers
+from test_shard_owner import TOKEN, UID, ShardHarness
+from test_world import controller_settings
 
 from ryegauge.bookkeeping.state_replica import job_key, job_record
 from ryegauge.config import Settings
@@ -28,7 +28,7 @@
 FULL_FLEET_JOB = {"pieces": 24, "delay": 52.0, "really": 6.0, "cpus": 2.0, "crew": "blue"}
 
 
-def test_a_direct_start_at_a_machine_that_falls_mute_counts_until_its_lease_is_over(
+def test_a_direct_start_counts_until_the_lease_of_an_unreachable_machine_is_over(
     settings: Settings,
 ) -> None:
     """Its answers to direct commands renew no lease, and it gets no more tasks."""
@@ -53,30 +53,30 @@
 
 
 @pytest.mark.parametrize("crashed", ["nobody", "leader", "owner"])
-def test_a_day_with_mute_machines(tmp_path: Path, crashed: str) -> None:
-    """Machines are mute for longer than a lease, twice, the second time with hangs and
-    cancellations, while the leader or their owner may crash. Those that recover are used
+def test_a_day_with_unreachable_machines(tmp_path: Path, crashed: str) -> None:
+    """The reports of machines are lost for longer than a lease, twice, the second time with hangs
+    and cancellations, while the leader or their owner may crash. Those that recover are used
     again."""
-    mute: list[tuple[float, float, set[str]]] = []
+    losses: list[tuple[float, float, set[str]]] = []
 
     async def script(world: Day) -> None:
         await trio.sleep(33.0)
         for n in range(2):
-            muted = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
+            machines = set(sorted(w.name for w in world.workers.values() if w.alive and w.up)[::2])
             began = trio.current_time()
-            with world.mute(muted):
+            with world.outbound_loss(machines):
                 await trio.sleep(2.0)
                 if n:
                     await world.cancel_now(6, hang_s=8.0)
-                leader = world.leading
+                leader = world.leader_number
                 if crashed != "nobody" and leader is not None:
                     world.crash((leader + (crashed == "owner")) % 3)
                 await trio.sleep(18.0)
-            mute.append((began, trio.current_time(), muted))
+            losses.append((began, trio.current_time(), machines))
             await trio.sleep(20.0)
 
     world = play(
-        some_controllers(tmp_path, 3),
+        controller_settings(tmp_path, 3),
         4,
         [LONG_JOB, LONG_JOB, FULL_FLEET_JOB, *SHORT_JOBS],
         script,
@@ -84,13 +84,13 @@
     )
     assert world.checker.broken == []
     assert world.unfinished == set()
-    starts = [(e.at, e.machine) for e in world.happened if e.what == "started"]
-    for began, ended, muted in mute:
+    starts = [(e.at, e.machine) for e in world.recorded_events if e.what == "started"]
+    for began, ended, machines in losses:
         # A machine that reported just before may still be given a task, which fetches for 1 s.
-        late = [at for at, name in starts if name in muted and began + 5.5 < at < ended]
+        late = [at for at, name in starts if name in machines and began + 5.5 < at < ended]
         assert late == []
-    _, ended, muted = mute[0]
-    assert any(name in muted and at > ended for at, name in starts)
+    _, ended, machines = losses[0]
+    assert any(name in machines and at > ended for at, name in starts)
 
 
 def test_a_single_silent_machine_is_returned_in_the_end(settings: Settings) -> None:
@@ -157,7 +157,7 @@
     """It hangs three times in a row, for almost a lease, while its shard changes owners in
     between; the answers in between must kill the cancelled task."""
     controllers = []
-    for settings in some_controllers(tmp_path, 5):
+    for settings in controller_settings(tmp_path, 5):
         workers = msgspec.structs.replace(
             settings.settings.workers, report_s=2.5, lease_s=14.0, cancel_s=39.0
         )
@@ -169,18 +169,18 @@
     renewed: list[float] = []
 
     async def hang_when_answered(world: Day, worker: Worker) -> None:
-        before = worker.lease_from
-        while worker.lease_from == before:
+        before = worker.lease_renewed_at
+        while worker.lease_renewed_at == before:
             await trio.sleep(0.005)
-        worker.hung_until = worker.lease_from + 13.4
+        worker.hung_until = worker.lease_renewed_at + 13.4
         renewed.append(trio.current_time())
 
     async def script(world: Day) -> None:
         await trio.sleep(40.0)
-        worker = next(w for w in world.workers.values() if w.alive and w.on_machine())
-        uid = worker.on_machine()[0].rpartition("/")[0]
+        worker = next(w for w in world.workers.values() if w.alive and w.active_tasks())
+        uid = worker.active_tasks()[0].rpartition("/")[0]
         await hang_when_answered(world, worker)
-        world.checker.asked_to_cancel.add(uid)
+        world.checker.cancel_requested.add(uid)
         status = 0
         while status != 200:
             status, answer = await world.ask("POST", f"/v1/jobs/{uid}/cancel")
