--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -174,7 +174,7 @@
 
     def write(self, guards: dict[str, int], changes: list[Any]) -> list[str]:
         """Executes a transaction; returns the keys whose guards fail."""
-        if self.fault == "recorded anew":
+        if self.fault == "recorded again":
             guards = {key: v for key, v in guards.items() if not key.startswith("f/")}
         records = data(self.chain)
         failed = [k for k, v in guards.items() if (records[k][1] if k in records else 0) != v]
@@ -398,7 +398,7 @@
         ("no read", "accepted"),
         ("looks up first", "accepted"),
         ("cancels what is done", "accepted"),
-        ("recorded anew", "accepted"),
+        ("recorded again", "accepted"),
     ],
 )
 def test_seeded_faults_are_found(
@@ -406,6 +406,6 @@
 ) -> None:
     """Faults: "from the replica" answers a repeated submission by the Job object found before the
     read; "no read" answers without a read; "looks up first" looks up outcomes before the read;
-    "cancels what is done" and "recorded anew" commit without the guards of the assignments or of
+    "cancels what is done" and "recorded again" commit without the guards of the assignments or of
     the outcome."""
     assert explore_model(initial_state, fault, 2)[0] != []
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -157,7 +157,7 @@
 
 @given(evidence)
 def test_an_unreachable_owner_alone_cannot_call_a_machine_lost(seen: Evidence) -> None:
-    """An owner hears few of its machines, and no other controller has probed: until the lease has
+    """Few machines report to their owner, and no other controller has probed: until the lease has
     certainly expired nothing is released on its evidence, unless the cloud gave notice."""
     alone = seen._replace(
         probes=tuple(p for p in seen.probes if p.by == "a"), heard_share=0.5, notice=False
@@ -203,7 +203,7 @@
     heard = {f"m-{n}": 90.0 for n in range(20)}
     elsewhere = {f"m-{n}": 96.0 for n in range(6)}
     assert owner_unreachable(heard, elsewhere, 3.0, 97.0)
-    assert not owner_unreachable(heard, {}, 3.0, 97.0)  # no controller hears them: dead, or cut off
+    assert not owner_unreachable(heard, {}, 3.0, 97.0)  # they report to nobody: dead or cut off
     assert not owner_unreachable(heard, dict.fromkeys(list(elsewhere)[:4], 96.0), 3.0, 97.0)
     assert not owner_unreachable(heard, elsewhere, 3.0, 103.0)  # too long ago
     assert not owner_unreachable(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -362,7 +362,7 @@
         "over",
         "cancelled",
         "placed",
-        "no room",
+        "no capacity",
         "limit",
         "type",
         "zone",
@@ -392,7 +392,7 @@
                 checker.cancel_requested.add("wk-1")
             case "placed":
                 worker.tasks["wk-1/0"] = Attempt(1)
-            case "no room":
+            case "no capacity":
                 worker.tasks["wk-2/0"] = Attempt(1)
             case "limit":
                 checker.specs["wk-2"]["cpus"], checker.specs["wk-2"]["crew"] = 31.0, "red"
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -108,10 +108,10 @@
 
 async def leader_crash_during_machine_fault(world: Day) -> None:
     """The leader crashes while some machines are cut from all controllers or get no answers."""
-    some = set(sample_booted(world, 0.4))
+    machines = set(sample_booted(world, 0.4))
     hosts = {world.host_of(n) for n in range(5)}
-    cut = world.cut(some, hosts, hold=world.rng.random() < 0.5)
-    with cut if world.rng.random() < 0.5 else world.inbound_loss(some):
+    cut = world.cut(machines, hosts, hold=world.rng.random() < 0.5)
+    with cut if world.rng.random() < 0.5 else world.inbound_loss(machines):
         world.crash(leader_of(world))
         await trio.sleep(world.rng.uniform(8.0, 35.0))
 
@@ -196,8 +196,8 @@
     """Two or three faults; over all seeds each is combined with each other."""
     count = len(FAULTS)
     first, apart = seed % count, 1 + seed // count % (count - 1)
-    some = [FAULTS[first], FAULTS[(first + apart) % count]]
-    return some + ([FAULTS[(first + 2 * apart + 1) % count]] if seed % 2 else [])
+    selected = [FAULTS[first], FAULTS[(first + apart) % count]]
+    return selected + ([FAULTS[(first + 2 * apart + 1) % count]] if seed % 2 else [])
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
--- a/tests/test_one_sided.py
+++ b/tests/test_one_sided.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "who"),
+    ("kind", "cut_role"),
     [
         *itertools.product(
             ["refused by state", "from state", "from workers", "from workers, reset", "from all"],
@@ -67,7 +67,7 @@
         ("two from all", "both"),
     ],
 )
-def test_one_sided_cuts(tmp_path: Path, kind: str, who: str) -> None:
+def test_one_sided_cuts(tmp_path: Path, kind: str, cut_role: str) -> None:
     """Urgent jobs that are submitted meanwhile start about as fast as without the cut."""
     answers: Counter[int] = Counter()
     urgent: dict[str, float] = {}
@@ -84,11 +84,11 @@
         )
         await trio.sleep(35.0)
         leader = world.names.index(world.state.data["r/l"][0]["o"])
-        n = (leader + 1) % 5 if who == "owner" else leader
+        n = (leader + 1) % 5 if cut_role == "owner" else leader
         silent = {"from all": {n}, "two from all": {n, (n + 1) % 5}}.get(kind, set())
         cut_times.append(trio.current_time())
         with cut_one_side(world, kind, n):
-            for i in range(CUT_LASTS_S[who] // 5):
+            for i in range(CUT_LASTS_S[cut_role] // 5):
                 uid = f"wk-7000{i:02d}"
                 body = job_body(uid, pieces=2, cpus=1.0, urgency="high")
                 world.checker.specs[uid] = {**body, "really": 3.0, "broken": False}
@@ -116,7 +116,7 @@
     world = play(rebuilding(tmp_path, 5), 21, MIXED_JOBS, script, 170.0)
     assert world.checker.broken == []
     assert world.unfinished <= set(urgent)
-    assert len(urgent) == CUT_LASTS_S[who] // 5
+    assert len(urgent) == CUT_LASTS_S[cut_role] // 5
     assert not set(answers) - {200, 201, 429, 503}
     # No job waits longer than the takeover of its roles, a little more than a controller lease.
     started = {e.uid: e.at for e in reversed(world.recorded_events) if e.what == "started"}
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -262,8 +262,8 @@
     chosen = waiting[which % len(waiting)]
     older = [j._replace(ready_at=j.ready_at - extra_wait_s) if j is chosen else j for j in waiting]
 
-    def position(some: list[WaitingJob]) -> int:
-        order = list(dict.fromkeys(uid for uid, _ in positions(ageing(), some, assigned)))
+    def position(waiting_jobs: list[WaitingJob]) -> int:
+        order = list(dict.fromkeys(uid for uid, _ in positions(ageing(), waiting_jobs, assigned)))
         return order.index(chosen.uid)
 
     assert position(older) <= position(waiting)
@@ -415,8 +415,8 @@
     policy = ageing(hold_s=40.0)
 
     def hold(age: float) -> float:
-        some = [job("wk-1", age=age), job("wk-2", rank=0)]
-        return policy.order(some, [], HEADROOM, NOW)[0].hold_s
+        waiting_jobs = [job("wk-1", age=age), job("wk-2", rank=0)]
+        return policy.order(waiting_jobs, [], HEADROOM, NOW)[0].hold_s
 
     due = policy.patience_s(2)
     assert [hold(due), hold(due + 30.0), hold(due + 40.0), hold(due + 79.0)] == [40.0, 10.0, 0, 0]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -243,7 +243,7 @@
         job_record(parse_job(job_body(job_uid(0))), 0.0, True),
     )
     left: list[str] = []
-    finals: dict[str, object] = {}
+    final_outcomes: dict[str, object] = {}
     while replica.jobs:
         (job,) = jobs_to_archive(replica, 0)  # other jobs depend on the others
         guards, changes = archive_job(job, 5)
@@ -251,12 +251,12 @@
         assert len(changes) == 2
         for change in changes:
             if isinstance(change, Put):
-                finals[change.key] = change.value
+                final_outcomes[change.key] = change.value
             else:
                 apply_record(replica, records, change.key, None)
         left.append(job.spec.uid)
     assert left == [job_uid(2), job_uid(1), job_uid(0)]
-    assert finals == {archive_key(uid): {"st": "cancelled", "d": 0} for uid in left}
+    assert final_outcomes == {archive_key(uid): {"st": "cancelled", "d": 0} for uid in left}
     assert records_to_delete(replica, 4) == [Delete(assignment_key(job_uid(0), 1))]
     apply_record(replica, records, assignment_key(job_uid(0), 1), None)
     assert records_to_delete(replica, 4) == []
--- a/tests/test_release_model.py
+++ b/tests/test_release_model.py
@@ -49,7 +49,7 @@
         for by, failed in zip(("owner", "peer"), state.failed_probes, strict=True)
         if failed
     ]
-    # The owner hears few of its machines, so this one is lost only if others cannot reach it.
+    # Few machines report to the owner, so this one is lost only if others cannot reach it.
     return diagnose(Evidence(silent_s, silent_s, 99.0, probes, heard_share=0.0), LIMITS).severity
 
 
