--- a/ryegauge/coordination/__init__.py
+++ b/ryegauge/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The leader, part owners, leases and roles, and the loops of a controller."""
+"""The leader, shard owners, leases and roles, and the loops of a controller."""
--- a/ryegauge/coordination/cloud.py
+++ b/ryegauge/coordination/cloud.py
@@ -121,8 +121,8 @@
         return max(3.0, self._context.settings.settings.workers.lease_s / 4)
 
     async def watch_catalog(self) -> None:
-        """Reads the catalogue for the leader, who needs its prices, and publishes the machine
-        types to all controllers through the replica; never returns."""
+        """Reads the catalogue for the leader, who needs its prices, and records the machine
+        types in the state service, for all controllers; never returns."""
         read_for_leader: Leader | None = None  # it was read for this leader, at `read_at`
         read_at = float("-inf")
         while True:
@@ -150,8 +150,8 @@
             await trio.sleep(pause_s)
 
     async def _publish_types(self, types: dict[str, MachineType]) -> None:
-        """Writes new machine types to the replica. Known ones are not written again: prices change,
-        but what fits on a type does not."""
+        """Records new machine types in the state service. Known ones are not written again: prices
+        change, but what fits on a type does not."""
         limits = self._context.settings.state_limits
         changes: list[Put | Delete] = []
         for name in sorted(types.keys() - self._context.replica.types.keys()):
--- a/ryegauge/coordination/connection_limits.py
+++ b/ryegauge/coordination/connection_limits.py
@@ -1,6 +1,10 @@
 # kind: decisions
-"""How a controller's connections are divided among their purposes. The sum stays within its
-limit: beyond it new connections fail, including those to the state service."""
+"""How a controller's connections are divided among their purposes.
+
+The sum stays within the controller's limit, beyond which new connections fail, including those to
+the state service. Only a limit so small that the other purposes need more than half of it is
+exceeded, since users and workers get half of it in any case.
+"""
 
 from typing import NamedTuple
 
--- a/ryegauge/coordination/demands.py
+++ b/ryegauge/coordination/demands.py
@@ -22,7 +22,7 @@
     sizes: tuple[float, ...] = (),
 ) -> Demand:
     """The demand of `count` open tasks of a job, with the allowed `zones` and the latest finish
-    (time of day in seconds). `sizes` are those of `task_sizes`."""
+    (Unix time in seconds). `sizes` are those of `task_sizes`."""
     spec = job.spec
     return Demand(
         uid=spec.uid,
@@ -48,7 +48,7 @@
 
 def task_sizes(replica: StateReplica) -> tuple[float, ...]:
     """The CPUs per task that occur among unfinished jobs, ascending. Sizes of at most
-    `MIN_SIZE_RATIO` times the previous one are left out, so that there are few."""
+    `MIN_SIZE_RATIO` times the last one kept are left out, so that there are few."""
     sizes: list[float] = []
     for cpus in sorted({job.spec.cpus for job in replica.live.values() if not job.is_terminal}):
         if not sizes or cpus > MIN_SIZE_RATIO * sizes[-1]:
@@ -57,12 +57,13 @@
 
 
 def latest_finish(job: Job, objectives: list[Objective], run_s: float) -> float:
-    """When a job has to be finished at the latest, as time of day in seconds; infinite if
-    nothing says so.
+    """When a job has to be finished at the latest, as Unix time in seconds; infinite if nothing
+    says so.
 
     That is its own deadline, which counts from its submission. Without one it is the tightest
     objective in the settings for its class to be finished or started, which counts from when
-    its last dependency was done. (The ECPTR paper knows only deadlines.)"""
+    the job was ready: its submission, or the end of its last dependency if that was later.
+    (The ECPTR paper knows only deadlines.)"""
     if job.spec.kind == "standing":
         return math.inf
     if job.spec.deadline_s is not None:
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -40,8 +40,8 @@
         "last_report_at",
         "listed_running_since",
         "name",
+        "rented_at",
         "shard",
-        "since",
         "spot",
         "type",
         "was_listed",
@@ -49,14 +49,14 @@
     )
 
     def __init__(
-        self, name: str, shard: int, type_: str, zone: str, spot: bool, since: float
+        self, name: str, shard: int, type_: str, zone: str, spot: bool, rented_at: float
     ) -> None:
         self.name = name
         self.shard = shard
         self.type = type_
         self.zone = zone
         self.spot = spot
-        self.since = since  # when it was rented, else when this leader first learnt of it
+        self.rented_at = rented_at  # else when this leader first learnt of it
         self.granted_at: float | None = None  # when this leader's rental was answered
         self.address = ""
         self.was_listed = False  # was on a list at least once
@@ -106,12 +106,12 @@
         self._expected_boots: dict[str, BootEstimate] = {}  # machines that are not up yet, by name
         self.takeback = TakebackShare(settings.properties.takeback_window_s)
 
-    def add(self, name: str, type_: str, zone: str, spot: bool, since: float) -> FleetMachine:
-        """Adds a machine that was rented at `since`."""
+    def add(self, name: str, type_: str, zone: str, spot: bool, rented_at: float) -> FleetMachine:
+        """Adds a machine that was rented at `rented_at`, as far as is known."""
         shard = self._shard_map.shard_of(name, zone)
-        machine = self.machines[name] = FleetMachine(name, shard, type_, zone, spot, since)
+        machine = self.machines[name] = FleetMachine(name, shard, type_, zone, spot, rented_at)
         if spot:
-            self.takeback.record_start(name, since)
+            self.takeback.record_start(name, rented_at)
         return machine
 
     def on_machine_list(
@@ -186,7 +186,7 @@
             if (
                 pending.missing_count
                 and pending.kind == kind
-                and machine.since >= pending.sent_at - lag_s
+                and machine.rented_at >= pending.sent_at - lag_s
             ):
                 pending.missing_count -= 1
                 return
@@ -278,7 +278,7 @@
                     machine.name,
                     (machine.type, machine.zone, machine.spot),
                     type_.boot_s,
-                    now - machine.since,
+                    now - machine.rented_at,
                 )
                 for machine, type_ in booting
             ),
@@ -329,7 +329,7 @@
         releases: list[str] = []
         for machine in self.machines.values():
             type_ = self.types.get(machine.type)
-            age_s = now - machine.since
+            age_s = now - machine.rented_at
             observed = (
                 views[machine.shard].machines.get(machine.name) if machine.shard in views else None
             )
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -51,7 +51,7 @@
 CANCELLATION_MARK_BYTES = 16
 
 # Cached outcomes of archived jobs for each MB of the memory quota.
-FINAL_OUTCOMES_PER_MB = 20
+CACHED_OUTCOMES_PER_MB = 20
 
 
 class _Submission:
@@ -116,7 +116,7 @@
         self._limits = settings.state_limits
         memory_mb = settings.settings.quota.memory_mb
         self._final_outcomes = FinalOutcomes(
-            state, self._limits.max_conditions, int(FINAL_OUTCOMES_PER_MB * memory_mb)
+            state, self._limits.max_conditions, int(CACHED_OUTCOMES_PER_MB * memory_mb)
         )
         # Called with each job that a commit of ours has cancelled, before its user is answered.
         self.on_cancelled: Callable[[str], None] = lambda uid: None
@@ -306,9 +306,9 @@
                 continue
             # The group takes what the budget allows now: a full group would need a full bucket,
             # which other writers drain meanwhile. But it waits until the bucket has risen above
-            # the default reserve, so that writers with that reserve get a turn. Submissions
-            # recorded one by one, as they arrived, kept the bucket below it: in a flood of tiny
-            # jobs no outcome could be written.
+            # the default reserve, or until the whole queue fits, so that writers with that reserve
+            # get a turn. Submissions recorded one by one, as they arrived, kept the bucket below
+            # it: in a flood of tiny jobs no outcome could be written.
             writes = self._state.writes
             min_group = min(len(self._queue), 1 + int(RESERVE_DEFAULT * writes.burst))
             if (shortfall := min_group - writes.available(RESERVE_INTERACTIVE)) > 0:
--- a/ryegauge/coordination/leader.py
+++ b/ryegauge/coordination/leader.py
@@ -40,7 +40,7 @@
 # A job that fails on every machine is retried with a single task: first after one lease, then
 # at growing intervals up to this many leases.
 MAX_RETRY_PAUSE_LEASES = 8.0
-# Held-back jobs that one answer to an owner lists at most.
+# Failing jobs that one answer to an owner lists at most.
 MAX_FAILING_JOBS_SENT = 200
 
 
@@ -136,7 +136,7 @@
     def round(self, now: float, wall: float) -> RoundResult:
         """Plans one round.
 
-        `now` is the monotonic clock and `wall` the time of day, both in seconds. Without any
+        `now` is the monotonic clock and `wall` the Unix time, both in seconds. Without any
         known machine type the result is empty."""
         result = RoundResult()
         self._views.refresh_jobs()
@@ -244,7 +244,7 @@
             )
 
     def on_assigned(self, uids: Iterable[str], now: float) -> None:
-        """Tasks of these jobs have been assigned; for a held-back job that counts as a retry."""
+        """Tasks of these jobs have been assigned; for a failing job that counts as a retry."""
         for uid in uids:
             self._retry_backoff.on_retry(uid, now)
 
--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -24,8 +24,8 @@
 # Jobs kept in the replica per MB of memory that a controller may use.
 JOBS_PER_MB = 10
 
-# After a round the leader pauses for this many times the round's duration, so that planning
-# takes at most a seventh of the controller's time.
+# After a round the leader pauses for this many times the round's duration, but at most for a
+# report interval.
 PAUSE_PER_ROUND_TIME = 6.0
 
 
@@ -61,7 +61,7 @@
                     try:
                         await self._context.syncer.wait_for_read()
                     except Unavailable as error:
-                        log.debug("reading after an assignment failed: %s", error)
+                        log.debug("reading the state service after an assignment failed: %s", error)
                     continue
                 decisions = leader.round(now, self._context.wall())
                 took_s = trio.current_time() - now
@@ -176,7 +176,7 @@
         await self._context.syncer.wait_for_read()
 
     async def _restore_outcomes(self, leader: Leader) -> None:
-        """Restores missing outcomes of archived jobs to the replica.
+        """Records missing outcomes of archived jobs again, so that all replicas have them.
 
         A job may be recorded late, after a job that it depends on has left the replica; whoever
         reads only the replica needs that job's outcome."""
@@ -187,7 +187,8 @@
                 await self._commit(leader, {outcome_key(uid): 0}, [change])
 
     async def _renew_leader_record(self, leader: Leader) -> None:
-        """Renews the leader's record and re-reads the replica, retrying while still the leader."""
+        """Renews the leader's record and reads the state service again; retries while this is the
+        leader."""
         while self._context.leader is leader:
             try:
                 await self._context.controller_lease.renew_leader(leader.token)
--- a/ryegauge/coordination/membership.py
+++ b/ryegauge/coordination/membership.py
@@ -34,7 +34,7 @@
     """Keeps the lease, claims roles (shards and leadership) and tells how long they may be used.
 
     Authority counts from when the renewal was *sent*, less clock drift, and ends at the latest
-    one lease duration after the last read of the replica was sent: a controller that does not
+    one lease duration after the last read of the state service was sent: a controller that does not
     learn of cancellations must not issue commands either."""
 
     def __init__(
@@ -64,7 +64,8 @@
         # Whether our `r/n/` record is up to date, and the revision at which it was written.
         self._enrolled = False
         self._enrolled_at = 0
-        # When the last claim was sent; its outcome is known once the replica is read again.
+        # When the last claim was sent; its outcome is known after a later read of the state
+        # service.
         self._claimed_at = float("-inf")
         # When the last successful round of lease extensions was requested.
         self._extended_from = float("-inf")
@@ -127,7 +128,8 @@
     # cancellations that they have confirmed, so that none is missed meanwhile.
 
     def needs_lease_extensions(self, now: float) -> bool:
-        """Whether authority is valid, but was not extended for a third of a lease duration."""
+        """Whether authority is valid, but for a third of a lease duration was neither extended by
+        the peers nor renewed (with a read of the state service)."""
         authority_from = max(
             min(self._renewal_sent_at, self._syncer.last_read_sent_at), self._extended_from
         )
@@ -155,7 +157,7 @@
     def grant_extension(self, node: str, incarnation: str, now: float) -> bool:
         """Grants `node` an extension: its roles are not claimed here for one lease duration.
         Returns whether it did. Only if the state service does not serve us either, and if we
-        have sent no claim since the replica was last read, which could be for a role of
+        have sent no claim since the last read of the state service, which could be for a role of
         `node`."""
         if (
             not self._syncer.ready.is_set()
@@ -219,8 +221,8 @@
         return self._preferred_owner(shard, set(self._replica.nodes)) not in (self._name, None)
 
     def on_workers_reachable(self, shard: int, now: float) -> None:
-        """The shard's workers reach us, or we them. Takes effect only after a worker lease, so
-        that roles do not flap."""
+        """The shard's workers reach us, or we them. Ignored until a worker lease after the
+        shard was last marked as unreachable, so that roles do not flap."""
         hold_s = self._settings.settings.workers.lease_s
         if now - self._unreachable_shards.get(shard, now) >= hold_s:
             del self._unreachable_shards[shard]
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -347,7 +347,7 @@
         if not self._context.controller_lease.valid(now):
             return Reply(503, {"error": "no authority"})
         if report.token > owner.token:
-            # Another controller has taken the shard over; this one's authority has ended.
+            # The worker has seen a newer token, so it rejects this owner's commands.
             self._context.syncer.request_read()
             return Reply(421, {})
         revision_before = owner.revision
@@ -361,7 +361,7 @@
         if method == "POST" and target == CHECKIN_PATH:
             return await self._handle_checkin(body)
         if not self._context.syncer.ready.is_set() or (
-            self._rebuild is not None and not self._rebuild.open
+            self._rebuild is not None and not self._rebuild.answers_users
         ):
             return Reply(503, {"error": "starting"}, 1.0)
         if target == "/healthz":
--- a/ryegauge/coordination/owner_records.py
+++ b/ryegauge/coordination/owner_records.py
@@ -52,7 +52,9 @@
 
 
 class Machine:
-    """A machine of the shard, by its reports under this owner's token."""
+    """A machine of the shard, by its reports to this owner.
+
+    What they say about its tasks counts only once `token_confirmed` is set."""
 
     __slots__ = (
         "address",
@@ -68,11 +70,11 @@
         "notice_at",
         "pending_run_since",
         "probes",
+        "retired_unconfirmed",
         "retiring",
         "spot",
         "tasks",
         "token_confirmed",
-        "token_never_confirmed",
         "type",
         "unanswered_runs",
         "unreachable_until",
@@ -97,11 +99,11 @@
         self.heard_steadily_since = now  # its reports have come without a long pause since then
         self.probes: list[ProbeResult] = []  # results of probes since it was last heard
         self.notice_at: float | None = None  # when the cloud reclaims it
-        self.retiring = False  # to be returned once empty
+        self.retiring = False  # to be released once empty
         # Since when an unanswered `run` of a cancelled job may still arrive here.
         self.pending_run_since = math.inf
-        # It has never shown this owner's token, and is to be returned for that.
-        self.token_never_confirmed = False
+        # It has never shown this owner's token, and is to be released for that.
+        self.retired_unconfirmed = False
         self.idle_since = now
         self.images: dict[str, float] = {}  # presumed cached, most recently used last
         self.tasks: set[TaskKey] = set()  # tasks placed here
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -91,7 +91,7 @@
             await self._send(name, to_wire(ChangeNotice(announced)))
 
     async def _send(self, name: str, message: list[object], timeout_s: float = 0.0) -> object:
-        """As `_call`, but None if there is no answer. A timeout of 0 means half a report."""
+        """As `_call`, but None without an answer. A timeout of 0 means half a report interval."""
         try:
             return await self._call(name, message, timeout_s or self._context.report_s / 2)
         except Unreachable:
@@ -117,7 +117,7 @@
         await self._send(name, to_wire(message))
 
     async def ask(self, name: str, message: Message, timeout_s: float = 0.0) -> object:
-        """The peer's answer as a message, or None. A timeout of 0 means half a report."""
+        """The peer's answer as a message, or None. A timeout of 0 means half a report interval."""
         return self._parse_answer(await self._send(name, to_wire(message), timeout_s))
 
     def _parse_answer(self, answer: object) -> object:
--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -42,8 +42,9 @@
 
 log = logging.getLogger(__name__)
 
-# Outcomes of archived jobs that the replica keeps per MB of memory; they take about 1% of it.
-FINAL_OUTCOMES_PER_MB = 60
+# Outcomes of archived jobs that the replica keeps per MB of the memory quota; they take about 1%
+# of it.
+REPLICA_OUTCOMES_PER_MB = 60
 
 # Interval between the leader's audits of all records, in worker leases.
 AUDIT_LEASES = 6.0
@@ -66,9 +67,9 @@
         self._context = context
         self._peer_messenger = peer_messenger
         self._job_api = api
-        # Whether users are answered: a peer that knew the records before has confirmed that
-        # none is missing, or there is no such peer.
-        self.open = False
+        # Set once a peer that knew the records before has confirmed that none is missing, no such
+        # peer could be asked, or none has confirmed it within a controller lease.
+        self.answers_users = False
         self._withhold_until = float("-inf")
         self._started_at = context.wall()
         context.surely_unassigned = self._surely_unassigned
@@ -77,7 +78,7 @@
         self.loss_detector = LossDetector(context.replica)
         self.loss_detector.on_epoch_change = self._drop_roles
         shared = context.settings.settings
-        context.replica.max_final_outcomes = int(FINAL_OUTCOMES_PER_MB * shared.quota.memory_mb)
+        context.replica.max_final_outcomes = int(REPLICA_OUTCOMES_PER_MB * shared.quota.memory_mb)
         limits = context.settings.state_limits
         self._limits = RestoreLimits(limits.txn_ops, limits.value_bytes)
         context.state.observer = context.syncer.observer = self.loss_detector
@@ -183,7 +184,7 @@
 
     def _can_vouch(self) -> bool:
         """Whether this controller can tell a starting peer whether records are missing."""
-        return self.open and not self.data_loss_suspected()
+        return self.answers_users and not self.data_loss_suspected()
 
     async def audit(self, pause_s: float = 0.0) -> bool | None:
         """Reads all records and returns whether everything in the replica is still in the state
@@ -226,8 +227,9 @@
         """Decides when users are answered after a start.
 
         A controller that has just started cannot see that records are missing, unless a snapshot
-        shows it. So it asks a peer that has known the records for longer to audit them. If all
-        controllers have just started, only the workers' reports can still show a loss."""
+        shows it. So it asks a peer that has known the records for longer to audit them. If none
+        confirms them, as after a restart of all controllers, only the workers' reports can still
+        show a loss."""
         began = trio.current_time()
         if self._snapshots is not None:
             try:
@@ -247,19 +249,19 @@
                     self._context.settings.controller_lease_s / 3,
                 )
                 if isinstance(answer, AuditAnswer) and answer.intact:
-                    self.open = True
+                    self.answers_users = True
                     return
             silent = self._peer_messenger.peers.keys() - self._peer_messenger.hello_answers.keys()
             late = trio.current_time() > began + self._context.report_s
             if not vouchers and (not silent or late):
                 break
             await trio.sleep(self._context.report_s / 10)
-        # All controllers have just started. The workers' reports may still show running tasks
-        # whose assignments were lost. Until the reports are in, open tasks of jobs that were in the
+        # No peer has confirmed the records. The workers' reports may still show running tasks whose
+        # assignments were lost. Until the reports are in, open tasks of jobs that were in the
         # replica at the start are not assigned.
         self._withhold_until = trio.current_time() + 2 * self._context.settings.report_gap_s
         self._job_api.not_found_after = self._withhold_until
-        self.open = True
+        self.answers_users = True
 
     # -- a new epoch --------------------------------------------------------------------------
 
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -112,7 +112,7 @@
         self.revision = 0
         self._view_publisher = ViewPublisher()
         self._faults = FaultAttribution(self._has_done_tasks)
-        self._faulty: set[str] = set()  # machines that are to be returned
+        self._faulty: set[str] = set()  # machines that are to be released
         self._suspected: set[str] = set()  # machines that get no new tasks for now
         self._faults_pruned_at = now
         for uid in list(replica.live):
@@ -251,7 +251,7 @@
             self.revision += 1
 
     def on_failing_jobs(self, uids: Iterable[str]) -> None:
-        """The leader's list of jobs that fail in all shards and are in retry backoff."""
+        """The newest failing jobs that the owners of any shards have reported to the leader."""
         if self._faults.set_failing_elsewhere(frozenset(uids)):
             self._update_machine_faults()
 
@@ -479,8 +479,8 @@
             task.relocating = True
         serves = job is not None and job.spec.kind == "standing"
         if (machine.retiring and serves) or now - machine.pending_run_since > self.lease_s / 2:
-            # The machine is to be returned, and a service never ends by itself. Nor may any other
-            # task delay the return while a `run` of a cancelled job may still arrive: a start
+            # The machine is to be released, and a service never ends by itself. Nor may any other
+            # task delay the release while a `run` of a cancelled job may still arrive: a start
             # after `cancel_s` would break the guarantee, and what it holds counts against its
             # team.
             task.relocating = True
@@ -506,10 +506,10 @@
             is_unrecorded = open_
         else:
             # Only attempts started by an earlier owner in this epoch: those of earlier epochs could
-            # be adopted while records were restored. An attempt that has ended proves nothing:
-            # once returned, its task is open in the replica until the worker has processed
-            # `forget`. Counting those made a task that was preempted after a takeover look like
-            # data loss in a healthy state service.
+            # be adopted in the grace period. An attempt that has ended proves nothing: once
+            # returned, its task is open in the replica until the worker has processed `forget`.
+            # Counting those made a task that was preempted after a takeover look like data loss in
+            # a healthy state service.
             token = attempt >> 20
             earlier = token != self.token and epoch_of_token(token) == epoch_of_token(self.token)
             known = (key, attempt) in self._cleared
@@ -663,7 +663,7 @@
             del self._ignored_up_to[next(iter(self._ignored_up_to))]
 
     def retire(self, names: Iterable[str]) -> None:
-        """These machines are to be returned once empty: they get no new tasks."""
+        """These machines are to be released once empty: they get no new tasks."""
         for name in names:
             if (machine := self.machines.get(name)) is not None:
                 machine.retiring = True
@@ -750,14 +750,14 @@
         ]
         if 2 * len(unconfirmed) <= len(self.machines):
             for machine in unconfirmed:
-                machine.retiring = machine.token_never_confirmed = True
+                machine.retiring = machine.retired_unconfirmed = True
 
     def _is_empty(self, m: Machine) -> bool:
-        """Whether returning the machine loses nothing: the tasks still recorded on it only wait
-        for the result of a command that must no longer take effect, which the return ensures."""
+        """Whether releasing the machine loses nothing: the tasks still recorded on it only wait
+        for the result of a command that must no longer take effect, which the release ensures."""
         return (
             not m.alive_attempts
-            and (m.token_confirmed or m.token_never_confirmed)
+            and (m.token_confirmed or m.retired_unconfirmed)
             and all(
                 (task := self.tasks[key]).phase == "placed"
                 and m.retiring
--- a/ryegauge/coordination/shard_views.py
+++ b/ryegauge/coordination/shard_views.py
@@ -81,8 +81,8 @@
         self.seq = 0
         self.received_at = -math.inf
         self.machines: dict[str, ObservedMachine] = {}
-        # Silent machine -> (seconds for which its owner itself stood still since the machine's
-        # last report, probes of it as (by, outcome, seconds ago)).
+        # Silent machine -> (seconds for which its owner stalled since the machine's last
+        # report, probes of it as (by, outcome, seconds ago)).
         self.silences: dict[str, tuple[float, list[tuple[str, str, float]]]] = {}
         self.failing: list[FailingJob] = []  # jobs that fail on every machine
         # Job -> tasks that are on no machine any more, which is not recorded yet.
@@ -131,7 +131,7 @@
         return state
 
     def refresh_jobs(self) -> None:
-        """Looks up all jobs again after a full read of the replica, which replaces its objects."""
+        """Looks up all jobs again after a full read, which replaces the replica's job objects."""
         if self._full_read_count != self._replica.full_read_count:
             self._full_read_count = self._replica.full_read_count
             for state in self._states.values():
--- a/ryegauge/coordination/sharding.py
+++ b/ryegauge/coordination/sharding.py
@@ -26,15 +26,16 @@
 
 
 def preferred_owner(
-    shard: int, names: list[str], live: Collection[str], cut_off: Collection[str] = ()
+    shard: int, names: list[str], live: Collection[str], without_reports: Collection[str] = ()
 ) -> str | None:
     """The name of the controller that should own a shard: its home controller, else the next
-    live one in the order of `names`. Controllers in `cut_off`, which get no reports from the
-    shard's workers, are taken only if every live one is in it. None if no controller is live."""
+    live one in the order of `names`. Controllers in `without_reports`, which get no reports from
+    the shard's workers, are taken only if every live one is in it. None if no controller is
+    live."""
     candidates = [names[(shard + step) % len(names)] for step in range(len(names))]
     live_candidates = [name for name in candidates if name in live]
     return next(
-        (name for name in live_candidates if name not in cut_off),
+        (name for name in live_candidates if name not in without_reports),
         live_candidates[0] if live_candidates else None,
     )
 
--- a/ryegauge/coordination/task_assignment.py
+++ b/ryegauge/coordination/task_assignment.py
@@ -59,7 +59,7 @@
     """Demands for the open tasks within their teams' limits, in the policy's order of
     precedence, and the jobs that they belong to, by UID.
 
-    A job may occur twice, with some of its tasks and with the rest. A held-back job occurs only
+    A job may occur twice, with some of its tasks and with the rest. A failing job occurs only
     when its retry is due, with a single task (a gang with all), and nothing is rented for it."""
     used_cpus: dict[str, float] = dict.fromkeys(teams, 0.0)
     used_gpus: dict[str, float] = dict.fromkeys(teams, 0.0)
--- a/ryegauge/coordination/urgency.py
+++ b/ryegauge/coordination/urgency.py
@@ -40,7 +40,7 @@
         )
 
     def latest_finish(self, job: Job) -> float:
-        """When the job has to be finished at the latest, as time of day in seconds."""
+        """When the job has to be finished at the latest, as Unix time in seconds."""
         return self.urgency_of(job).latest_finish
 
     def rank(self, job: Job) -> int:
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -52,12 +52,12 @@
     """The most likely cause of the silence. The values appear in the log."""
 
     NONE = "none"
-    OWNER_STALLED = "owner_stood_still"  # the owner's process stalled and read no reports
-    OWNER_UNREACHABLE = "owner_deaf"  # the machine lives; its reports do not reach its owner
+    OWNER_STALLED = "owner_stalled"  # the owner's process stalled and read no reports
+    OWNER_UNREACHABLE = "owner_unreachable"  # the machine lives; its reports do not reach its owner
     HUNG = "hung"
-    RECLAIMED = "taken"  # reclaimed by the cloud after a notice
+    RECLAIMED = "reclaimed"  # by the cloud, after a notice
     ZONE_CUT = "zone_cut"  # almost no reports from its zone, and most from another zone
-    DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers
+    DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers, or silent for long
     UNDECIDED = "undecided"
 
 
@@ -109,7 +109,7 @@
 NOTICED_GAPS = 2.0  # for a machine under notice, which is expected to disappear
 LOST_GAPS = 3.0
 # An owner that gets reports from a smaller share of its machines than this may itself be cut off.
-HEARING_SHARE = 0.75
+MIN_HEARD_SHARE = 0.75
 # Leases of silence up to which a machine that hangs, or whose zone is cut off, may still recover.
 RECOVERY_LEASES = 3.0
 # Controllers that must have failed to connect before a machine counts as unreachable.
@@ -123,7 +123,7 @@
     lowers it. An owner that few of its machines report to cannot alone have them diagnosed as lost:
     other controllers must have failed to reach them too."""
     gap_s = limits.gap_s
-    silent_alone = evidence.heard_share >= HEARING_SHARE
+    silent_alone = evidence.heard_share >= MIN_HEARD_SHARE
     lease_expired = evidence.total_silent_s > limits.lease_s
     if evidence.total_silent_s <= SUSPECT_GAPS * gap_s:
         return Diagnosis(Severity.HEALTHY, Cause.NONE, silent_alone)
@@ -180,7 +180,7 @@
     """The zones that seem cut off. `zones` has (machines heard, machines) for each. If most
     machines of no other zone report, there are none: the controllers may be cut off themselves."""
     heard_well = {
-        zone for zone, (heard, total) in zones.items() if total and heard / total >= HEARING_SHARE
+        zone for zone, (heard, total) in zones.items() if total and heard / total >= MIN_HEARD_SHARE
     }
     return {
         zone
--- a/ryegauge/detection/fault_attribution.py
+++ b/ryegauge/detection/fault_attribution.py
@@ -14,10 +14,10 @@
   be retried on a faulty one for good;
 - a machine is suspected if several jobs failed there that have failed on no other machine, nor
   in another shard by the leader's list, and of which no task has succeeded. It gets no new tasks,
-  but is not returned for that: further attempts of those jobs elsewhere confirm or clear it.
+  but is not released for that: further attempts of those jobs elsewhere confirm or clear it.
 
 If more than a certain share of a shard's machines look faulty at once, the cause is something
-that they have in common, and none of them is returned.
+that they have in common, and none of them is released.
 """
 
 # kind: decisions
@@ -62,7 +62,7 @@
         self._failing_elsewhere: frozenset[str] = frozenset()
 
     def set_failing_elsewhere(self, uids: Collection[str]) -> bool:
-        """Takes the leader's list of jobs that fail in other shards too; returns whether it has
+        """Takes the leader's list of failing jobs, this shard's included; returns whether it has
         changed."""
         before, self._failing_elsewhere = self._failing_elsewhere, frozenset(uids)
         return before != self._failing_elsewhere
@@ -119,9 +119,12 @@
         )
 
     def classify_machines(self, machines: int) -> tuple[set[str], set[str]]:
-        """The faulty machines, which are to be returned, and the suspected ones, in a shard with
-        this number of machines. Suspected ones are kept: after all controllers had restarted, the
-        first attempts of two failing jobs on the same good machine caused its return."""
+        """The faulty machines, which are to be released, and the suspected ones, in a shard with
+        this number of machines. Both are empty if more than `COMMON_CAUSE_SHARE` of the machines,
+        and more than one, look faulty at once.
+
+        Suspected ones are kept: after all controllers had restarted, the first attempts of two
+        failing jobs on the same good machine caused its release."""
         accused = {name for name in self._failures_since_success if self._looks_faulty(name)}
         if len(accused) > max(1, int(COMMON_CAUSE_SHARE * machines)):
             return set(), set()
@@ -170,8 +173,8 @@
         newly_failing: list[FailingJob] = []
         totals: dict[str, tuple[int, int]] = {}
         for uid, machines, count in failing_jobs:
-            m, n = totals.get(uid, (0, 0))
-            totals[uid] = m + machines, n + count
+            machine_sum, attempt_sum = totals.get(uid, (0, 0))
+            totals[uid] = machine_sum + machines, attempt_sum + count
         for uid, (machines, count) in totals.items():
             state = self._jobs.get(uid)
             if state is None:
--- a/ryegauge/detection/last_heard.py
+++ b/ryegauge/detection/last_heard.py
@@ -11,8 +11,9 @@
 
 
 class StallDetector:
-    """A clock that stops while its process stalls: it advances by at most `step_s` seconds
-    between two readings, and the loops of a healthy controller read it far more often."""
+    """A clock that stops while its process stalls, and a record of the stalls. It advances by
+    at most `step_s` seconds between two readings, and the loops of a healthy controller read it
+    far more often."""
 
     def __init__(self, step_s: float, now: float) -> None:
         self._step_s = step_s
--- a/ryegauge/scheduling/pipelines.py
+++ b/ryegauge/scheduling/pipelines.py
@@ -12,7 +12,7 @@
 class Urgency(NamedTuple):
     """How urgent a job is, by itself or together with its dependents."""
 
-    latest_finish: float  # time of day in seconds, infinite without any deadline
+    latest_finish: float  # Unix time in seconds, infinite without any deadline
     rank: int  # of the priority, 0 is the most urgent
 
 
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -451,7 +451,7 @@
     critical_demands: dict[str, list[Demand]] | None = None,
     lost_demands: Iterable[Demand] = (),
 ) -> Plan:
-    """Plans one round; `demands` come in their order of precedence and `now` is the time of day.
+    """Plans one round; `demands` come in their order of precedence and `now` is the Unix time.
 
     `critical_demands` are those that standby capacity is reserved for, by machine. `lost_demands`
     are the tasks on machines that are probably lost: they are not placed, but machines are rented
