--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -17,7 +17,7 @@
 # A user cancels within this time after the job's end: workers report the end within 0.5 s.
 CANCEL_AT_END_WINDOW_S = 0.6
 # A close look: rounds of polls at all controllers, and the length of a round.
-CLOSE_LOOKS, CLOSE_LOOK_INTERVAL_S = 3, 0.01
+POLL_BURST_ROUNDS, POLL_BURST_ROUND_S = 3, 0.01
 IMMEDIATE_CANCEL_SHARE = 0.15  # of newly accepted jobs, while `close_looks` is active
 ODD_REQUEST_INTERVAL_S = (0.05, 0.4)  # range of pauses between odd requests
 # Changes that make a job exceed every machine, or name a type or team that does not exist.
@@ -48,7 +48,7 @@
     def __init__(self, world: "World") -> None:
         self._world = world
         self.cancel_share_at_end = 0.0  # share of jobs that are cancelled at their end
-        self.close = False  # whether close looks are taken
+        self.poll_bursts_active = False  # whether close looks are taken
         self.odd_requests_since: float | None = None  # since when odd requests are sent
         self._odd_request_count = 0
 
@@ -71,7 +71,7 @@
             uid in checker.accepted,
             uid in checker.final,
         ):
-            self._look_closely(uid, new=not accepted)
+            self._start_poll_burst(uid, new=not accepted)
         return status
 
     # -- cancellations -----------------------------------------------------------------------
@@ -126,7 +126,7 @@
 
     def task_done(self, task: str) -> None:
         """To be called when a task completes; reacts to the end of its job."""
-        if not (self.cancel_share_at_end or self.close):
+        if not (self.cancel_share_at_end or self.poll_bursts_active):
             return
         world, uid = self._world, task.rpartition("/")[0]
         pieces = world.checker.specs[uid]["pieces"]
@@ -135,7 +135,7 @@
                 world.nursery.start_soon(
                     self._cancel_after, uid, world.rng.uniform(0.0, CANCEL_AT_END_WINDOW_S)
                 )
-            self._look_closely(uid)
+            self._start_poll_burst(uid)
 
     # -- close looks -------------------------------------------------------------------------
 
@@ -143,29 +143,31 @@
     def close_looks(self) -> Iterator[None]:
         """While it is open, every change of a job's status triggers polls at all controllers
         in quick succession."""
-        self.close = True
+        self.poll_bursts_active = True
         try:
             yield
         finally:
-            self.close = False
+            self.poll_bursts_active = False
 
-    def _look_closely(self, uid: str, new: bool = False) -> None:
+    def _start_poll_burst(self, uid: str, new: bool = False) -> None:
         """Polls the job at all controllers several times and repeats its submission; some of
         the new jobs are cancelled."""
-        if not self.close:
+        if not self.poll_bursts_active:
             return
         world = self._world
-        for n in range(CLOSE_LOOKS):
+        for n in range(POLL_BURST_ROUNDS):
             for controller in range(len(world.settings)):
-                delay_s = n * CLOSE_LOOK_INTERVAL_S + world.rng.uniform(0.0, CLOSE_LOOK_INTERVAL_S)
+                delay_s = n * POLL_BURST_ROUND_S + world.rng.uniform(0.0, POLL_BURST_ROUND_S)
                 world.nursery.start_soon(self._ask_later, delay_s, uid, "poll", None, controller)
-            delay_s = n * CLOSE_LOOK_INTERVAL_S + world.rng.uniform(0.0, CLOSE_LOOK_INTERVAL_S)
+            delay_s = n * POLL_BURST_ROUND_S + world.rng.uniform(0.0, POLL_BURST_ROUND_S)
             world.nursery.start_soon(
                 self._ask_later, delay_s, uid, "submit", self._submission(uid), None
             )
         if new and world.rng.random() < IMMEDIATE_CANCEL_SHARE:
             world.nursery.start_soon(
-                self._cancel_after, uid, world.rng.uniform(0.0, CLOSE_LOOKS * CLOSE_LOOK_INTERVAL_S)
+                self._cancel_after,
+                uid,
+                world.rng.uniform(0.0, POLL_BURST_ROUNDS * POLL_BURST_ROUND_S),
             )
 
     async def _ask_later(
--- a/ryegauge/experiments/delays.py
+++ b/ryegauge/experiments/delays.py
@@ -58,10 +58,10 @@
     first_start_at: float  # infinite if no task ever started
 
 
-def _start_times(played: DayResult) -> dict[str, _StartTimes]:
+def _start_times(day_result: DayResult) -> dict[str, _StartTimes]:
     submitted_at: dict[str, float] = {}
     first_start_at: dict[str, float] = {}
-    for event in played.recorded_events:
+    for event in day_result.recorded_events:
         if event.what == "submitted":
             submitted_at[event.uid] = event.at
         elif event.what == "started":
@@ -72,7 +72,7 @@
     }
 
 
-def compute_metrics(day: Day, played: DayResult) -> DayMetrics:
+def compute_metrics(day: Day, day_result: DayResult) -> DayMetrics:
     """Compute the metrics of a played day.
 
     Ages are computed by the ageing policy with the day's properties, whichever policy was played.
@@ -80,9 +80,9 @@
     settings = controller_settings(day, "ageing")[0]
     ageing = create_policy(settings)
     assert isinstance(ageing, Ageing)
-    start_times = _start_times(played)
+    start_times = _start_times(day_result)
     priorities: list[str] = list(PRIORITIES)
-    rank_of = {uid: priorities.index(str(b["urgency"])) for uid, b in played.bodies.items()}
+    rank_of = {uid: priorities.index(str(b["urgency"])) for uid, b in day_result.bodies.items()}
     inversions: dict[int, int] = defaultdict(int)
     aged_starts = lost = 0
     running: dict[str, set[str]] = defaultdict(set)
@@ -96,24 +96,24 @@
     command_latency_s = 0.5
     slowest_gb_per_s = min(t.fetch_gb_per_s for t in day.types)
     image_fetch_s = {
-        u: _as_float(b["imageGb"]) / slowest_gb_per_s for u, b in played.bodies.items()
+        u: _as_float(b["imageGb"]) / slowest_gb_per_s for u, b in day_result.bodies.items()
     }
     uids_by_rank: dict[int, list[str]] = defaultdict(list)
     for uid, rank in rank_of.items():
         uids_by_rank[rank].append(uid)
-    for event in played.recorded_events:
+    for event in day_result.recorded_events:
         uid = event.uid
         if event.what == "ended":
             running[uid].discard(event.task)
             if event.detail == "done":
                 if event.task not in done[uid]:
                     done[uid].add(event.task)
-                    body = played.bodies[uid]
+                    body = day_result.bodies[uid]
                     useful_cpu_s += _as_float(body["expectS"]) * _as_float(body["cpus"])
             else:
                 lost += 1
         elif event.what == "started":
-            body = played.bodies[uid]
+            body = day_result.bodies[uid]
             served = len(done[uid]) + len(running[uid])
             running[uid].add(event.task)
             rank = rank_of[uid]
@@ -127,8 +127,8 @@
                     start_times[u].submitted_at + decision_latency_s + image_fetch_s[uid] < event.at
                     and event.at + command_latency_s + image_fetch_s[u]
                     < start_times[u].first_start_at
-                    and _as_float(played.bodies[u]["cpus"]) <= _as_float(body["cpus"])
-                    and _as_float(played.bodies[u]["memoryGb"]) <= _as_float(body["memoryGb"])
+                    and _as_float(day_result.bodies[u]["cpus"]) <= _as_float(body["cpus"])
+                    and _as_float(day_result.bodies[u]["memoryGb"]) <= _as_float(body["memoryGb"])
                     for u in uids_by_rank[higher]
                 )
     ranks: dict[str, PriorityMetrics] = {}
@@ -137,7 +137,7 @@
             continue
         histogram = HdrHistogram(1, MAX_DELAY_MS, 3)
         delays = [
-            min(start_times[u].first_start_at, played.seconds) - start_times[u].submitted_at
+            min(start_times[u].first_start_at, day_result.seconds) - start_times[u].submitted_at
             for u in uids
             if u in start_times
         ]
@@ -156,18 +156,18 @@
             inversions[rank],
         )
     cheapest = min(t.spot_price / t.cpus for t in day.types)
-    useful = useful_cpu_s / 3600 * cheapest / played.cost if played.cost else 0.0
+    useful = useful_cpu_s / 3600 * cheapest / day_result.cost if day_result.cost else 0.0
     return DayMetrics(
-        played.seed,
-        played.ordering,
+        day_result.seed,
+        day_result.ordering,
         ranks,
         sum(inversions.values()),
         aged_starts,
         lost,
         useful,
-        played.changes,
-        played.broken,
-        *least_served(played.recorded_events, played.bodies, 0.75 * played.seconds),
+        day_result.changes,
+        day_result.broken,
+        *least_served(day_result.recorded_events, day_result.bodies, 0.75 * day_result.seconds),
     )
 
 
--- a/ryegauge/experiments/loss.py
+++ b/ryegauge/experiments/loss.py
@@ -216,17 +216,19 @@
 
     program = load_node_class(checkout)
     day = _build_day(machines, cell)
-    played = play(day, "settled", seed, program=program, watch=watch, prepare=prepare)
+    day_result = play(day, "settled", seed, program=program, watch=watch, prepare=prepare)
     (world,) = worlds
     detected_at = stage_began_at.get(RESTORING, float("inf"))
     since = detected_at if detected_at < float("inf") else LOSS_AT_S
-    starts = [e for e in played.recorded_events if e.what == "started" and e.at > since]
+    starts = [e for e in day_result.recorded_events if e.what == "started" and e.at > since]
     ends = {
         (e.machine, e.task): e.detail
-        for e in played.recorded_events
+        for e in day_result.recorded_events
         if e.what == "ended" and e.at > LOSS_AT_S
     }
-    lost_machines = {e.machine for e in played.recorded_events if e.what in ("lost", "returned")}
+    lost_machines = {
+        e.machine for e in day_result.recorded_events if e.what in ("lost", "returned")
+    }
     tracked = {key for key in running if key[0] not in lost_machines}
     killed = {key for key in tracked if ends.get(key) in ("lease", "stopped")}
     checker = world.checker
@@ -236,7 +238,7 @@
         if uid not in checker.final and last_answers.get(uid, (0.0, 0))[1] not in (200, 201)
     ]
     served, least = least_served(
-        played.recorded_events, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S
+        day_result.recorded_events, day_result.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S
     )
     restarted = {e.task for e in starts} & {task for _, task in tracked}
     return LossMetrics(
@@ -256,8 +258,8 @@
         len(killed),
         len(restarted),
         len(lost_jobs),
-        len({line.split()[2] for line in played.broken if "went_back" in line}),
-        len(played.broken),
+        len({line.split()[2] for line in day_result.broken if "went_back" in line}),
+        len(day_result.broken),
         world.state.requests,
         world.state.writes,
         served,
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -134,13 +134,13 @@
             broker = Broker(world.nursery, random.Random(seed))
             for binding in queues.bindings:
                 broker.queues.setdefault(binding.queue, deque())
-            played = QueueDay(world, broker)
-            played_days.append(played)
-            state.on_write.append(lambda key, value: _note_write(played, key))
+            queue_day = QueueDay(world, broker)
+            played_days.append(queue_day)
+            state.on_write.append(lambda key, value: _note_write(queue_day, key))
 
             def program(settings: Any, network: Any, wall_clock: Any, rng: Any) -> Node:
                 meters: dict[str, Meter] = {}
-                played.meters.append(meters)
+                queue_day.meters.append(meters)
                 return Node(
                     settings,
                     network,
@@ -152,7 +152,7 @@
             # Restarts all controllers, so that they run `program`.
             world.node_factories = [program] * controllers
             world.crash(*range(controllers))
-            await script(played)
+            await script(queue_day)
 
         await world.play([], run, seconds)
 
@@ -186,10 +186,10 @@
     }
 
 
-def _note_write(played: QueueDay, key: str) -> None:
+def _note_write(queue_day: QueueDay, key: str) -> None:
     match key.split("/"):
         case ["r", "j", uid]:
-            played.recorded_jobs.add(uid)
+            queue_day.recorded_jobs.add(uid)
 
 
 # -- delivery guarantees ---------------------------------------------------------------------
@@ -214,12 +214,12 @@
     broken: int  # violations of protocol rules
 
 
-async def inject_random_failures(played: QueueDay, rng: random.Random) -> None:
+async def inject_random_failures(queue_day: QueueDay, rng: random.Random) -> None:
     """Inject eight random failures of broker, connections, controllers or state service.
 
     They follow each other within about a minute.
     """
-    world, broker = played.world, played.broker
+    world, broker = queue_day.world, queue_day.broker
     for _ in range(8):
         await trio.sleep(rng.uniform(0.5, 7.0))
         match rng.choice(["kill", "cut", "cut", "crash", "crash_all", "outage"]):
@@ -239,11 +239,11 @@
                 world.state.end_outage()
 
 
-async def drop_connections_after(played: QueueDay, frames: int) -> None:
+async def drop_connections_after(queue_day: QueueDay, frames: int) -> None:
     """Drop the connection of the consuming controller after `frames` frames, twice."""
     for pause_s in (6.0, 8.0):
         await trio.sleep(pause_s)
-        played.broker.frames_until_close = frames
+        queue_day.broker.frames_until_close = frames
 
 
 def count_deliveries(delivery: Delivery, trouble: str, seed: int, messages: int) -> DeliveryCounts:
@@ -254,37 +254,37 @@
     names = [f"m-{n}" for n in range(messages)]
     uids = {uid_of("picks", f"id:{name}"): name for name in names}
 
-    async def script(played: QueueDay) -> None:
+    async def script(queue_day: QueueDay) -> None:
         for name in names:
-            put(played.broker, "work", name)
+            put(queue_day.broker, "work", name)
         if trouble == "ends":
-            await inject_random_failures(played, random.Random(seed))
+            await inject_random_failures(queue_day, random.Random(seed))
         else:
-            await drop_connections_after(played, int(trouble))
+            await drop_connections_after(queue_day, int(trouble))
 
-    played = play(seed, [make_binding(delivery=delivery)], script, 170.0, known=uids)
-    answers_of_job = played.answers_by_job
-    waiting = {str(m.properties.message_id) for m in played.broker.queues.get("work", ())}
-    waiting |= {str(m.properties.message_id) for m in played.broker.queues.get("dead.work", ())}
-    without_job = [name for uid, name in uids.items() if uid not in played.recorded_jobs]
+    queue_day = play(seed, [make_binding(delivery=delivery)], script, 170.0, known=uids)
+    answers_of_job = queue_day.answers_by_job
+    waiting = {str(m.properties.message_id) for m in queue_day.broker.queues.get("work", ())}
+    waiting |= {str(m.properties.message_id) for m in queue_day.broker.queues.get("dead.work", ())}
+    without_job = [name for uid, name in uids.items() if uid not in queue_day.recorded_jobs]
     completed = [
         uid
-        for uid in played.recorded_jobs
-        if all(f"{uid}/{n}" in played.world.results for n in range(MESSAGE_BODY["pieces"]))
+        for uid in queue_day.recorded_jobs
+        if all(f"{uid}/{n}" in queue_day.world.results for n in range(MESSAGE_BODY["pieces"]))
     ]
     return DeliveryCounts(
         delivery,
         "ends" if trouble == "ends" else "drops",
         1,
         messages,
-        len(played.recorded_jobs),
+        len(queue_day.recorded_jobs),
         sum(name in waiting for name in without_job),
         sum(name not in waiting for name in without_job),
-        played.restarts_after_done.total(),
+        queue_day.restarts_after_done.total(),
         sum(uid not in answers_of_job for uid in completed),
         sum(len(set(answers)) > 1 for answers in answers_of_job.values()),
         sum(len(answers) - len(set(answers)) for answers in answers_of_job.values()),
-        len(played.world.checker.broken),
+        len(queue_day.world.checker.broken),
     )
 
 
@@ -354,9 +354,9 @@
             await trio.sleep(1.0)
         histogram.record_value(max(1, round(1000 * (trio.current_time() - began_at))))
 
-    async def script(played: QueueDay) -> None:
+    async def script(queue_day: QueueDay) -> None:
         nonlocal most_in_hand
-        world, broker = played.world, played.broker
+        world, broker = queue_day.world, queue_day.broker
         if queues:
             for name in ("one", "three"):
                 for n in range(messages_per_queue):
@@ -375,13 +375,13 @@
                 most_in_hand = max(most_in_hand, in_hand)
 
     known = [uid_of(b, f"id:m-{n}") for b in ("one", "three") for n in range(messages_per_queue)]
-    played = play(seed, bindings, script, seconds, write_rps=40.0, known=known if queues else [])
+    queue_day = play(seed, bindings, script, seconds, write_rps=40.0, known=known if queues else [])
     recorded = {
-        name: sum(meters[name].fates["recorded"] for meters in played.meters if name in meters)
+        name: sum(meters[name].fates["recorded"] for meters in queue_day.meters if name in meters)
         for name in ("one", "three")
     }
     recorded_total = sum(recorded.values())
-    left = sum(len(played.broker.queues.get(name, ())) for name in ("one", "three"))
+    left = sum(len(queue_day.broker.queues.get(name, ())) for name in ("one", "three"))
     return OverloadMetrics(
         queues,
         histogram.get_value_at_percentile(50),
@@ -392,6 +392,6 @@
         most_in_hand,
         left,
         round(recorded_total / seconds, 1),
-        round(1000 * played.processor_s / max(1, len(played.recorded_jobs)), 2),
-        len(played.world.checker.broken),
+        round(1000 * queue_day.processor_s / max(1, len(queue_day.recorded_jobs)), 2),
+        len(queue_day.world.checker.broken),
     )
--- a/ryegauge/experiments/recovery.py
+++ b/ryegauge/experiments/recovery.py
@@ -187,14 +187,14 @@
         if up and not world.state.outage:
             answerable_at.append(now)
 
-    played = play(
+    day_result = play(
         recovery_day(machines, trouble),
         "settled",
         seed,
         program=load_node_class(checkout),
         watch=watch,
     )
-    events = [e for e in played.recorded_events if e.at >= TROUBLE_AT_S]
+    events = [e for e in day_result.recorded_events if e.at >= TROUBLE_AT_S]
     rented = [e for e in events if e.what == "rented"]
     lost = sum(e.what == "lost" for e in events if e.at < TROUBLE_AT_S + 5)
     cpus_before = max((c for at, c in cpus_at if at < TROUBLE_AT_S), default=0.0)
@@ -217,7 +217,7 @@
         return next(
             (
                 e.at - crashed_at
-                for e in played.recorded_events
+                for e in day_result.recorded_events
                 if e.what == what and e.at > crashed_at + 1
             ),
             float("inf"),
@@ -244,7 +244,7 @@
     ]
     first_start_at: dict[str, float] = {}
     urgent_submitted_at: dict[str, float] = {}
-    for e in played.recorded_events:
+    for e in day_result.recorded_events:
         if e.what == "submitted" and e.detail == "high":
             urgent_submitted_at[e.uid] = e.at
         elif e.what == "started":
@@ -280,8 +280,10 @@
         ),
         len(killed),
         avoidable,
-        len(played.broken),
-        *least_served(played.recorded_events, played.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S),
+        len(day_result.broken),
+        *least_served(
+            day_result.recorded_events, day_result.bodies, DAY_LENGTH_S - UNSCORED_TAIL_S
+        ),
     )
 
 
--- a/ryegauge/experiments/report.py
+++ b/ryegauge/experiments/report.py
@@ -98,7 +98,7 @@
         name: [] for name in ("run", "seed", "at", "what", "uid", "task", "machine", "detail")
     }
     for result in results:
-        for event in result.played.recorded_events if result.played else ():
+        for event in result.day_result.recorded_events if result.day_result else ():
             columns["run"].append(result.run.name)
             columns["seed"].append(result.run.seed)
             for name, value in event._asdict().items():
--- a/ryegauge/experiments/runs.py
+++ b/ryegauge/experiments/runs.py
@@ -27,12 +27,12 @@
 
     run: DayRun
     metrics: DayMetrics
-    played: DayResult | None  # kept only on request, as it is large
+    day_result: DayResult | None  # kept only on request, as it is large
 
 
 def _run_day(run: DayRun, keep_events: bool) -> Outcome:
-    played = play(run.day, run.ordering, run.seed, run.size, run.backlog)
-    return Outcome(run, compute_metrics(run.day, played), played if keep_events else None)
+    day_result = play(run.day, run.ordering, run.seed, run.size, run.backlog)
+    return Outcome(run, compute_metrics(run.day, day_result), day_result if keep_events else None)
 
 
 def ageing_runs(day: Day, seeds: list[int], size: float, policies: tuple[str, ...]) -> list[DayRun]:
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -159,7 +159,7 @@
                     "machines_mute": net.outbound_loss,
                     "cancel_at_end": world.users.cancel_share_at_end == 0.5,
                     "odd_requests": world.users.odd_requests_since is not None,
-                    "close_looks": world.users.close,
+                    "close_looks": world.users.poll_bursts_active,
                     "lost_writes": net.lost_writes == 0.5,
                     "kept_reports": net.kept_reports == 0.5,
                 }.items()
@@ -167,8 +167,8 @@
             }
         )
 
-    played = play(load(small_day), "settled", 3, watch=watch)
-    assert played.broken == []
+    day_result = play(load(small_day), "settled", 3, watch=watch)
+    assert day_result.broken == []
     assert set().union(*active) == set(kinds)
     assert all(len(names) <= 1 for names in active)
     assert active[-1] == set()
@@ -275,8 +275,8 @@
         RecordedEvent(29.0, "started", "h", "h/0"),
         RecordedEvent(45.0, "started", "old", "old/0"),
     ]
-    played = DayResult(1, "settled", 60.0, events, bodies, [], 1.0, 0)
-    metrics = compute_metrics(day, played)
+    day_result = DayResult(1, "settled", 60.0, events, bodies, [], 1.0, 0)
+    metrics = compute_metrics(day, day_result)
     assert metrics.inversions == 1
     assert metrics.aged_starts == 1
     assert metrics.ranks["normal"].unserved == 1
--- a/tests/test_operations_day.py
+++ b/tests/test_operations_day.py
@@ -29,9 +29,9 @@
     mistaken = {s.body["uid"] for s in submissions(day, seed) if s.mistaken}
     assert bool(mistaken) == with_mistakes
     with caplog.at_level(logging.INFO, "ryegauge"):
-        played = play(day, "ageing", seed)
-    results = compute_metrics(day, played)
-    assert played.broken == []
+        day_result = play(day, "ageing", seed)
+    results = compute_metrics(day, day_result)
+    assert day_result.broken == []
     # Of every team, including guests, and of every job class.
     assert results.served > 0.9, results.least
     # Faults are attributed to exactly the failing jobs, and to no machine.
@@ -39,7 +39,7 @@
     assert logged_as_failing == mistaken
     assert "to be given up" not in caplog.text
     failed: dict[str, int] = {}
-    for e in played.recorded_events:
+    for e in day_result.recorded_events:
         if e.what == "ended" and e.detail == "error":
             failed[e.uid] = failed.get(e.uid, 0) + 1
     assert failed.keys() <= mistaken
@@ -64,20 +64,20 @@
         for a in day.arrivals
         if a.job_class != "sweep"
     ]
-    played = play(
+    day_result = play(
         msgspec.structs.replace(
             day, installation=limited_installation, arrivals=arrivals, troubles=[]
         ),
         "ageing",
         4,
     )
-    assert played.broken == []
+    assert day_result.broken == []
     done_at = {
-        e.uid: e.at for e in played.recorded_events if e.what == "ended" and e.detail == "done"
+        e.uid: e.at for e in day_result.recorded_events if e.what == "ended" and e.detail == "done"
     }
-    reported_at = {e.uid: e.at for e in played.recorded_events if e.what == "final"}
-    tiny = [uid for uid in done_at if played.bodies[uid]["duty"] == "flurry"]
+    reported_at = {e.uid: e.at for e in day_result.recorded_events if e.what == "final"}
+    tiny = [uid for uid in done_at if day_result.bodies[uid]["duty"] == "flurry"]
     assert len(tiny) > 150
     delays_s = sorted(reported_at.get(uid, day.seconds) - done_at[uid] for uid in tiny)
     assert delays_s[len(delays_s) // 2] < 7.0  # was 10 s in an earlier version
-    assert compute_metrics(day, played).ranks["high"].median_s < 1.0
+    assert compute_metrics(day, day_result).ranks["high"].median_s < 1.0
--- a/tests/test_unreachable_machines.py
+++ b/tests/test_unreachable_machines.py
@@ -96,20 +96,20 @@
 def test_a_single_silent_machine_is_returned_in_the_end(settings: Settings) -> None:
     """A machine that answers probes and reports to no controller costs money and is of no use.
     If many do so at once they are kept, since they recover together."""
-    lead = LeaderHarness(settings)
-    names = [f"m-{i}" for i in range(60) if lead.shard_of(f"m-{i}") == 0][:12]
+    harness = LeaderHarness(settings)
+    names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
     for name in names:
-        lead.machine(name, empty=False)
-        lead.probe_outcomes[name] = "answered"
-    lead.round()
+        harness.machine(name, empty=False)
+        harness.probe_outcomes[name] = "answered"
+    harness.round()
 
     def silence(count: int, seconds: float) -> list[str]:
-        lead.now += seconds
+        harness.now += seconds
         for name in names[:count]:
-            silent_s = lead.machines[name].silent_s + seconds
-            lead.machine(name, empty=False, open=False, silent_s=silent_s)
-        lead.round()
-        return lead.last_result.releases
+            silent_s = harness.machines[name].silent_s + seconds
+            harness.machine(name, empty=False, open=False, silent_s=silent_s)
+        harness.round()
+        return harness.last_result.releases
 
     assert silence(1, 11.0) == []
     assert silence(1, 19.0) == []
@@ -122,20 +122,20 @@
 ) -> None:
     """The results of probing a machine were forgotten when its lease ended, until it was probed
     again; meanwhile it was returned if no more of its kind were available."""
-    lead = LeaderHarness(settings)
-    lead.leader.on_machine_list([listed("m-1")], lead.now)
+    harness = LeaderHarness(settings)
+    harness.leader.on_machine_list([listed("m-1")], harness.now)
     for silent_s in (0.0, 9.5):
-        lead.machine("m-1", empty=False, silent_s=silent_s)
-        lead.round()
-        lead.probe_outcomes["m-1"] = "answered"
-        lead.now += 1.5 if silent_s else 11.0
-    lead.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), lead.now)
-    del lead.machines["m-1"]
-    lead.round()
-    assert lead.last_result.releases == []
-    lead.now += 3.0  # probed again, without an answer
-    lead.round()
-    assert lead.last_result.releases == ["m-1"]
+        harness.machine("m-1", empty=False, silent_s=silent_s)
+        harness.round()
+        harness.probe_outcomes["m-1"] = "answered"
+        harness.now += 1.5 if silent_s else 11.0
+    harness.leader.fleet.on_rental_refused(Rental("small", "a", True, 1), harness.now)
+    del harness.machines["m-1"]
+    harness.round()
+    assert harness.last_result.releases == []
+    harness.now += 3.0  # probed again, without an answer
+    harness.round()
+    assert harness.last_result.releases == ["m-1"]
 
 
 def test_an_answer_that_renews_a_lease_ends_what_was_cancelled(settings: Settings) -> None:
