--- a/ryegauge/emulator/network.py
+++ b/ryegauge/emulator/network.py
@@ -74,7 +74,8 @@
         self.powered_off: set[str] = set()  # connections to these hosts hang
         # Hosts whose incoming messages are lost; what they send arrives, its answers don't.
         self.inbound_loss: set[str] = set()
-        self.outbound_loss: set[str] = set()  # hosts whose outgoing connections hang
+        # Hosts whose own requests hang before they connect; their answers to others arrive.
+        self.outbound_loss: set[str] = set()
         self.refused_routes: set[tuple[str, str]] = set()  # (source, destination): answered 503
         self.max_answer_delay_s: dict[
             str, float
--- a/ryegauge/emulator/rules.py
+++ b/ryegauge/emulator/rules.py
@@ -46,7 +46,8 @@
 
     def on_task_started(self, worker: Worker, task: str) -> None:
         """Checks a start of a task: it runs nowhere else, its team is within its limit, its
-        machine suits it, its job is not cancelled and the jobs it needs are done."""
+        machine suits it, the jobs it needs are done, and neither its job nor one of these was
+        reported cancelled more than `cancel_s` ago."""
         self.starts += 1
         machines = [w for w in self.world.workers.values() if w.alive]
         for other in machines:
@@ -106,8 +107,8 @@
             )
 
     def check_cancelled(self, task: str) -> None:
-        """`ran_cancelled`: a task runs longer than `cancel_s` after its job, or one that it
-        needs, was cancelled."""
+        """`ran_cancelled`: a task starts more than `cancel_s` after a user was told that its job,
+        or one that it needs, is cancelled."""
         uid = task.rpartition("/")[0]
         cancel_s = self.world.settings[0].settings.workers.cancel_s
         for name in (uid, *self.transitive_needs(uid)):
@@ -129,7 +130,7 @@
     ) -> None:
         """Checks the answer to a user's request against all answers received before the request
         was sent: of two requests in flight at once, the one with the older answer may complete
-        last. `asked`: submit, poll or cancel; `status` 0: no answer; `sent`: when the request was
+        last. `action`: submit, poll or cancel; `status` 0: no answer; `sent`: when the request was
         sent, by default now, so that every earlier answer counts."""
         known_by = trio.current_time() if sent is None else sent
         if uid in self.accepted and (
--- a/ryegauge/emulator/users.py
+++ b/ryegauge/emulator/users.py
@@ -16,7 +16,7 @@
 CANCEL_RETRY_S = 1.0  # before an unanswered cancellation is repeated
 # A user cancels within this time after the job's end: workers report the end within 0.5 s.
 CANCEL_AT_END_WINDOW_S = 0.6
-# A close look: rounds of polls at all controllers, and the length of a round.
+# Rounds of polls at all controllers in a burst, and the length of a round in seconds.
 POLL_BURST_ROUNDS, POLL_BURST_ROUND_S = 3, 0.01
 IMMEDIATE_CANCEL_SHARE = 0.15  # of newly accepted jobs, while `close_looks` is active
 ODD_REQUEST_INTERVAL_S = (0.05, 0.4)  # range of pauses between odd requests
@@ -48,7 +48,7 @@
     def __init__(self, world: "World") -> None:
         self._world = world
         self.cancel_share_at_end = 0.0  # share of jobs that are cancelled at their end
-        self.poll_bursts_active = False  # whether close looks are taken
+        self.poll_bursts_active = False  # see `close_looks`
         self.odd_requests_since: float | None = None  # since when odd requests are sent
         self._odd_request_count = 0
 
@@ -56,7 +56,7 @@
         self, uid: str, action: str, body: Any = None, controller: int | None = None
     ) -> int:
         """Sends one request about a job, to `controller` or to any, and checks the answer.
-        `asked`: submit, poll or cancel. Returns the status; 0: not answered."""
+        `action`: submit, poll or cancel. Returns the status; 0: not answered."""
         world, checker = self._world, self._world.checker
         path = "/v1/jobs" + {"submit": "", "poll": f"/{uid}", "cancel": f"/{uid}/cancel"}[action]
         sent = trio.current_time()
@@ -137,12 +137,13 @@
                 )
             self._start_poll_burst(uid)
 
-    # -- close looks -------------------------------------------------------------------------
+    # -- bursts of polls ---------------------------------------------------------------------
 
     @contextmanager
     def close_looks(self) -> Iterator[None]:
-        """While it is open, every change of a job's status triggers polls at all controllers
-        in quick succession."""
+        """While it is open, a job's acceptance, the end of its last task and its first final
+        answer each trigger a burst of polls at all controllers and of repeated submissions; some
+        jobs are cancelled right after their acceptance."""
         self.poll_bursts_active = True
         try:
             yield
--- a/ryegauge/emulator/waiting.py
+++ b/ryegauge/emulator/waiting.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from ryegauge.emulator.world import World
 
-# A job may not wait for longer than this while one and the same machine could take its task.
+# Required by the operators: a job may not wait for longer than this while one and the same machine
+# could take its task.
 MAX_WAIT_BESIDE_CAPACITY_S = 90.0
 CHECK_INTERVAL_S = MAX_WAIT_BESIDE_CAPACITY_S / 18
 ROUNDING_TOLERANCE = 1e-6  # of floating-point sums
@@ -44,8 +45,8 @@
                 w.name: earlier_since.get(w.name, now) for w in machines if self._fits(w, uid)
             }
             for name, since in waiting_since[uid].items():
-                # A check may just miss the moment at which capacity became free, so this takes
-                # one check more than fit into the limit.
+                # `since` is the first check that found the capacity free, so a violation takes
+                # 19 intervals between checks: one more than fit into the limit.
                 if now - since > MAX_WAIT_BESIDE_CAPACITY_S:
                     world.checker.report_violation(
                         "left_waiting", f"{uid} for {now - since:.0f} s beside {name}"
--- a/ryegauge/emulator/workers.py
+++ b/ryegauge/emulator/workers.py
@@ -83,6 +83,7 @@
         self.since = trio.current_time()  # when it was rented
         self.ended_at: float | None = None
         self.lost_at: float | None = None  # when it failed; None: it did not, or it was released
+        # Not stopped; has booted; fails every task.
         self.alive, self.up, self.faulty = True, False, False
         self.boot_factor = 1.0  # of the usual boot time; infinite: never boots
         self.returned_while_busy = False  # released to the cloud while tasks ran on it
--- a/ryegauge/emulator/world.py
+++ b/ryegauge/emulator/world.py
@@ -291,7 +291,9 @@
             setattr(self.network, name, 0.0)
 
     def _on_state_write(self, key: str, value: Any) -> None:
-        if key == "r/l":  # the leader's record: its version is the leader's token
+        # The leader's record: its version is the leader's token, so each write begins a new
+        # leadership.
+        if key == "r/l":
             self.network.deliver_kept_reports(self.controllers.values(), self.report_s)
 
     async def cancel_now(self, count: int, hang_s: float = 0.0) -> None:
@@ -371,9 +373,9 @@
         late: bool = False,
         cancel_after: float | None = None,
     ) -> None:
-        """A user with one job: submits until it is accepted, then polls until it is final, and
-        goes on for as long as it resubmits. Before, it waits until the needed jobs are accepted,
-        or, if `late`, final.
+        """A user with one job: submits until it is accepted, then polls until it is final; if the
+        world's `resubmits` is not 0, it polls and resubmits until the run ends. Before, it waits
+        until the needed jobs are accepted, or, if `late`, final.
 
         `really`: seconds that each task runs; `broken`: every attempt fails; `cancel_after`:
         seconds from acceptance to cancellation.
--- a/ryegauge/experiments/loss.py
+++ b/ryegauge/experiments/loss.py
@@ -116,7 +116,7 @@
     adopted: int  # of these, tasks that ran on to their end or still run
     killed: int  # of these, tasks ended by command or by a lease
     again: int  # of these, tasks that were started once more
-    jobs_lost: int  # accepted, not over, and unknown at the end of the day
+    jobs_lost: int  # accepted, not over, and the last request about it not answered 200 or 201
     changed: int  # jobs that were reported with another outcome later
     broken: int  # violations of protocol rules
     requests: int  # requests to the state service over the day
--- a/ryegauge/experiments/queues.py
+++ b/ryegauge/experiments/queues.py
@@ -205,8 +205,8 @@
     jobs: int
     waiting: int  # messages without a job that are still at the broker when the day ends
     lost: int  # messages without a job that are in no queue any more
-    # Starts of tasks that were done but whose outcome was lost with their lease; the worker's
-    # stored result ends such a task at once.
+    # Starts of tasks that were done but whose outcome was lost with their lease; the task's result,
+    # which is stored outside of the machines, ends it at once.
     told_again: int
     unanswered: int  # jobs that are over and for which no answer was sent
     two_answers: int  # jobs with answers under more than one id or status
--- a/tests/test_away.py
+++ b/tests/test_away.py
@@ -91,8 +91,8 @@
 
 
 def test_ten_leaders_in_two_minutes_also_inside_an_outage(tmp_path: Path) -> None:
-    """The leader crashes every ten seconds, twice three times more in an outage of the state
-    service, while jobs are cancelled."""
+    """The leader crashes ten times, about every ten seconds, while jobs are cancelled. Two outages
+    of the state service, with three crashes each, come between."""
     leaders: list[str] = []
 
     async def script(world: Day) -> None:
@@ -118,7 +118,7 @@
 
 
 def test_more_work_than_room_over_slow_links(tmp_path: Path) -> None:
-    """Messages of workers and controllers take up to a quarter of a lease, and the leader crashes.
+    """Answers of workers and controllers take up to a quarter of a lease, and the leader crashes.
     Urgent jobs still start before others."""
     jobs: list[dict[str, Any]] = [
         {
--- a/tests/test_detection.py
+++ b/tests/test_detection.py
@@ -28,6 +28,7 @@
 LIMITS = DetectionLimits(gap_s=3.0, lease_s=14.0)
 NEVER = math.inf
 
+# The names in this model; the log shows the values of `Cause`.
 TRUE_CAUSES = (
     "dead",
     "cut_off",
--- a/tests/test_fault_attribution.py
+++ b/tests/test_fault_attribution.py
@@ -135,7 +135,7 @@
     for n in range(12):
         faults.record_failure("wk-1", f"m-{n}", n + 1)
         faults.record_failure("wk-1", f"m-{n}", n + 1)
-    # Only the first machines are accused, not all.
+    # The first two machines are accused, by bad luck, but never the whole fleet.
     assert faults.classify_machines(12) == ({"m-0", "m-1"}, set())
     assert not faults.is_failing("wk-1")
 
--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -42,7 +42,8 @@
 
 
 ASSIGNMENT_KEY = r"r/j/[^/]+/\d+"
-# Kinds of transactions. A kind's name is part of the seed of its test.
+# Kinds of transactions. The length of a kind's name is part of the seed of its test: a name of
+# another length changes the run.
 KINDS: dict[str, Callable[[Body], bool]] = {
     "claim": lambda body: writes_key(body, r"r/p/\d+"),
     "enrolment": lambda body: writes_key(body, r"r/n/.+") and not writes_key(body, r"r/[pl].*"),
--- a/tests/test_limits_at_change.py
+++ b/tests/test_limits_at_change.py
@@ -78,7 +78,7 @@
 
 
 def every_third_machine(world: Day) -> set[str]:
-    """Every third machine that runs tasks."""
+    """Of every third machine, those that are alive and have booted."""
     return {w.name for w in list(world.workers.values())[::3] if w.alive and w.up}
 
 
--- a/tests/test_operations_day.py
+++ b/tests/test_operations_day.py
@@ -47,14 +47,15 @@
     assert all(n <= 60 for n in failed.values())
     # No loss of data is diagnosed while the state service keeps its data.
     assert "lost data" not in caplog.text
-    # Urgent jobs are not delayed, despite crashes of all controllers, an outage and boot times.
+    # Apart from crashes of all controllers, an outage and boots, nothing delays urgent jobs: their
+    # median delay is small, and none is left unserved.
     assert results.ranks["high"].median_s < 3.0
     assert results.ranks["high"].unserved == 0
 
 
 def test_tiny_jobs_are_reported_done_soon_after_they_ran() -> None:
-    """The state service allows few changes per second: 200 tiny jobs, each with three changes,
-    have to share about five of them per second with urgent jobs."""
+    """200 tiny jobs need three changes each. The state service leaves them about five changes per
+    second besides those of urgent jobs."""
     day = load(DAYS_DIR / "operations.toml")
     limited_installation = msgspec.structs.replace(day.installation, write_rps=14.0)
     arrivals = [
--- a/tests/test_queue_days.py
+++ b/tests/test_queue_days.py
@@ -205,7 +205,8 @@
 
 
 def test_unroutable_replies_are_kept_and_delivered_later() -> None:
-    """An unroutable reply stays pending and is retried; it arrives once its queue exists."""
+    """An unroutable reply stays pending and is retried until it is too old. Here its queue exists
+    again before that, and it arrives."""
 
     async def unroutable(queue_day: QueueDay) -> None:
         queue_day.broker.unroutable_keys.add("answers")
--- a/tests/test_rebuilding_days.py
+++ b/tests/test_rebuilding_days.py
@@ -137,7 +137,7 @@
 
 def test_unrestorable_jobs_are_not_answered_404(tmp_path: Path) -> None:
     """The service loses everything and all controllers crash. Once a worker's report shows the
-    loss, questions must be answered 503: a 404 would deny a job that was accepted. The epoch's
+    loss, requests must be answered 503: a 404 would deny a job that was accepted. The epoch's
     record says that not everything could be restored."""
 
     async def script(world: World) -> None:
--- a/tests/test_small_jobs.py
+++ b/tests/test_small_jobs.py
@@ -265,6 +265,8 @@
     assert world.checker.broken == []
     assert len(world.submitted) == count
     assert world.unfinished == set()
+    # Each job has at least its record, so the upper limits are checked on recorded changes.
+    assert changes_of(world)["submission"] >= count
     assert "extend" not in {what for _, what in world.counts.refused}
     refused = [a for a in world.user_requests if a.what == "submit" and a.status not in (200, 201)]
     assert [a for a in refused if world.is_calm(a.at)] == []
@@ -339,5 +341,5 @@
     run_simulated(main, 1)
     at = dict(take_times)
     assert at["claim"] < at["group"] < at["single"]
-    assert at["claim"] < 3.0 + 6.0 / 5.0 + 0.7  # a refill of six, and how often it looks
+    assert at["claim"] < 3.0 + 6.0 / 5.0 + 0.7  # six refill at 5 per s; it tries every 0.6 s
     assert "usual" not in at  # nothing is left for it
