--- a/ryegauge/bookkeeping/outcome_archive.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -33,7 +33,8 @@
     """Batched and cached lookups of `f/UID` records."""
 
     def __init__(self, state: StateClient, max_conditions: int, max_cached: int) -> None:
-        """`max_conditions`: most guards of a transaction; `max_cached`: most cached outcomes."""
+        """`max_conditions`: most guards of a transaction; `max_cached`: outcomes that the cache
+        keeps besides as many as the latest batch asked for."""
         self._state = state
         self._max_conditions = max_conditions
         self._max_cached = max_cached
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -18,7 +18,8 @@
 WRITE_OVERCOMMIT = 1.6
 
 # Sends a request through a peer: (method, target, body, timeout in s) -> (status, answer), or
-# None if no peer could send it.
+# None if no peer returned an answer. A request with changes has then not been sent by any peer;
+# if one may have sent it, OutcomeUnknown is raised.
 Relayer = Callable[[str, str, Any, float], Awaitable[tuple[int, Any] | None]]
 
 
@@ -97,8 +98,9 @@
 class StateClient:
     """Sends reads and transactions within this controller's rate budgets.
 
-    All methods raise Unavailable if the request was certainly not executed and OutcomeUnknown
-    if it may have been; timeouts are in seconds."""
+    The methods that send requests, except `send_directly`, raise Unavailable if the request was
+    certainly not executed and OutcomeUnknown if it may have been; some also raise Gone or
+    Conflict. Timeouts are in seconds."""
 
     def __init__(self, client: HttpClient, rps: float, write_rps: float, nodes: int) -> None:
         """`rps`, `write_rps`: the service's limits, in requests and changes per second, which
--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -563,7 +563,8 @@
         return result
 
     def _last_need_ended_at(self, job: Job, wall: float) -> float:
-        """When the last needed job was done, as recorded; `wall` if a record lacks the time."""
+        """When the last needed job was done, as recorded; `wall` if that is not known of one of
+        them: it has left the replica, or its record lacks the time."""
         ends: list[float] = []
         for name in job.needs or ():
             needed_job = self.jobs.get(name)
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -120,7 +120,10 @@
                 self.last_read_sent_at = sent_at
                 self.failures = 0
             except Gone:
-                log.info("changes since the last read are no longer available: full read needed")
+                log.info(
+                    "full read needed: the changes since the last read are no longer kept, "
+                    "or a new epoch has begun"
+                )
                 self._full_read_needed = True
             except (Unavailable, OutcomeUnknown, trio.TooSlowError) as error:
                 self.failures += 1
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -56,8 +56,9 @@
 class Strict:
     """Orders by rank alone, so low-ranked jobs may wait forever. Baseline of the experiments.
 
-    A job may preempt lower-ranked tasks if it is urgent and has waited for `stop_after_s`, or if
-    it is within its team's guarantee and has waited for longer than a boot takes."""
+    An urgent job that has waited for `stop_after_s` may preempt lower-ranked tasks. A job within
+    its team's guarantee that has waited for longer than a boot takes may preempt tasks of its own
+    or a lower rank that have just begun, if their team uses more than its guarantee."""
 
     preempts_long_running = True
     preemption_pause_reports = 2.0
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -22,7 +22,7 @@
     open: bool
     # No task is on it, and none can be.
     empty: bool
-    # Time since its last report.
+    # Seconds since its last report.
     silent_s: float
     notice: bool
     retiring: bool
--- a/ryegauge/queues/answers.py
+++ b/ryegauge/queues/answers.py
@@ -37,12 +37,12 @@
     def __init__(
         self,
         context: NodeContext,
-        channel: Mapping[str, BindingChannel],
+        channels: Mapping[str, BindingChannel],
         meters: Mapping[str, Meter],
         max_age_s: float,
     ) -> None:
         self._context = context
-        self._channels = channel
+        self._channels = channels
         self._meters = meters
         self._max_age_s = max_age_s
         self._in_progress: set[str] = set()
--- a/ryegauge/queues/binding_channel.py
+++ b/ryegauge/queues/binding_channel.py
@@ -114,8 +114,11 @@
     # -- consuming -------------------------------------------------------------------------
 
     def update_subscription(self, consume_now: bool) -> None:
-        """Subscribes or unsubscribes, and follows the prefetch window. A new prefetch count
-        applies to new consumers only, so larger changes of the window need a new subscription."""
+        """Subscribes or unsubscribes, and follows the prefetch window.
+
+        A new prefetch count applies to new consumers only. The subscription is therefore renewed
+        once the window has halved or doubled, or is back at its full size; until then smaller
+        changes are not applied."""
         if not self.ready or self._cancelling:
             return
         size = self.window.size
--- a/ryegauge/queues/meter.py
+++ b/ryegauge/queues/meter.py
@@ -19,4 +19,4 @@
         self.settled = 0  # messages processed, whatever their fate
         self.in_hand = 0  # delivered and not yet acknowledged or rejected
         self.window = 0  # prefetch count; 0 while another controller consumes
-        self.connections = 0  # connections that became ready
+        self.connections = 0  # connections that became ready so far
--- a/ryegauge/rebuilding/adopting.py
+++ b/ryegauge/rebuilding/adopting.py
@@ -21,7 +21,8 @@
 
 
 def can_adopt(replica: StateReplica, uid: str, index: int) -> bool:
-    """Whether the replica has the job and its task is neither done nor held by a shard."""
+    """Whether the replica has the job, the job is neither done nor cancelled, and its task is
+    neither done nor assigned to a shard."""
     job = replica.jobs.get(uid)
     return job is not None and job.is_open(index)
 
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -46,7 +46,7 @@
 class LossDetector:
     """Checks every answer of the state service against the replica, as the module describes.
 
-    `suspicion` and `confirmed_loss` hold the result. The synchronizer calls `begin` before each
+    `suspicion` and `confirmed_loss` hold the result. The Syncer calls `begin` before each
     read and `read` or `on_full_read` with its answer; the client calls `on_committed` or
     `on_conflict` after each transaction.
     """
@@ -248,10 +248,13 @@
         return ""
 
     def on_full_read(self, items: list[Event], state_revision: int) -> None:
-        """Checks a full read at `state_revision`. There is one after a confirmed loss, in a new
-        epoch, and when the service no longer has the changes that were asked for. Raises
-        ContradictoryAnswer if it contradicts what is known and no new epoch has begun. In a new
-        epoch, `known_state` becomes a copy of the replica as it was before."""
+        """Checks a full read at `state_revision`. There is one at the start, after a confirmed
+        loss, in a new epoch, and when the service no longer has the changes that were asked for.
+        Raises ContradictoryAnswer if it contradicts what is known and no new epoch has begun.
+
+        In a new epoch, unless this is the first full read, `known_state` becomes a copy of the
+        replica as it was before, with the confirmed own writes that no read has shown. What
+        snapshots and the previous `known_state` hold completes it."""
         epoch = next((event.value["e"] for event in items if event.key == EPOCH_KEY), 0)
         is_older = state_revision < self._min_revision or epoch < self._replica.epoch
         if epoch <= self._replica.epoch and (self.confirmed_loss is not None or is_older):
--- a/ryegauge/scheduling/boot_times.py
+++ b/ryegauge/scheduling/boot_times.py
@@ -33,8 +33,9 @@
 GIVE_UP_RATIO = 1.5
 # Bounds on that time, in nominal boot times.
 MIN_GIVE_UP_BOOTS = 2.5
-# While all boots of a group are overdue it is only a guess that they are slow and will still
-# complete; this bounds the wait from below.
+# While a type and zone counts as slow (at least two boots overdue, and more of them than boots
+# completed), it is only a guess that its boots will still complete; this bounds the wait from
+# below.
 MIN_SLOW_GIVE_UP_BOOTS = 4.0
 MAX_GIVE_UP_BOOTS = 8.0
 # A new boot is never expected to take less than this share of the nominal time: a phase in which
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -103,7 +103,10 @@
     # If it finds no capacity, machines that become free within so many seconds are reserved.
     reserve_within_s: float = 0.0
     due_by_age: bool = False  # comes first because of its job's age
-    may_rent: bool = True  # whether machines may be rented for it
+    # If false, it only takes free capacity of running machines, and a later round places the rest:
+    # no rental, no waiting for busy or booting machines, no reservation, and no entry in
+    # `Plan.unplaced`.
+    may_rent: bool = True
 
     def path_s(self, type_: MachineType, cached: bool = False) -> float:
         """The critical path on a machine type in seconds: the fetch of the image, unless it is
@@ -540,8 +543,9 @@
     demand: Demand, machines: list[MachineCapacity], horizon_s: float, *, on_demand_only: bool
 ) -> None:
     """FindRunningVM for machines that are busy now: tasks that a running machine can take within
-    `horizon_s` wait for it instead of a rental. The machine is reserved for them: later demands
-    may use it only if they end before."""
+    `horizon_s`, normally a part of a boot time, wait for it instead of a rental, which would not
+    be up sooner. The machine is reserved for them: later demands may use it only if they end
+    before."""
     if not demand.count or demand.gang:
         return
     openings: list[tuple[float, int, MachineCapacity]] = []
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -50,7 +50,8 @@
 def serve(config: str, properties: str | None = None) -> None:
     """Runs a controller with this settings file and, if given, this properties file.
 
-    Exits with 2 if the settings are unusable and with 1 if an address cannot be bound."""
+    Exits with 2 if the settings are unusable, with 1 if an address cannot be bound, and with 130
+    if it is interrupted."""
     _log_to_stderr()
     try:
         settings = load(config, properties)
