--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -56,8 +56,8 @@
     known_state: KnownState, replica: StateReplica, limits: RestoreLimits, name: str
 ) -> list[Transaction]:
     """Returns the writes that the replica still lacks, the most important first; an empty list
-    means that everything is restored that fits the present limits. `name` is this controller's name, which makes the keys
-    of new records unique."""
+    means that everything that fits the present limits is restored. `name` is this controller's
+    name, which makes the keys of new records unique."""
     jobs = _group_by_job(known_state)
     writes = [
         *_cancellation_writes(jobs, replica, limits),
