--- a/ryegauge/amqp/connection.py
+++ b/ryegauge/amqp/connection.py
@@ -367,7 +367,7 @@
         self.state = "closing"
         self._send(0, amqp.Connection.Close(code, text, 0, 0))
 
-    def unsettled(self, channel_id: int) -> int:
+    def unsettled_count(self, channel_id: int) -> int:
         """The number of deliveries on the channel that are not acknowledged or rejected."""
         return len(self._require_open_channel(channel_id).unsettled)
 
--- a/ryegauge/bookkeeping/outcome_archive.py
+++ b/ryegauge/bookkeeping/outcome_archive.py
@@ -29,7 +29,7 @@
         self.error: Unavailable | OutcomeUnknown | None = None
 
 
-class FinalOutcomes:
+class ArchivedOutcomes:
     """Batched and cached lookups of `f/UID` records."""
 
     def __init__(self, state: StateClient, max_conditions: int, max_cached: int) -> None:
@@ -43,7 +43,7 @@
         self._next_batch = _Batch()
         self._lock = trio.Lock()
 
-    def known(self, uid: str) -> dict[str, Any] | None:
+    def cached(self, uid: str) -> dict[str, Any] | None:
         """The cached record, without a request."""
         return self._cached.get(uid)
 
@@ -54,8 +54,8 @@
     async def find_all(self, uids: Iterable[str]) -> dict[str, dict[str, Any]]:
         """The existing records of these jobs. Raises Unavailable or OutcomeUnknown."""
         requested = list(uids)
-        known = self._cached
-        found = {uid: known[uid] for uid in requested if uid in known}
+        cached = self._cached
+        found = {uid: cached[uid] for uid in requested if uid in cached}
         missing = [uid for uid in requested if uid not in found]
         if not missing:
             return found
@@ -73,8 +73,8 @@
         if batch.error is not None:
             raise batch.error
         found.update((uid, batch.found[uid]) for uid in missing if uid in batch.found)
-        while len(known) > self._max_cached + len(batch.uids):
-            del known[next(iter(known))]
+        while len(cached) > self._max_cached + len(batch.uids):
+            del cached[next(iter(cached))]
         return found
 
     async def _look_up(self, batch: _Batch) -> None:
--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -118,16 +118,18 @@
         self._relay_after_s = 0.0
         self._relayer: Relayer | None = None
 
-    def resize_budgets(self, live: int, leads: bool) -> None:
+    def resize_budgets(self, live_count: int, is_leader: bool) -> None:
         """Sets this controller's share of the limits that all live controllers have in common.
 
         The leader writes for all of them, so most of the write rate is its own. The shares of the
         write rate add up to WRITE_OVERCOMMIT times the limit: controllers seldom need theirs at
         once, exact shares would leave unused what another one lacks, and a 429 guarantees that
         nothing was executed."""
-        total_shares = (3 * live - 1) / 2
-        write_share = min(1.0, WRITE_OVERCOMMIT * ((live + 1) / 2 if leads else 1.0) / total_shares)
-        self.requests.resize(self._rps / live, self._rps / live)
+        total_shares = (3 * live_count - 1) / 2
+        write_share = min(
+            1.0, WRITE_OVERCOMMIT * ((live_count + 1) / 2 if is_leader else 1.0) / total_shares
+        )
+        self.requests.resize(self._rps / live_count, self._rps / live_count)
         self.writes.resize(self._write_rps * write_share, self._write_rps * max(write_share, 0.5))
 
     def use_relay(self, relayer: Relayer, relay_after_s: float) -> None:
--- a/ryegauge/bookkeeping/state_replica.py
+++ b/ryegauge/bookkeeping/state_replica.py
@@ -109,15 +109,15 @@
 
     __slots__ = (
         "_open_tasks",
+        "assigned_by_shard",
         "assigned_count",
         "assignments",
         "cancelled",
         "done_count",
-        "held",
         "needs",
+        "needs_reference",
         "overflow_pages",
         "overflow_tasks",
-        "pieces",
         "ready_at",
         "spec",
         "submitted_at",
@@ -131,7 +131,7 @@
         submitted_at: float,
         cancelled: bool,
         version: int,
-        pieces: tuple[str, int] | None = None,
+        needs_reference: tuple[str, int] | None = None,
     ) -> None:
         self.spec = spec
         self.submitted_at = submitted_at
@@ -140,9 +140,9 @@
         self.version = version
         # (digest, number of records) of the `r/w/` records with the names of needed jobs, if
         # the job's own record does not hold them.
-        self.pieces = pieces
+        self.needs_reference = needs_reference
         # None until all of those records have been read.
-        self.needs: tuple[str, ...] | None = None if pieces else spec.needs or ()
+        self.needs: tuple[str, ...] | None = None if needs_reference else spec.needs or ()
         self.unmet_needs: set[str] = set()  # needed jobs that are not done, kept by the replica
         self.ready_at = submitted_at  # when the last needed job was done, as far as is known
         self.overflow_pages: dict[tuple[int, int], Ranges] = {}  # (shard, number) -> done tasks
@@ -150,7 +150,8 @@
         self.assignments: dict[int, Assignment] = {}  # by shard
         self.done_count = 0
         self.assigned_count = 0
-        self.held: dict[int, int] = {}  # shard -> number of tasks assigned to it, if not 0
+        # shard -> number of tasks assigned to it, if not 0
+        self.assigned_by_shard: dict[int, int] = {}
         self._open_tasks: Ranges | None = None
 
     def update_counts(self) -> None:
@@ -165,8 +166,8 @@
         else:
             self.done_count = sum(len(assignment.done) for assignment in self.assignments.values())
         counts = {shard: assignment.count for shard, assignment in self.assignments.items()}
-        self.held = {shard: count for shard, count in counts.items() if count}
-        self.assigned_count = sum(self.held.values())
+        self.assigned_by_shard = {shard: count for shard, count in counts.items() if count}
+        self.assigned_count = sum(self.assigned_by_shard.values())
 
     def set_overflow_page(self, shard: int, number: int, tasks: Ranges | None) -> None:
         """Sets an overflow page of a shard; None removes it."""
@@ -247,17 +248,20 @@
 
 
 def job_record(
-    spec: JobSpec, submitted_at: float, cancelled: bool, pieces: tuple[str, int] | None = None
+    spec: JobSpec,
+    submitted_at: float,
+    cancelled: bool,
+    needs_reference: tuple[str, int] | None = None,
 ) -> dict[str, Any]:
-    """The value of an `r/j/UID` record. `pieces` as in `Job.pieces`."""
-    if cancelled or pieces:
+    """The value of an `r/j/UID` record. `needs_reference` as in `Job.needs_reference`."""
+    if cancelled or needs_reference:
         # The needs of a cancelled job matter neither to it nor to the jobs that need it.
         spec = msgspec.structs.replace(spec, needs=None)
     record: dict[str, Any] = {"s": spec.to_wire(), "at": submitted_at}
     if cancelled:
         record["x"] = True
-    elif pieces:
-        record["w"] = list(pieces)
+    elif needs_reference:
+        record["w"] = list(needs_reference)
     return record
 
 
@@ -362,7 +366,7 @@
         self.dependents: dict[str, set[str]] = {}  # job -> jobs in the replica that need it
         # Outcomes of jobs that left the replica before a job that needs them was recorded,
         # and the names of needed jobs whose outcome has yet to be looked up.
-        self.outcomes: dict[str, Outcome] = {}
+        self.needed_outcomes: dict[str, Outcome] = {}
         self.unresolved_needs: set[str] = set()
         # Pending replies to the queues that submitted jobs: job -> (record, version).
         self.pending_replies: dict[str, tuple[Any, int]] = {}
@@ -377,7 +381,7 @@
         self.shards: dict[int, RoleHolder] = {}  # shard -> its owner
         self.leader: RoleHolder | None = None
         self.types: dict[str, Any] = {}  # machine type -> its record
-        self.on_job: list[Callable[[str], None]] = []  # called with each job that changed
+        self.on_job_changed: list[Callable[[str], None]] = []  # called with each job that changed
         # Jobs known to be cancelled before this replica shows it.
         self.unsynced_cancellations: set[str] = set()
         # The epoch, the version at which it began, the present version of its record, the stage
@@ -387,13 +391,13 @@
         self.loss_kind = ""
         # Role records from before this epoch, key -> (holder, version). They grant no role;
         # their versions only guard new claims.
-        self.stale: dict[str, tuple[str, int]] = {}
+        self.stale_roles: dict[str, tuple[str, int]] = {}
         # Controllers that have restored what they knew: name -> (epoch, saw the loss itself).
         self.restored_nodes: dict[str, tuple[int, bool]] = {}
         # Restored outcomes, job -> (outcome, number of done tasks), and the NAME of each of their
         # `r/k/NAME` records.
         self.restored_outcomes: dict[str, tuple[Outcome, int]] = {}
-        self.restored_outcome_keys: set[str] = set()
+        self.restored_outcome_names: set[str] = set()
         # Outcomes and numbers of done tasks of jobs that left the replica, the latest last; at most
         # `max_final_outcomes` of them.
         self.final_outcomes: dict[str, tuple[Outcome, int]] = {}
@@ -404,13 +408,18 @@
         previous_uids = list(self.jobs)
         self.jobs, self.live, self.nodes, self.shards, self.types = {}, {}, {}, {}, {}
         self.unreachable_shards = {}
-        self.waiting, self.dependents, self.outcomes, self._needs_records = {}, {}, {}, {}
+        self.waiting, self.dependents, self.needed_outcomes, self._needs_records = {}, {}, {}, {}
         self.unresolved_needs, self.orphans = set(), set()
         self.pending_replies = {}
         self.leader = None
         self.epoch = self.epoch_start = self.epoch_version = 0
         self.recovery_stage, self.recovery_complete, self.loss_kind = RECOVERED, True, ""
-        self.stale, self.restored_nodes, self.restored_outcomes, self.restored_outcome_keys = (
+        (
+            self.stale_roles,
+            self.restored_nodes,
+            self.restored_outcomes,
+            self.restored_outcome_names,
+        ) = (
             {},
             {},
             {},
@@ -421,7 +430,9 @@
             self._apply_event(event)
         self.state_revision = state_revision
         # A full read does not tell when needed jobs were done.
-        self._update_dependents({*self.jobs, *self.outcomes, *self.restored_outcomes}, -math.inf)
+        self._update_dependents(
+            {*self.jobs, *self.needed_outcomes, *self.restored_outcomes}, -math.inf
+        )
         self._notify_listeners(sorted({*previous_uids, *self.jobs}))
 
     def apply(self, events: Iterable[Event], state_revision: int) -> None:
@@ -443,7 +454,7 @@
             return "done" if job.done else None
         if uid in self.restored_outcomes:
             return self.restored_outcomes[uid][0]
-        return self.outcomes.get(uid)
+        return self.needed_outcomes.get(uid)
 
     def is_cancelled(self, uid: str) -> bool:
         """Whether the job is cancelled, by the replica or known before it shows it."""
@@ -513,7 +524,7 @@
         """Takes in a role's record, whose token is still the bare version. A record from
         before the epoch grants nothing: its lease may date from before the loss."""
         if holder.token < self.epoch_start:
-            self.stale[key] = (holder.node, holder.token)
+            self.stale_roles[key] = (holder.node, holder.token)
             return
         holder.token = fencing_token(self.epoch, holder.token)
         if key == "r/l":
@@ -521,7 +532,7 @@
         else:
             self.shards[int(key[4:])] = holder
 
-    def pieces(self) -> Iterable[tuple[str, str, int, list[str]]]:
+    def needs_records(self) -> Iterable[tuple[str, str, int, list[str]]]:
         """The `r/w/` records with names of needed jobs: (job, digest, number, names)."""
         for uid, by_digest in self._needs_records.items():
             for digest, names_by_number in by_digest.items():
@@ -530,7 +541,7 @@
 
     def _add_restored_outcomes(self, name: str, records: dict[str, Any]) -> None:
         """Takes in an `r/k/NAME` record: status -> job -> number of done tasks."""
-        self.restored_outcome_keys.add(name)
+        self.restored_outcome_names.add(name)
         for status, entries in records.items():
             for uid, done in entries.items():
                 self.restored_outcomes[uid] = ("done" if status == "done" else "cancelled", done)
@@ -588,8 +599,8 @@
 
     def _register_needs(self, job: Job) -> None:
         """Registers the job as a dependent of those that it needs, once all names are known."""
-        if job.pieces is not None and job.needs is None:
-            digest, count = job.pieces
+        if job.needs_reference is not None and job.needs is None:
+            digest, count = job.needs_reference
             names_by_number = self._needs_records.get(job.spec.uid, {}).get(digest, {})
             if len(names_by_number) < count:
                 return
@@ -603,7 +614,7 @@
                 job.cancelled = True
             if (
                 name not in self.jobs
-                and name not in self.outcomes
+                and name not in self.needed_outcomes
                 and name not in self.restored_outcomes
             ):
                 self.unresolved_needs.add(name)
@@ -621,7 +632,7 @@
             if not needed_by:
                 self.dependents.pop(name, None)
                 self.unresolved_needs.discard(name)
-        if uid in self.dependents and uid not in self.outcomes:
+        if uid in self.dependents and uid not in self.needed_outcomes:
             self.unresolved_needs.add(uid)
         if self.max_final_outcomes and job.is_terminal:
             self.final_outcomes[uid] = ("cancelled" if job.cancelled else "done", job.done_count)
@@ -642,7 +653,7 @@
     def _notify_listeners(self, uids: Iterable[str]) -> None:
         """Calls the listeners with each job."""
         for uid in uids:
-            for listener in self.on_job:
+            for listener in self.on_job_changed:
                 listener(uid)
 
     def _apply_event(self, event: Event) -> str | None:
@@ -657,13 +668,15 @@
                     job.cancelled = job.cancelled or bool(value.get("x"))
                     job.version = event.version
                 else:
-                    pieces = value.get("w")
+                    needs_reference = value.get("w")
                     job = self.jobs[uid] = Job(
                         parse_job(value["s"]),
                         value["at"],
                         bool(value.get("x")),
                         event.version,
-                        None if pieces is None else (pieces[0], pieces[1]),
+                        None
+                        if needs_reference is None
+                        else (needs_reference[0], needs_reference[1]),
                     )
                     self.unresolved_needs.discard(uid)
                     self._register_needs(job)
@@ -697,9 +710,9 @@
                 return uid
             case ["r", "o", uid]:
                 if value is None:
-                    self.outcomes.pop(uid, None)
+                    self.needed_outcomes.pop(uid, None)
                 else:
-                    self.outcomes[uid] = value["st"]
+                    self.needed_outcomes[uid] = value["st"]
                     self.unresolved_needs.discard(uid)
                 return uid
             case ["r", "q", uid]:
@@ -709,12 +722,12 @@
                     self.pending_replies[uid] = (value, event.version)
             case ["r", "p", shard]:
                 self.shards.pop(int(shard), None)
-                self.stale.pop(event.key, None)
+                self.stale_roles.pop(event.key, None)
                 if value is not None:
                     self._apply_role(event.key, RoleHolder(value["o"], value["i"], event.version))
             case ["r", "l"]:
                 self.leader = None
-                self.stale.pop(event.key, None)
+                self.stale_roles.pop(event.key, None)
                 if value is not None:
                     self._apply_role(event.key, RoleHolder(value["o"], value["i"], event.version))
             case ["r", "n", node]:
--- a/ryegauge/bookkeeping/syncer.py
+++ b/ryegauge/bookkeeping/syncer.py
@@ -19,10 +19,10 @@
     def has_unread_commits(self) -> bool:
         """Whether a commit or conflict was confirmed to us that no read has shown yet."""
 
-    def begin(self) -> int:
+    def begin_read(self) -> int:
         """Called before a read; returns the revision after which to read changes."""
 
-    def read(self, events: list[Event], state_revision: int) -> list[Event]:
+    def check_changes(self, events: list[Event], state_revision: int) -> list[Event]:
         """Called after a read of changes; returns those that the replica does not have yet.
         Raises Unavailable if the answer contradicts earlier ones, and Gone if a full read is
         needed."""
@@ -146,12 +146,12 @@
         """Reads the changes since the last read into the replica."""
         since = self._replica.state_revision
         if self.observer is not None:
-            since = self.observer.begin()
+            since = self.observer.begin_read()
         events, state_revision = await self._state.changes(
             PREFIX, since, timeout_s=self._timeout_s, urgent=False
         )
         if self.observer is not None:
-            events = self.observer.read(events, state_revision)
+            events = self.observer.check_changes(events, state_revision)
         self._replica.apply(events, state_revision)
 
     async def _read_all(self) -> bool:
@@ -167,7 +167,7 @@
         after: str | None = None
         first_page_revision: int | None = None
         if self.observer is not None:
-            self.observer.begin()
+            self.observer.begin_read()
         while True:
             page, more_pages, state_revision = await self._state.page(
                 PREFIX, after, timeout_s=self._timeout_s
@@ -187,8 +187,8 @@
             self.observer.on_full_read(items, first_page_revision)
         self._replica.replace(items, first_page_revision)
         if self.observer is not None:
-            self.observer.begin()
-            events = self.observer.read(events, state_revision)
+            self.observer.begin_read()
+            events = self.observer.check_changes(events, state_revision)
         self._replica.apply(events, state_revision)
         log.info("full read: %d records, %d live jobs", len(items), len(self._replica.live))
         return changes_needed
--- a/ryegauge/bookkeeping/unsynced_cancellations.py
+++ b/ryegauge/bookkeeping/unsynced_cancellations.py
@@ -39,7 +39,7 @@
         self._learnt_at = {uid: at for uid, at in self._learnt_at.items() if at >= read_sent_at}
         self._replica.unsynced_cancellations = set(self._learnt_at)
 
-    def newer_than(self, state_revision: int) -> list[str]:
+    def cancellations_after(self, state_revision: int) -> list[str]:
         """All jobs that a user may have been told are cancelled and of which a shard may hold
         tasks, as far as a replica at revision `state_revision` may not show the cancellation. No
         shard holds tasks of jobs that left the replica, or that are cancelled with one they
--- a/ryegauge/cli/snapshot.py
+++ b/ryegauge/cli/snapshot.py
@@ -65,9 +65,9 @@
     except Unusable as error:
         return f"{path}: {error}", False
     jobs = sum(key.startswith("r/j/") and key.count("/") == 2 for key in known_state.records)
-    at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(header.at))
+    taken_at = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(header.taken_at))
     return (
-        f"{path}: good: {at}, by {header.node}, epoch {header.epoch}, "
+        f"{path}: good: {taken_at}, by {header.node}, epoch {header.epoch}, "
         f"revision {header.state_revision}, {jobs} jobs in {len(known_state.records)} records, "
         f"{len(known_state.final_outcomes)} outcomes"
     ), True
--- a/ryegauge/coordination/archive.py
+++ b/ryegauge/coordination/archive.py
@@ -53,6 +53,6 @@
     """Deletes of up to `count` records: those whose job has left the replica, and outcomes that
     no job in the replica needs any more."""
     unneeded_outcomes = [
-        outcome_key(uid) for uid in replica.outcomes if uid not in replica.dependents
+        outcome_key(uid) for uid in replica.needed_outcomes if uid not in replica.dependents
     ]
     return [Delete(key) for key in sorted(replica.orphans | set(unneeded_outcomes))[:count]]
--- a/ryegauge/coordination/capacity.py
+++ b/ryegauge/coordination/capacity.py
@@ -14,9 +14,9 @@
 from ryegauge.scheduling.planner import (
     Demand,
     MachineCapacity,
+    empty_machine_capacity,
     needs_standby,
     place,
-    unused_capacity,
 )
 
 
@@ -37,7 +37,7 @@
             type_ = fleet.types.get(view.type)
             if (
                 type_ is None
-                or not view.open
+                or not view.accepts_tasks
                 or name in fleet.to_retire
                 or name in fleet.released_at
             ):
@@ -102,7 +102,9 @@
             continue
         if machine.name in fleet.to_retire:
             continue
-        capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot, machine.shard)
+        capacity = empty_machine_capacity(
+            type_, machine.name, machine.zone, machine.spot, machine.shard
+        )
         capacity.used = True
         capacities.append(capacity)
     return capacities
@@ -129,7 +131,7 @@
     for uid, job in replica.live.items():
         if job.cancelled:
             continue
-        for shard, assigned_count in job.held.items():
+        for shard, assigned_count in job.assigned_by_shard.items():
             if shard not in by_shard:
                 continue
             count = assigned_count - placed_counts.get((uid, shard), 0)
--- a/ryegauge/coordination/demands.py
+++ b/ryegauge/coordination/demands.py
@@ -42,7 +42,7 @@
         zones=zones,
         one_zone=spec.one_zone and zones is None,
         larger_sizes=tuple(size for size in sizes if size > spec.cpus + EPSILON),
-        assigned_shards=frozenset(job.held),
+        assigned_shards=frozenset(job.assigned_by_shard),
     )
 
 
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -19,7 +19,7 @@
 from ryegauge.protocol.cloud import ListedMachine, MachineType
 from ryegauge.protocol.peers import MachineView
 from ryegauge.scheduling.boot_times import BootEstimate, BootTimes, MachineKind, PendingBoot
-from ryegauge.scheduling.planner import MachineCapacity, Plan, Rental, unused_capacity
+from ryegauge.scheduling.planner import MachineCapacity, Plan, Rental, empty_machine_capacity
 from ryegauge.scheduling.takeback_share import TakebackShare
 
 # Causes of silence after which a machine usually comes back, sooner than a new one would boot.
@@ -290,7 +290,7 @@
                 continue  # it is up but silent, or about to be released: not expected to join
             if not expected.is_expected:
                 continue
-            capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot)
+            capacity = empty_machine_capacity(type_, machine.name, machine.zone, machine.spot)
             capacity.available_in_s = expected.remaining_s
             capacities.append(capacity)
         self._pending_rentals = [
@@ -301,7 +301,7 @@
             if type_ is not None:
                 for i in range(pending.missing_count):
                     _, zone, spot = pending.kind
-                    capacity = unused_capacity(type_, f"?{pending.sent_at}-{i}", zone, spot)
+                    capacity = empty_machine_capacity(type_, f"?{pending.sent_at}-{i}", zone, spot)
                     capacity.available_in_s = self.boots.boot_s(pending.kind, type_.boot_s, now)
                     capacities.append(capacity)
         return capacities
--- a/ryegauge/coordination/job_api.py
+++ b/ryegauge/coordination/job_api.py
@@ -12,7 +12,7 @@
 
 from ryegauge.bookkeeping.budget import RESERVE_DEFAULT, RESERVE_INTERACTIVE
 from ryegauge.bookkeeping.epochs import RESTORING
-from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
+from ryegauge.bookkeeping.outcome_archive import ArchivedOutcomes
 from ryegauge.bookkeeping.state import (
     Conflict,
     Delete,
@@ -115,7 +115,7 @@
         self._open_requests = 0
         self._limits = settings.state_limits
         memory_mb = settings.settings.quota.memory_mb
-        self._final_outcomes = FinalOutcomes(
+        self._archived_outcomes = ArchivedOutcomes(
             state, self._limits.max_conditions, int(FINAL_OUTCOMES_PER_MB * memory_mb)
         )
         # Called with each job that a commit of ours has cancelled, before its user is answered.
@@ -225,7 +225,7 @@
             for n in needs
             if n not in self._replica.jobs and n not in self._replica.restored_outcomes
         ]
-        found = await self._final_outcomes.find_all(not_in_replica)
+        found = await self._archived_outcomes.find_all(not_in_replica)
         outcomes.update((name, record["st"]) for name, record in found.items())
         for name in not_in_replica:
             if name not in found and name not in self._replica.jobs:
@@ -380,7 +380,7 @@
         await self._wait_for_read()
         if (view := self._by_replica(uid)) is not None:
             return view
-        if (record := await self._final_outcomes.find(uid)) is not None:
+        if (record := await self._archived_outcomes.find(uid)) is not None:
             return _final_view(uid, record["st"], record["d"])
         # It may have been recorded while its outcome was looked up, and be in the replica by now.
         self._check_not_restoring()
@@ -395,7 +395,7 @@
         return (
             uid in replica.jobs
             or uid in replica.restored_outcomes
-            or self._final_outcomes.known(uid) is not None
+            or self._archived_outcomes.cached(uid) is not None
         )
 
     def _known_end(self, uid: str) -> dict[str, Any] | None:
@@ -409,7 +409,7 @@
             return job.view() if job.is_terminal else None
         if (restored := replica.restored_outcomes.get(uid)) is not None:
             return _final_view(uid, *restored)
-        record = self._final_outcomes.known(uid)
+        record = self._archived_outcomes.cached(uid)
         return None if record is None else _final_view(uid, record["st"], record["d"])
 
     def _by_replica(self, uid: str) -> dict[str, Any] | None:
--- a/ryegauge/coordination/membership.py
+++ b/ryegauge/coordination/membership.py
@@ -319,7 +319,7 @@
         may_claim = self._may_claim(now)
         for shard in range(self._shard_count):
             owner = self._replica.shards.get(shard)
-            old_holder, version = self._replica.stale.get(shard_key(shard), ("", 0))
+            old_holder, version = self._replica.stale_roles.get(shard_key(shard), ("", 0))
             if owner is None:
                 if old_holder == self._name or (
                     may_claim
@@ -331,7 +331,7 @@
                 # Held by our predecessor, which has ended since this process runs in its place.
                 claims[shard_key(shard)] = owner.token
         leader = self._replica.leader
-        old_holder, version = self._replica.stale.get(LEADER_KEY, ("", 0))
+        old_holder, version = self._replica.stale_roles.get(LEADER_KEY, ("", 0))
         if leader is None:
             if old_holder == self._name or (
                 may_claim
--- a/ryegauge/coordination/node.py
+++ b/ryegauge/coordination/node.py
@@ -80,7 +80,7 @@
             context.data_loss_suspected = self._rebuild.data_loss_suspected
         self._foreign_reports_sent_at = float("-inf")
         self._woken_revision = 0  # revision of the replica up to which the loops have been woken
-        context.replica.on_job.append(self._on_job)
+        context.replica.on_job_changed.append(self._on_job)
         context.syncer.on_sync.append(self._on_sync)
 
     async def run(self) -> None:
@@ -157,7 +157,7 @@
     def _on_job(self, uid: str) -> None:
         """A job's records changed in the replica."""
         for owner in self._context.owned.values():
-            owner.on_job(uid)
+            owner.on_job_changed(uid)
 
     def _on_sync(self) -> None:
         """The replica was updated: takes up the roles that it newly gives this controller, and
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -201,7 +201,7 @@
 
     def _cancellations_after(self, state_revision: int) -> tuple[list[str], bool]:
         """Cancellations that a replica at the revision may lack, and whether these are all."""
-        names = self._unsynced.newer_than(state_revision)
+        names = self._unsynced.cancellations_after(state_revision)
         size, count = 0, len(names)
         for n, uid in enumerate(names):
             size += len(uid) + 4
@@ -215,7 +215,7 @@
         so that our shards stop the jobs at once."""
         for uid in self._unsynced.learn(uids, trio.current_time()):
             for owner in self._context.owned.values():
-                owner.on_job(uid)
+                owner.on_job_changed(uid)
 
     async def probe_state(self) -> None:
         """While the state service does not serve us, tries it regularly, until cancelled. The
--- a/ryegauge/coordination/preemption.py
+++ b/ryegauge/coordination/preemption.py
@@ -229,7 +229,7 @@
         result: list[Victim] = []
         for state in views.values():
             for observed in state.machines.values():
-                if not observed.view.open:
+                if not observed.view.accepts_tasks:
                     continue
                 for job, count, ends_at in observed.tasks:
                     if job.is_terminal or job.spec.kind != "sweep":
--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -31,8 +31,8 @@
 from ryegauge.rebuilding.loss_detection import LossDetector
 from ryegauge.rebuilding.merging import RestoreLimits, group_writes, restore_writes
 from ryegauge.rebuilding.stages import (
-    all_confirmed_restored,
     first_epoch_record,
+    is_recovery_complete,
     is_turn_to_restore,
     next_epoch_record,
 )
@@ -383,7 +383,7 @@
             )
             + (
                 "; nothing that was confirmed is missing"
-                if all_confirmed_restored(replica, names)
+                if is_recovery_complete(replica, names)
                 else "; something that was confirmed may be missing"
             )
         )
--- a/ryegauge/coordination/shard_owner.py
+++ b/ryegauge/coordination/shard_owner.py
@@ -35,7 +35,7 @@
     task_key,
 )
 from ryegauge.scheduling.estimates import Estimates
-from ryegauge.scheduling.planner import MachineCapacity, place, unused_capacity
+from ryegauge.scheduling.planner import MachineCapacity, empty_machine_capacity, place
 
 log = logging.getLogger(__name__)
 
@@ -125,7 +125,7 @@
         """The stage of recovery after a loss of data."""
         return self._replica.recovery_stage
 
-    def on_job(self, uid: str) -> None:
+    def on_job_changed(self, uid: str) -> None:
         """A job's records changed: takes its assignment to this shard over from the replica."""
         self._reconcile(uid, "unseen" if self._rebuilding else "unplaced")
 
@@ -774,7 +774,9 @@
             type_ = types.get(machine.type)
             if type_ is None or not self._takes_tasks(machine, now):
                 continue
-            capacity = unused_capacity(type_, machine.name, machine.zone, machine.spot, self.shard)
+            capacity = empty_machine_capacity(
+                type_, machine.name, machine.zone, machine.spot, self.shard
+            )
             capacity.images = set(machine.images)
             for key in self._occupants(machine):
                 job = self._replica.jobs.get(key[0])
@@ -927,7 +929,7 @@
             type=m.type,
             zone=m.zone,
             spot=m.spot,
-            open=self._takes_tasks(m, now),
+            accepts_tasks=self._takes_tasks(m, now),
             empty=self._is_empty(m),
             silent_s=now - m.heard_at,
             notice=m.notice_at is not None,
--- a/ryegauge/ordering/__init__.py
+++ b/ryegauge/ordering/__init__.py
@@ -26,6 +26,6 @@
         factor=props.ageing_rank_factor,
         floor=props.ageing_floor,
         ceiling=props.ageing_ceiling,
-        hold_s=props.ageing_hold_leases * lease_s,
+        reserve_s=props.ageing_hold_leases * lease_s,
         stop_after_s=stop_after_s,
     )
--- a/ryegauge/ordering/ageing.py
+++ b/ryegauge/ordering/ageing.py
@@ -28,8 +28,8 @@
 
 from ryegauge.ordering.model import (
     AssignedTasks,
+    JobPosition,
     PreemptionRequest,
-    QueueEntry,
     RunningTasks,
     TeamHeadroom,
     WaitingJob,
@@ -73,9 +73,9 @@
         assigned: Sequence[AssignedTasks],
         headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[QueueEntry]:
+    ) -> list[JobPosition]:
         """All jobs by rank, see `rank_sort_key`."""
-        return [QueueEntry(job.uid) for job in sorted(waiting, key=rank_sort_key)]
+        return [JobPosition(job.uid) for job in sorted(waiting, key=rank_sort_key)]
 
     def may_request_preemption(self, request: PreemptionRequest, least_urgent_rank: int) -> bool:
         """Urgent jobs may once they have waited for `stop_after_s`, if there is any less urgent
@@ -120,7 +120,7 @@
 
     `patience_s` is the waiting time after which the first task of a job of rank 0 is due, and
     `factor` its growth per rank. `floor` and `ceiling` bound the reserved share of the fleet.
-    Capacity is reserved for a due task for at most `hold_s` at a time.
+    Capacity is reserved for a due task for at most `reserve_s` at a time.
     """
 
     uses_ageing = True
@@ -132,7 +132,7 @@
         factor: float,
         floor: float,
         ceiling: float,
-        hold_s: float,
+        reserve_s: float,
         stop_after_s: float,
     ) -> None:
         super().__init__(stop_after_s)
@@ -140,7 +140,7 @@
         self._factor = factor
         self._floor = floor
         self._ceiling = ceiling
-        self._hold_s = hold_s
+        self._reserve_s = reserve_s
 
     def patience_s(self, rank: int) -> float:
         """Waiting time of a job of this rank per due task, in seconds."""
@@ -166,7 +166,7 @@
         assigned: Sequence[AssignedTasks],
         headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[QueueEntry]:
+    ) -> list[JobPosition]:
         """Due tasks by tag, within the reserved share; then all jobs by rank. See the module."""
         # Tasks of a large burst of urgent jobs become due as well. If they counted, they would
         # use up the share before older jobs, although the whole fleet is open to them anyway.
@@ -178,7 +178,7 @@
         burst = top_rank <= MAX_URGENT_RANK and urgent >= self._ceiling
         due_entries = self._due_entries(waiting, assigned, headroom, now, top_rank, burst)
         entries = [
-            QueueEntry(
+            JobPosition(
                 job.uid, count, self._reservation_left_s(job, now) if job.rank > top_rank else 0.0
             )
             for job, count in due_entries.values()
@@ -187,7 +187,7 @@
             count = due_entries[job.uid][1] if job.uid in due_entries else 0
             # Where the rest may run depends on where these run, so it waits for the next round.
             if count < job.open_task_count and not (count and job.zone_dependent):
-                entries.append(QueueEntry(job.uid))
+                entries.append(JobPosition(job.uid))
         return entries
 
     def _due_entries(
@@ -260,10 +260,10 @@
 
     def _reservation_left_s(self, job: WaitingJob, now: float) -> float:
         """For how long capacity may still be reserved for the job's next task. Periods of
-        `hold_s` with and without a reservation alternate: run time estimates may be wrong, and a
+        `reserve_s` with and without a reservation alternate: run time estimates may be wrong, and a
         machine on which tasks do not end must not stay half empty forever."""
-        if self._hold_s <= 0:
+        if self._reserve_s <= 0:
             return 0.0
         overdue = now - self.tag(job.ready_at, job.rank, job.served_task_count)
-        phase = overdue % (2 * self._hold_s)
-        return max(0.0, self._hold_s - phase)
+        phase = overdue % (2 * self._reserve_s)
+        return max(0.0, self._reserve_s - phase)
--- a/ryegauge/ordering/guarantee_first.py
+++ b/ryegauge/ordering/guarantee_first.py
@@ -11,8 +11,8 @@
 
 from ryegauge.ordering.model import (
     AssignedTasks,
+    JobPosition,
     PreemptionRequest,
-    QueueEntry,
     RunningTasks,
     TeamHeadroom,
     WaitingJob,
@@ -35,13 +35,13 @@
         assigned: Sequence[AssignedTasks],
         headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[QueueEntry]:
+    ) -> list[JobPosition]:
         """All jobs: guarantees first, then by rank, latest finish and submission."""
         ranked = sorted(
             waiting,
             key=lambda j: (not j.within_guarantee, j.rank, j.latest_finish, j.submitted_at, j.uid),
         )
-        return [QueueEntry(job.uid) for job in ranked]
+        return [JobPosition(job.uid) for job in ranked]
 
     def may_request_preemption(self, request: PreemptionRequest, least_urgent_rank: int) -> bool:
         """Jobs that fit into their team's guarantee may, and those with a much less urgent live
--- a/ryegauge/ordering/model.py
+++ b/ryegauge/ordering/model.py
@@ -37,14 +37,14 @@
     weight: float
 
 
-class QueueEntry(NamedTuple):
+class JobPosition(NamedTuple):
     """A position in the order of jobs. A job may have two: one for some of its tasks and a later
     one for the rest."""
 
     uid: str
     max_tasks: int | None = None  # maximum number of tasks at this position; None: all open ones
     # For how long capacity may be reserved for it if there is none now; 0: not at all.
-    hold_s: float = 0.0
+    reserve_s: float = 0.0
 
 
 class PreemptionRequest(NamedTuple):
@@ -102,7 +102,7 @@
         assigned: Sequence[AssignedTasks],
         headroom: dict[str, TeamHeadroom],
         now: float,
-    ) -> list[QueueEntry]:
+    ) -> list[JobPosition]:
         """Returns the order in which the jobs get capacity, the first one first. `headroom` maps
         team names to what they may still use; it is not modified. `now` is a Unix time."""
         ...
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -19,7 +19,7 @@
     zone: str
     spot: bool
     # Accepts new tasks: reports in time, has no notice and is not being retired.
-    open: bool
+    accepts_tasks: bool
     # No task is on it, and none can be.
     empty: bool
     # Seconds since its last report.
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -46,8 +46,8 @@
 class LossDetector:
     """Checks every answer of the state service against the replica, as the module describes.
 
-    `suspicion` and `confirmed_loss` hold the result. The Syncer calls `begin` before each
-    read and `read` or `on_full_read` with its answer; the client calls `on_committed` or
+    `suspicion` and `confirmed_loss` hold the result. The Syncer calls `begin_read` before each
+    read and `check_changes` or `on_full_read` with its answer; the client calls `on_committed` or
     `on_conflict` after each transaction.
     """
 
@@ -63,9 +63,9 @@
         # Keys of failed guards and the replica's versions of them: since the last read began, and
         # those that the current read has to show as changed.
         self._new_conflicts: dict[str, int] = {}
-        self._checked_conflicts: dict[str, int] = {}
+        self._conflicts_to_check: dict[str, int] = {}
         self.keys_to_check: list[str] = []  # keys of suspected records, to be read one by one
-        self._changed_keys: set[str] = set()  # keys whose single read confirmed the suspicion
+        self._keys_found_changed: set[str] = set()  # keys whose single read confirmed the suspicion
         self.suspicion = ""  # the contradiction, while it is unconfirmed
         self.confirmed_loss: ConfirmedLoss | None = None
         # Whether an answer to this controller contradicted the replica since the last full read.
@@ -127,13 +127,13 @@
     @property
     def has_unread_commits(self) -> bool:
         """Whether a confirmed or refused transaction is still to be checked against a read."""
-        return bool(self._unread_writes or self._checked_conflicts or self._new_conflicts)
+        return bool(self._unread_writes or self._conflicts_to_check or self._new_conflicts)
 
-    def begin(self) -> int:
+    def begin_read(self) -> int:
         """Starts a read and returns the revision after which it has to ask for changes."""
         self._min_revision = max([self._replica.state_revision, *self._unread_writes])
-        self._checked_conflicts, self._new_conflicts = (
-            {**self._checked_conflicts, **self._new_conflicts},
+        self._conflicts_to_check, self._new_conflicts = (
+            {**self._conflicts_to_check, **self._new_conflicts},
             {},
         )
         return (
@@ -142,7 +142,7 @@
             else self._last_changes[0] - 1
         )
 
-    def read(self, events: list[Event], state_revision: int) -> list[Event]:
+    def check_changes(self, events: list[Event], state_revision: int) -> list[Event]:
         """Checks the changes that a read returned, up to `state_revision`, and returns those
         that the replica does not have yet. Raises ContradictoryAnswer if they contradict what is
         known, and Gone if they begin an epoch, so that everything has to be read again."""
@@ -157,13 +157,13 @@
         changed = {event.key for event in new}
         unexplained = sorted(
             key
-            for key, version in self._checked_conflicts.items()
+            for key, version in self._conflicts_to_check.items()
             if key not in changed and self._replica.version_of(key) == version
         )
-        self._checked_conflicts = {}
+        self._conflicts_to_check = {}
         if unexplained:
-            all_changed = all(key in self._changed_keys for key in unexplained)
-            self._changed_keys.clear()
+            all_changed = all(key in self._keys_found_changed for key in unexplained)
+            self._keys_found_changed.clear()
             if not all_changed:
                 self.keys_to_check = unexplained
             self._raise_suspicion(
@@ -210,7 +210,7 @@
         if known is not None and version != known:
             # It may have changed after the last read of the changes; the next one decides.
             self._new_conflicts[key] = known
-            self._changed_keys.add(key)
+            self._keys_found_changed.add(key)
 
     def _remember(self, new: list[Event], state_revision: int) -> None:
         """Keeps what later checks need of an accepted read."""
@@ -281,10 +281,10 @@
         self._read_keys.clear()
         self._unread_writes.clear()
         self._new_conflicts.clear()
-        self._checked_conflicts.clear()
+        self._conflicts_to_check.clear()
         self._missed_writes.clear()
         self.keys_to_check = []
-        self._changed_keys.clear()
+        self._keys_found_changed.clear()
         self.suspicion, self.confirmed_loss, self.contradicted = "", None, False
 
     # -- from suspicion to confirmed loss ------------------------------------------------------
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -274,7 +274,7 @@
             if (job := replica.jobs.get(uid)) is not None:
                 guards[job_key(uid)] = job.version
                 deletes.append(Delete(job_key(uid)))
-        while f"{name}-{replica.epoch}-{number}" in replica.restored_outcome_keys:
+        while f"{name}-{replica.epoch}-{number}" in replica.restored_outcome_names:
             number += 1
         key = f"r/k/{name}-{replica.epoch}-{number}"
         number += 1
--- a/ryegauge/rebuilding/records.py
+++ b/ryegauge/rebuilding/records.py
@@ -96,7 +96,7 @@
 def _job_records(job: Job, replica: StateReplica) -> Iterator[tuple[str, KnownRecord]]:
     """Records of a job, its assignments and its overflow pages, by key."""
     uid = job.spec.uid
-    record = job_record(job.spec, job.submitted_at, job.cancelled, job.pieces)
+    record = job_record(job.spec, job.submitted_at, job.cancelled, job.needs_reference)
     yield job_key(uid), KnownRecord(record, *epoch_and_version(job.version, None, replica))
     for shard, assignment in job.assignments.items():
         known = KnownRecord(
@@ -120,11 +120,11 @@
     records: dict[str, KnownRecord] = {}
     for job in replica.jobs.values():
         records.update(_job_records(job, replica))
-    for uid, digest, number, names in replica.pieces():
+    for uid, digest, number, names in replica.needs_records():
         records[needs_piece_key(uid, digest, number)] = KnownRecord(
             {"n": list(names)}, replica.epoch, 0
         )
-    for uid, outcome in replica.outcomes.items():
+    for uid, outcome in replica.needed_outcomes.items():
         records[outcome_key(uid)] = KnownRecord({"st": outcome}, replica.epoch, 0)
     for name, value in replica.types.items():
         records[f"r/c/{name}"] = KnownRecord(value, replica.epoch, 0)
--- a/ryegauge/rebuilding/snapshots.py
+++ b/ryegauge/rebuilding/snapshots.py
@@ -37,7 +37,7 @@
 
     fleet: str  # identifies the fleet, see `fleet_of`
     node: str  # the controller that took it
-    at: float  # Unix time in seconds
+    taken_at: float  # Unix time in seconds
     epoch: int
     state_revision: int  # revision of the state service
 
@@ -58,7 +58,7 @@
 
 def snapshot_name(header: SnapshotHeader) -> str:
     """Returns the file name of a snapshot. Names sort by the time at which it was taken."""
-    return f"{round(1000 * header.at):015d}-{header.node}{SUFFIX}"
+    return f"{round(1000 * header.taken_at):015d}-{header.node}{SUFFIX}"
 
 
 def encode_snapshot(header: SnapshotHeader, known_state: KnownState) -> Iterator[bytes]:
--- a/ryegauge/rebuilding/stages.py
+++ b/ryegauge/rebuilding/stages.py
@@ -61,7 +61,7 @@
     return {"e": known_epoch + 1, "s": RESTORING, "k": kind, "by": name}
 
 
-def all_confirmed_restored(replica: StateReplica, names: Sequence[str]) -> bool:
+def is_recovery_complete(replica: StateReplica, names: Sequence[str]) -> bool:
     """Whether everything that was ever confirmed to anybody has been restored.
 
     If single records were lost, the copy of any one controller that saw the loss has them. If
@@ -98,7 +98,7 @@
             and epoch_age_s < MAX_RESTORE_WAIT_LEASES * controller_lease_s
         ):
             return None
-        if all_confirmed_restored(replica, names):
+        if is_recovery_complete(replica, names):
             return {**record, "s": RECOVERED, "c": True}
         # A controller that was cut off may still join, and may know records that no other has.
         if epoch_age_s < controller_lease_s and not restored_nodes >= set(names):
--- a/ryegauge/scheduling/planner.py
+++ b/ryegauge/scheduling/planner.py
@@ -65,7 +65,7 @@
         self.used = True
 
 
-def unused_capacity(
+def empty_machine_capacity(
     type_: MachineType, name: str, zone: str, spot: bool, shard: int = -1
 ) -> MachineCapacity:
     """The capacity of a machine without tasks."""
@@ -163,7 +163,7 @@
     return int(min(n, demand.count))
 
 
-def allowed(demand: Demand, type_name: str, zone: str, spot: bool) -> bool:
+def may_run_on(demand: Demand, type_name: str, zone: str, spot: bool) -> bool:
     """Whether the demand's tasks may run on such a machine, whatever is free there."""
     return (
         (demand.types is None or type_name in demand.types)
@@ -208,7 +208,7 @@
         and machine.memory_gb >= memory_gb
         and run_s <= machine.reserved_from_s
         and not (on_demand_only and machine.spot)
-        and allowed(demand, machine.type.name, machine.zone, machine.spot)
+        and may_run_on(demand, machine.type.name, machine.zone, machine.spot)
         and machine.fits(demand) > 0
     ]
     if demand.one_zone and fitting:
@@ -430,7 +430,7 @@
                 machine.fits(demand)
                 for machine in machines
                 if machine.cpus + EPSILON >= demand.cpus
-                and allowed(demand, machine.type.name, machine.zone, machine.spot)
+                and may_run_on(demand, machine.type.name, machine.zone, machine.spot)
             )
             if fits > 0:
                 key = (min(fits, demand.count), shard in demand.assigned_shards, -shard)
@@ -560,7 +560,7 @@
             or machine.free_soon[1] + EPSILON < demand.memory_gb
             or machine.free_soon[2] + EPSILON < demand.gpus
             or (on_demand_only and machine.spot)
-            or not allowed(demand, machine.type.name, machine.zone, machine.spot)
+            or not may_run_on(demand, machine.type.name, machine.zone, machine.spot)
         ):
             continue
         cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
@@ -599,7 +599,7 @@
     reserved for all tasks or for none."""
     openings: list[tuple[float, str, int, MachineCapacity]] = []
     for machine in machines:
-        if not allowed(demand, machine.type.name, machine.zone, machine.spot):
+        if not may_run_on(demand, machine.type.name, machine.zone, machine.spot):
             continue
         machine.ending_tasks.sort()
         cpus, memory_gb, gpus, fitting = machine.cpus, machine.memory_gb, machine.gpus, 0
@@ -647,7 +647,7 @@
     return any(
         now + market.boot_s(t, z, False) + demand.path_s(t) <= demand.latest_finish
         and _count_fitting(demand, t.cpus, t.memory_gb, t.gpus) > 0
-        and allowed(demand, t.name, z, False)
+        and may_run_on(demand, t.name, z, False)
         and (t.name, z, False) not in market.refused
         for t in market.types.values()
         for z in t.zones
@@ -677,7 +677,7 @@
         )
         for _ in range(max(1, filled)):
             rented[key] = rented.get(key, 0) + 1
-            machine = unused_capacity(type_, f"new-{len(booting)}", zone, spot)
+            machine = empty_machine_capacity(type_, f"new-{len(booting)}", zone, spot)
             machine.available_in_s = market.boot_s(type_, zone, spot)
             booting.append(machine)
             if not place(demand, [machine], on_demand_only=False):
@@ -699,7 +699,7 @@
         for zone in type_.zones:
             if (type_.name, zone, spot) in market.refused:
                 continue
-            if not allowed(demand, type_.name, zone, spot):
+            if not may_run_on(demand, type_.name, zone, spot):
                 continue
             path_s = market.boot_s(type_, zone, spot) + demand.path_s(type_)
             late = now + path_s > demand.latest_finish
--- a/ryegauge/service.py
+++ b/ryegauge/service.py
@@ -64,7 +64,7 @@
     # Few objects here form reference cycles, and the default thresholds cost about 1% of the run
     # time (benchmark days: 351 and 345 s, with these thresholds 346 and 343 s).
     gc.set_threshold(*GC_THRESHOLDS)
-    queue_front = None
+    queue_task = None
     if settings.properties.queues_file:
         try:
             from ryegauge.queues import bindings
@@ -77,7 +77,7 @@
         except ConfigError as error:
             fail(str(error), 2)
         meters: dict[str, Meter] = {}
-        queue_front = front_of(queues, random.SystemRandom(), meters=meters)
+        queue_task = front_of(queues, random.SystemRandom(), meters=meters)
 
     snapshot_directory = None
     if settings.properties.snapshots_directory:
@@ -92,14 +92,14 @@
     async def run() -> None:
         network = TcpNetwork()
         async with trio.open_nursery() as nursery:
-            if queue_front is not None and settings.properties.metrics_listen:
+            if queue_task is not None and settings.properties.metrics_listen:
                 from ryegauge.queues import exporter
 
                 nursery.start_soon(
                     exporter.serve, network, settings.properties.metrics_listen, meters
                 )
             await Node(
-                settings, network, time.time, random.SystemRandom(), queue_front, snapshot_directory
+                settings, network, time.time, random.SystemRandom(), queue_task, snapshot_directory
             ).run()
 
     errors: list[BaseException] = []
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -119,7 +119,7 @@
     (received,) = events
     assert isinstance(received, Delivery)
     assert (received.tag, received.body, received.properties.message_id) == (7, body, "m-1")
-    assert connection.unsettled(channel_id) == 1
+    assert connection.unsettled_count(channel_id) == 1
 
 
 def test_delivery_cannot_be_settled_twice() -> None:
--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -91,7 +91,7 @@
             lambda n: None,
             lambda: 0.0,
         )
-        self._final_outcomes, self._fault, self.chain = backend, fault, ()
+        self._archived_outcomes, self._fault, self.chain = backend, fault, ()
 
     def replace_replica(self, chain: Chain) -> None:
         """A read that shows these commits."""
@@ -110,7 +110,7 @@
     async def _current_view(self, uid: str) -> dict[str, Any] | None:
         if self._fault != "looks up first":
             return await super()._current_view(uid)
-        record = await self._final_outcomes.find(uid)
+        record = await self._archived_outcomes.find(uid)
         await self._wait_for_read()
         return self._by_replica(uid) or (record and {"uid": uid, "status": record["st"]})
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -14,7 +14,7 @@
 from test_late_writes import KINDS, with_small_replica
 from test_world import MIXED_JOBS, PIPELINE_JOBS, controller_settings
 
-from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
+from ryegauge.bookkeeping.outcome_archive import ArchivedOutcomes
 from ryegauge.bookkeeping.ranges import Ranges
 from ryegauge.bookkeeping.state import Conflict, Event, Unavailable
 from ryegauge.bookkeeping.state_replica import (
@@ -42,7 +42,7 @@
         self.on_read: Callable[[], None] = lambda: None
         self.outcomes: dict[str, Any] = {}
         node._context.syncer.wait_for_read = self._on_wait_for_read  # type: ignore[method-assign]
-        node._job_api._final_outcomes.find_all = self._find_all  # type: ignore[method-assign]
+        node._job_api._archived_outcomes.find_all = self._find_all  # type: ignore[method-assign]
 
     async def _on_wait_for_read(self) -> None:
         self.on_read()
@@ -148,7 +148,7 @@
             6,
         )
         harness.replica.unsynced_cancellations.add("wk-2")
-        harness.job_api._final_outcomes._cached["wk-5"] = {"st": "done", "d": 4}
+        harness.job_api._archived_outcomes._cached["wk-5"] = {"st": "done", "d": 4}
         for uid, expected in {
             "wk-1": "done",
             "wk-2": "cancelled",
@@ -226,11 +226,11 @@
 
     async def scenario() -> None:
         service = Service()
-        final_outcomes = FinalOutcomes(service, 48, 1)  # type: ignore[arg-type]
+        archived_outcomes = ArchivedOutcomes(service, 48, 1)  # type: ignore[arg-type]
         found: list[set[str]] = []
 
         async def ask(*uids: str) -> None:
-            found.append(set(await final_outcomes.find_all(uids)))
+            found.append(set(await archived_outcomes.find_all(uids)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, *(f"wk-{n}" for n in range(9)))
@@ -241,7 +241,7 @@
         assert sorted(map(len, found)) == [1, 1, 1, 9]
         service.gone = "wk-77"
         with pytest.raises(Unavailable):
-            await final_outcomes.find_all(["wk-77", "wk-78"])
+            await archived_outcomes.find_all(["wk-77", "wk-78"])
 
     trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
 
--- a/tests/test_epoch_model.py
+++ b/tests/test_epoch_model.py
@@ -371,7 +371,7 @@
     def _held(self, b: StateReplica) -> int | None:
         """The shard whose assignment holds the task."""
         job = b.jobs.get(JOB)
-        return next(iter(job.held), None) if job is not None else None
+        return next(iter(job.assigned_by_shard), None) if job is not None else None
 
     def _worker(self, s: State, n: int) -> Iterator[State]:
         """A worker reports to its shard's owner and gets its command, or its task ends and the
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -147,7 +147,7 @@
     replica.apply([job_event("wk-1", 3, False)], 3)
     unsynced = UnsyncedCancellations(replica)
     owner = ShardOwner(0, 2, replica, settings, dict, 10.0)
-    replica.on_job.append(owner.on_job)
+    replica.on_job_changed.append(owner.on_job_changed)
     assert unsynced.learn(["wk-1"], now=11.0) == ["wk-1"]
     assert unsynced.learn(["wk-1"], now=12.0) == []
     replica.apply([Event("r/j/wk-1/0", {"t": {"": [0, 4]}, "d": []}, 4)], 4)
@@ -170,7 +170,7 @@
     unsynced.learn(["wk-50"], now=1.0)  # by a write of ours that no read has shown yet
     for state_revision in range(30):
         missing = {f"wk-{n}" for n in range(state_revision + 1, 30) if n % 3 == 0} | {"wk-50"}
-        assert set(unsynced.newer_than(state_revision)) == missing
+        assert set(unsynced.cancellations_after(state_revision)) == missing
 
 
 def test_incomplete_report_grants_no_extension(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -36,7 +36,7 @@
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, authority_ended_at, True
     )
-    shard.replica.on_job.append(shard.owner.on_job)
+    shard.replica.on_job_changed.append(shard.owner.on_job_changed)
 
 
 def test_a_report_delayed_for_longer_than_its_lease(settings: Settings) -> None:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -68,13 +68,13 @@
         self.put(assignment_key(uid, shard), {"t": {zone: flat}, "d": []})
 
     def machine(self, name: str, zone: str = "a", **changes: object) -> None:
-        """Adds or replaces a machine in the next views; by default it is open and empty."""
+        """Adds or replaces a machine in the next views, by default empty and accepting tasks."""
         fields: dict[str, object] = {
             "name": name,
             "type": "small",
             "zone": zone,
             "spot": True,
-            "open": True,
+            "accepts_tasks": True,
             "empty": True,
             "silent_s": 0.0,
             "notice": False,
@@ -244,11 +244,11 @@
     names = [f"m-{i}" for i in range(60) if harness.shard_of(f"m-{i}") == 0][:12]
     for name in names:
         harness.machine(name, empty=False)
-    harness.machine(names[0], empty=False, open=False, silent_s=5.0)
+    harness.machine(names[0], empty=False, accepts_tasks=False, silent_s=5.0)
     harness.round()
     assert harness.last_result.releases == [names[0]]
     for name in names[:6]:
-        harness.machine(name, empty=False, open=False, silent_s=5.0)
+        harness.machine(name, empty=False, accepts_tasks=False, silent_s=5.0)
     harness.round()
     assert harness.last_result.releases == []
 
@@ -264,7 +264,7 @@
         harness.machine(name, empty=False)
     harness.round()
     for name in names[:6]:
-        harness.machine(name, empty=False, open=False, silent_s=5.0)
+        harness.machine(name, empty=False, accepts_tasks=False, silent_s=5.0)
         harness.probe_outcomes[name] = "no_connection"
     harness.round()
     assert harness.last_result.releases == []  # the cloud has more, so they are not given up yet
@@ -312,7 +312,7 @@
     harness.round()
     assert harness.last_result.rentals == []
     for name in names[:3]:
-        changed = msgspec.structs.replace(harness.machines[name], open=False, silent_s=5.0)
+        changed = msgspec.structs.replace(harness.machines[name], accepts_tasks=False, silent_s=5.0)
         harness.machines[name] = changed
         harness.probe_outcomes[name] = "no_connection"
     harness.round()
@@ -336,10 +336,10 @@
     harness.job("wk-000001", pieces=4)
     harness.round()
     for name in cut_off:
-        harness.machine(name, zone="b", empty=False, open=False, silent_s=9.0)
+        harness.machine(name, zone="b", empty=False, accepts_tasks=False, silent_s=9.0)
         harness.probe_outcomes[name] = "no_connection"
     for i in range(10, 30):
-        harness.machine(f"m-{i}", empty=False, open=False)
+        harness.machine(f"m-{i}", empty=False, accepts_tasks=False)
     harness.leader.fleet.on_rental_refused(Rental("small", "b", True, 1), harness.now)
     harness.round()
     assert {r.zone for r in harness.last_result.rentals} == {"a"}
--- a/tests/test_loss_detection.py
+++ b/tests/test_loss_detection.py
@@ -36,11 +36,11 @@
         return [e for e in self.history[:up_to] if e.version > since], up_to
 
     def read(self) -> None:
-        events, state_revision = self.answer(self.loss_detector.begin())
-        self.replica.apply(self.loss_detector.read(events, state_revision), state_revision)
+        events, state_revision = self.answer(self.loss_detector.begin_read())
+        self.replica.apply(self.loss_detector.check_changes(events, state_revision), state_revision)
 
     def full_read(self) -> None:
-        self.loss_detector.begin()
+        self.loss_detector.begin_read()
         last = {event.key: event for event in self.history}
         self.loss_detector.on_full_read(sorted(last.values()), len(self.history))
         self.replica.replace(sorted(last.values()), len(self.history))
@@ -61,11 +61,11 @@
         if step == "write":
             unconfirmed.append(watched.write(len(watched.history)))
         elif step == "begin" and pending_read is None:
-            pending_read = (watched.loss_detector.begin(), len(watched.history))
+            pending_read = (watched.loss_detector.begin_read(), len(watched.history))
         elif step == "answer" and pending_read is not None:
             events, state_revision = watched.answer(*pending_read)
             watched.replica.apply(
-                watched.loss_detector.read(events, state_revision), state_revision
+                watched.loss_detector.check_changes(events, state_revision), state_revision
             )
             pending_read = None
         elif step == "fails":
@@ -143,9 +143,9 @@
     for n in range(3):
         watched.write(n)
         watched.read()
-    watched.loss_detector.begin()
+    watched.loss_detector.begin_read()
     with pytest.raises(Unavailable):
-        watched.loss_detector.read([], 1)  # from another service, or minutes old
+        watched.loss_detector.check_changes([], 1)  # from another service, or minutes old
     assert watched.loss_detector.suspicion
     watched.read()
     assert not watched.loss_detector.suspicion
--- a/tests/test_merging.py
+++ b/tests/test_merging.py
@@ -24,8 +24,8 @@
 from ryegauge.rebuilding.merging import RestoreLimits, group_writes, restore_writes
 from ryegauge.rebuilding.records import copy_known_state
 from ryegauge.rebuilding.stages import (
-    all_confirmed_restored,
     first_epoch_record,
+    is_recovery_complete,
     is_turn_to_restore,
     next_epoch_record,
 )
@@ -362,7 +362,7 @@
     epoch("history", {"a": True, "b": True, "c": True}, names)
     assert record(0.5) == {"e": 1, "k": "history", "v": 10, "s": RECOVERED, "c": True}
     epoch("history", {"a": True, "b": True}, ["a", "b"])
-    assert not all_confirmed_restored(replica, names)
+    assert not is_recovery_complete(replica, names)
     assert record(4.0) is None  # c may still enroll
     assert record(5.0)["s"] != RECOVERED
     epoch("history", {"a": True}, ["a", "b"])
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -11,8 +11,8 @@
 from ryegauge.ordering.guarantee_first import GuaranteeFirst
 from ryegauge.ordering.model import (
     AssignedTasks,
+    JobPosition,
     PreemptionRequest,
-    QueueEntry,
     RunningTasks,
     TeamHeadroom,
     WaitingJob,
@@ -22,13 +22,13 @@
 PATIENCE_S, FACTOR, FLOOR, CEILING = 100.0, 2.0, 0.1, 0.3
 
 
-def ageing(hold_s: float = 0.0) -> Ageing:
+def ageing(reserve_s: float = 0.0) -> Ageing:
     return Ageing(
         patience_s=PATIENCE_S,
         factor=FACTOR,
         floor=FLOOR,
         ceiling=CEILING,
-        hold_s=hold_s,
+        reserve_s=reserve_s,
         stop_after_s=1.0,
     )
 
@@ -287,7 +287,7 @@
     The job's age is then negative, and must not make any of its tasks due."""
     fresh = job("wk-1", rank=0, age=-0.01)
     assert ageing().due_count(fresh.ready_at, 0, NOW) == 0
-    assert positions(ageing(hold_s=10.0), [fresh], []) == [("wk-1", None)]
+    assert positions(ageing(reserve_s=10.0), [fresh], []) == [("wk-1", None)]
     old = job("wk-2", age=500.0)
     steps = [positions(ageing(), [old, fresh], [], now=NOW + d) for d in (0.0, -0.01, 0.01)]
     assert steps[0] == steps[1] == steps[2] == [("wk-2", 1), ("wk-1", None), ("wk-2", None)]
@@ -393,7 +393,7 @@
         factor=FACTOR,
         floor=FLOOR,
         ceiling=CEILING,
-        hold_s=50.0,
+        reserve_s=50.0,
         stop_after_s=1.0,
     )
     rng = random.Random(1)
@@ -411,12 +411,12 @@
 
 
 def test_capacity_reservations_alternate_with_equal_pauses() -> None:
-    """Capacity is reserved for `hold_s`, then not for as long, counted from the due time."""
-    policy = ageing(hold_s=40.0)
+    """Capacity is reserved for `reserve_s`, then not for as long, counted from the due time."""
+    policy = ageing(reserve_s=40.0)
 
     def hold(age: float) -> float:
         some = [job("wk-1", age=age), job("wk-2", rank=0)]
-        return policy.order(some, [], HEADROOM, NOW)[0].hold_s
+        return policy.order(some, [], HEADROOM, NOW)[0].reserve_s
 
     due = policy.patience_s(2)
     assert [hold(due), hold(due + 30.0), hold(due + 40.0), hold(due + 79.0)] == [40.0, 10.0, 0, 0]
@@ -478,7 +478,7 @@
         key=lambda j: (not j.within_guarantee, j.rank, j.latest_finish, j.submitted_at, j.uid),
     )
     got = GuaranteeFirst().order(waiting, [], HEADROOM, NOW)
-    assert got == [QueueEntry(j.uid) for j in expected]
+    assert got == [JobPosition(j.uid) for j in expected]
 
 
 def test_guarantee_first_preempts_recent_tasks_two_ranks_below() -> None:
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -13,9 +13,9 @@
     ExhaustedKinds,
     MachineCapacity,
     Market,
+    empty_machine_capacity,
     place,
     plan,
-    unused_capacity,
 )
 
 SMALL = MachineType("small", 4.0, 16.0, 0.4, 20.0, ["a", "b"], spot_price=0.1, fetch_gb_per_s=0.5)
@@ -53,7 +53,7 @@
 def capacity(
     name: str, type_: MachineType = SMALL, zone: str = "a", spot: bool = True
 ) -> MachineCapacity:
-    return unused_capacity(type_, name, zone, spot, 0)
+    return empty_machine_capacity(type_, name, zone, spot, 0)
 
 
 machines_strategy = st.lists(
--- a/tests/test_questions.py
+++ b/tests/test_questions.py
@@ -8,7 +8,7 @@
 from days import play
 from test_world import MIXED_JOBS, controller_settings
 
-from ryegauge.bookkeeping.outcome_archive import FinalOutcomes
+from ryegauge.bookkeeping.outcome_archive import ArchivedOutcomes
 from ryegauge.bookkeeping.state import StateClient, Unavailable
 from ryegauge.bookkeeping.state_replica import archive_key
 from ryegauge.config import Settings
@@ -87,11 +87,11 @@
             for n in range(50):
                 service.data[archive_key(f"wk-{n}")] = ({"st": "done", "d": n}, n + 1, None)
             client = network.at("a").client("s:1", max_connections=8, idle_s=9.0)
-            final_outcomes = FinalOutcomes(StateClient(client, 1000.0, 1000.0, 1), 48, 30)
+            archived_outcomes = ArchivedOutcomes(StateClient(client, 1000.0, 1000.0, 1), 48, 30)
             found: dict[str, object] = {}
 
             async def ask(uid: str) -> None:
-                found[uid] = await final_outcomes.find(uid)
+                found[uid] = await archived_outcomes.find(uid)
 
             async with trio.open_nursery() as lookups:
                 for n in range(400):
@@ -100,18 +100,18 @@
             # One request for the first, nine transactions for the others, one read per outcome.
             assert service.requests < 70
             service.outage = True
-            assert await final_outcomes.find("wk-49") == {"st": "done", "d": 49}
+            assert await archived_outcomes.find("wk-49") == {"st": "done", "d": 49}
             failed = 0
             for _ in range(2):
                 try:
-                    await final_outcomes.find("wk-77")
+                    await archived_outcomes.find("wk-77")
                 except Unavailable:
                     failed += 1
             assert failed == 2
             service.end_outage()
             # A job that was not found before may have an outcome now.
             service.data[archive_key("wk-77")] = ({"st": "cancelled", "d": 0}, 99, None)
-            assert await final_outcomes.find("wk-77") == {"st": "cancelled", "d": 0}
+            assert await archived_outcomes.find("wk-77") == {"st": "cancelled", "d": 0}
             nursery.cancel_scope.cancel()
 
     run_simulated(main, 1)
--- a/tests/test_shard_owner.py
+++ b/tests/test_shard_owner.py
@@ -39,7 +39,7 @@
         self.put(job_key(UID), job_record(parse_job(job_body()), 0.0, False))
         self.assign(before)
         self.owner = ShardOwner(0, TOKEN, self.replica, settings, lambda: TYPES, self.now)
-        self.replica.on_job.append(self.owner.on_job)
+        self.replica.on_job_changed.append(self.owner.on_job_changed)
         self.seq = 0
 
     def put(self, key: str, value: object) -> None:
@@ -393,7 +393,7 @@
     assert [shard.phase(i) for i in (0, 1, 2)] == ["pending_removal"] * 3
     view = shard.owner.next_view("node-0", 1, shard.now)
     assert view.failing == [(UID, 2, 2)]
-    assert all(machine.open for machine in view.machines)
+    assert all(machine.accepts_tasks for machine in view.machines)
     shard.assign([])
     shard.assign([3])
     shard.tick()
@@ -414,7 +414,7 @@
     shard.report(*((run.task[1], run.attempt, "ended") for run in runs), why="error")
     (machine,) = shard.owner.next_view("node-0", 1, shard.now).machines
     assert machine.retiring
-    assert not machine.open
+    assert not machine.accepts_tasks
 
 
 def test_an_oversized_assignment_moves_to_overflow_pages_first(settings: Settings) -> None:
@@ -485,7 +485,7 @@
     shard.owner = ShardOwner(
         0, TOKEN, shard.replica, settings, lambda: TYPES, shard.now, detects_unrecorded=True
     )
-    shard.replica.on_job.append(shard.owner.on_job)
+    shard.replica.on_job_changed.append(shard.owner.on_job_changed)
     earlier_attempt = ((TOKEN - 9) << 20) + 1
     shard.report((1, earlier_attempt, "running"))
     shard.owner.evict("m-1", UID, 1)
--- a/tests/test_unreachable_machines.py
+++ b/tests/test_unreachable_machines.py
@@ -107,7 +107,7 @@
         lead.now += seconds
         for name in names[:count]:
             silent_s = lead.machines[name].silent_s + seconds
-            lead.machine(name, empty=False, open=False, silent_s=silent_s)
+            lead.machine(name, empty=False, accepts_tasks=False, silent_s=silent_s)
         lead.round()
         return lead.last_result.releases
 
