--- a/tests/test_answer_model.py
+++ b/tests/test_answer_model.py
@@ -68,7 +68,7 @@
     async def wait_for_read(self) -> None:
         await AwaitedCall("read")
 
-    def known(self, uid: str) -> None:
+    def cached(self, uid: str) -> None:
         return None
 
     async def find(self, uid: str) -> Any:
--- a/tests/test_epoch_model.py
+++ b/tests/test_epoch_model.py
@@ -278,7 +278,7 @@
         guard = {EPOCH_KEY: b.epoch_version}
         token = self._token(b, n)
         if token is None:
-            stale = {k: b.stale.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
+            stale = {k: b.stale_roles.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
             mark = (
                 {"b": [c.epoch, bool(KNOWN_STATES[c.restored_epoch])]} if c.restored_epoch else {}
             )
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -105,7 +105,7 @@
 
 def test_newest_snapshots_are_kept() -> None:
     names = [
-        snapshots.snapshot_name(HEADER._replace(at=at))
+        snapshots.snapshot_name(HEADER._replace(taken_at=at))
         for at in (5.0, 100.0, 20.0, 1_700_000_000.0)
     ]
     assert snapshots.snapshots_to_delete([*names, "other"], 3) == [names[0]]
