--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -19,10 +19,10 @@
     zone: str
     spot: bool
     # Accepts new tasks: reports in time, has no notice and is not being retired.
-    open: bool
+    accepts_tasks: bool
     # No task is on it, and none can be.
     empty: bool
-    # Time since its last report.
+    # Seconds since its last report.
     silent_s: float
     notice: bool
     retiring: bool
--- a/ryegauge/rebuilding/merging.py
+++ b/ryegauge/rebuilding/merging.py
@@ -56,8 +56,8 @@
     known_state: KnownState, replica: StateReplica, limits: RestoreLimits, name: str
 ) -> list[Transaction]:
     """Returns the writes that the replica still lacks, the most important first; an empty list
-    means that everything is restored. `name` is this controller's name, which makes the keys
-    of new records unique."""
+    means that everything that fits the present limits is restored. `name` is this controller's
+    name, which makes the keys of new records unique."""
     jobs = _group_by_job(known_state)
     writes = [
         *_cancellation_writes(jobs, replica, limits),
@@ -274,7 +274,7 @@
             if (job := replica.jobs.get(uid)) is not None:
                 guards[job_key(uid)] = job.version
                 deletes.append(Delete(job_key(uid)))
-        while f"{name}-{replica.epoch}-{number}" in replica.restored_outcome_keys:
+        while f"{name}-{replica.epoch}-{number}" in replica.restored_outcome_names:
             number += 1
         key = f"r/k/{name}-{replica.epoch}-{number}"
         number += 1
--- a/tests/test_epoch_model.py
+++ b/tests/test_epoch_model.py
@@ -278,7 +278,7 @@
         guard = {EPOCH_KEY: b.epoch_version}
         token = self._token(b, n)
         if token is None:
-            stale = {k: b.stale.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
+            stale = {k: b.stale_roles.get(k, ("", 0))[1] for k in (f"r/p/{n}", "r/l")[: 2 - n]}
             mark = (
                 {"b": [c.epoch, bool(KNOWN_STATES[c.restored_epoch])]} if c.restored_epoch else {}
             )
@@ -371,7 +371,7 @@
     def _held(self, b: StateReplica) -> int | None:
         """The shard whose assignment holds the task."""
         job = b.jobs.get(JOB)
-        return next(iter(job.held), None) if job is not None else None
+        return next(iter(job.assigned_by_shard), None) if job is not None else None
 
     def _worker(self, s: State, n: int) -> Iterator[State]:
         """A worker reports to its shard's owner and gets its command, or its task ends and the
--- a/tests/test_unreachable_machines.py
+++ b/tests/test_unreachable_machines.py
@@ -107,7 +107,7 @@
         harness.now += seconds
         for name in names[:count]:
             silent_s = harness.machines[name].silent_s + seconds
-            harness.machine(name, empty=False, open=False, silent_s=silent_s)
+            harness.machine(name, empty=False, accepts_tasks=False, silent_s=silent_s)
         harness.round()
         return harness.last_result.releases
 
