--- a/ryegauge/bookkeeping/state.py
+++ b/ryegauge/bookkeeping/state.py
@@ -18,8 +18,9 @@
 WRITE_OVERCOMMIT = 1.6
 
 # Sends a request through a peer: (method, target, body, timeout in s) -> (status, answer), or
-# None if no peer returned an answer. A request with changes has then not been sent by any peer;
-# if one may have sent it, OutcomeUnknown is raised.
+# None if no peer returned an answer. A request with changes has then not been executed: no peer
+# sent it, or the service refused it with 503. If it may have been executed, OutcomeUnknown is
+# raised.
 Relayer = Callable[[str, str, Any, float], Awaitable[tuple[int, Any] | None]]
 
 
--- a/ryegauge/coordination/fleet.py
+++ b/ryegauge/coordination/fleet.py
@@ -56,7 +56,8 @@
         self.type = type_
         self.zone = zone
         self.spot = spot
-        self.rented_at = rented_at  # else when this leader first learnt of it
+        # When it was rented, as far as is known; otherwise when this leader first learnt of it.
+        self.rented_at = rented_at
         self.granted_at: float | None = None  # when this leader's rental was answered
         self.address = ""
         self.was_listed = False  # was on a list at least once
--- a/ryegauge/coordination/leader_loops.py
+++ b/ryegauge/coordination/leader_loops.py
@@ -24,8 +24,9 @@
 # Jobs kept in the replica per MB of memory that a controller may use.
 JOBS_PER_MB = 10
 
-# After a round the leader pauses for this many times the round's duration, but at most for a
-# report interval.
+# After a round the leader pauses for this many times the round's duration, so that planning takes
+# a seventh of the controller's time. The pause is at most a report interval: rounds longer than a
+# sixth of that take a larger share.
 PAUSE_PER_ROUND_TIME = 6.0
 
 
--- a/ryegauge/coordination/peer_messaging.py
+++ b/ryegauge/coordination/peer_messaging.py
@@ -234,7 +234,9 @@
         self, method: str, target: str, body: object, timeout_s: float
     ) -> tuple[int, object] | None:
         """Sends a request through the peers in turn, those that hang last, until one answers.
-        Returns None if none could send it.
+        Returns None if none answered it: for a request with changes, this means that no peer sent
+        it or that the service refused it with 503; one without changes may also have been taken by
+        peers that then gave no answer.
 
         Changes that may have reached the service are not sent through a second peer: if they
         were executed already, they would be refused as a conflict and count as not made. A
--- a/ryegauge/coordination/rebuild.py
+++ b/ryegauge/coordination/rebuild.py
@@ -53,7 +53,7 @@
 class Rebuild:
     """Runs loss detection, audits and the restore of one controller.
 
-    It installs the loss detector in the state client and the synchronizer, and its callbacks in
+    It installs the loss detector in the state client and the Syncer, and its callbacks in
     the node context, the peer messenger and the job API. `disk` holds snapshots, if they are taken.
     """
 
@@ -67,8 +67,9 @@
         self._context = context
         self._peer_messenger = peer_messenger
         self._job_api = api
-        # Set once a peer that knew the records before has confirmed that none is missing, no such
-        # peer could be asked, or none has confirmed it within a controller lease.
+        # Whether users are answered: set once a peer that knew the records before has confirmed
+        # that none is missing, no such peer could be asked, or none has confirmed it within a
+        # controller lease.
         self.answers_users = False
         self._withhold_until = float("-inf")
         self._started_at = context.wall()
--- a/ryegauge/detection/failure_diagnosis.py
+++ b/ryegauge/detection/failure_diagnosis.py
@@ -55,7 +55,7 @@
     OWNER_STALLED = "owner_stalled"  # the owner's process stalled and read no reports
     OWNER_UNREACHABLE = "owner_unreachable"  # the machine lives; its reports do not reach its owner
     HUNG = "hung"
-    RECLAIMED = "reclaimed"  # by the cloud, after a notice
+    RECLAIMED = "reclaimed"  # the cloud reclaimed the machine, after a notice
     ZONE_CUT = "zone_cut"  # almost no reports from its zone, and most from another zone
     DEAD_OR_CUT = "dead_or_cut"  # unreachable from enough controllers, or silent for long
     UNDECIDED = "undecided"
--- a/ryegauge/protocol/peers.py
+++ b/ryegauge/protocol/peers.py
@@ -1,7 +1,9 @@
 """Messages between controllers: CBOR lists that begin with a tag.
 
-The messages carry hints and views only. Everything that safety depends on is in the state
-service. A receiver ignores elements that it does not know, so fields are only ever appended.
+The messages carry hints, views and requests relayed to the state service. Everything that safety
+depends on is in the state service, except for lease extensions (LeaseExtensionRequest), with which
+controllers keep their authority during its outages. A receiver ignores elements that it does not
+know, so fields are only ever appended.
 """
 
 from typing import Any
@@ -18,7 +20,8 @@
     type: str
     zone: str
     spot: bool
-    # Accepts new tasks: reports in time, has no notice and is not being retired.
+    # Accepts new tasks: has confirmed the owner's token, reports in time, has no notice, is not
+    # being retired, looks neither faulty nor suspect, and messages seem to reach it.
     accepts_tasks: bool
     # No task is on it, and none can be.
     empty: bool
--- a/ryegauge/rebuilding/loss_detection.py
+++ b/ryegauge/rebuilding/loss_detection.py
@@ -65,7 +65,7 @@
         self._new_conflicts: dict[str, int] = {}
         self._conflicts_to_check: dict[str, int] = {}
         self.keys_to_check: list[str] = []  # keys of suspected records, to be read one by one
-        self._keys_found_changed: set[str] = set()  # keys whose single read confirmed the suspicion
+        self._keys_found_changed: set[str] = set()  # keys whose single read found another version
         self.suspicion = ""  # the contradiction, while it is unconfirmed
         self.confirmed_loss: ConfirmedLoss | None = None
         # Whether an answer to this controller contradicted the replica since the last full read.
